--- a/lugtally/balancing/__init__.py
+++ b/lugtally/balancing/__init__.py
@@ -32,6 +32,7 @@
     TimerFired,
 )
 from lugtally.balancing.settings import DeduplicationScope, Idempotency, RequestClass, Settings, Tenant
+from lugtally.balancing.timers import OverdueCheck, PollTimer, RetryTimer, Timer
 
 __all__ = [
     "NOT_PROCESSED",
@@ -52,14 +53,18 @@
     "GossipReceived",
     "HealthCheckFinished",
     "Idempotency",
+    "OverdueCheck",
+    "PollTimer",
     "RejectRequest",
     "Request",
     "RequestClass",
     "ResponseStarted",
+    "RetryTimer",
     "SendAttempt",
     "SetTimer",
     "Settings",
     "Tenant",
+    "Timer",
     "TimerFired",
     "WatchEndpoints",
 ]
--- a/lugtally/balancing/actions.py
+++ b/lugtally/balancing/actions.py
@@ -4,6 +4,8 @@
 
 from dataclasses import dataclass
 
+from lugtally.balancing.timers import Timer
+
 
 @dataclass(slots=True)
 class SendAttempt:
@@ -39,10 +41,10 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Send :class:`~lugtally.balancing.events.TimerFired` with this token after ``delay_ns``."""
+    """Send :class:`~lugtally.balancing.events.TimerFired` with this timer after ``delay_ns``."""
 
     delay_ns: int
-    token: str
+    timer: Timer
 
 
 @dataclass(slots=True)
--- a/lugtally/balancing/balancer.py
+++ b/lugtally/balancing/balancer.py
@@ -20,10 +20,9 @@
 )
 from lugtally.balancing.events import AttemptResult
 from lugtally.balancing.settings import Settings
+from lugtally.balancing.timers import OverdueCheck, PollTimer, RetryTimer, Timer
 
 MAX_RETRIES = 3
-POLL_TIMER = "watch"
-RETRY_TIMER = "r"  # followed by the request
 
 
 class Balancer:
@@ -50,7 +49,7 @@
         elif isinstance(event, events.AttemptFinished):
             self._on_attempt_finished(now, event)
         elif isinstance(event, events.TimerFired):
-            self._on_timer(now, event.token)
+            self._on_timer(now, event.timer)
         elif isinstance(event, events.EndpointUpdate):
             self._on_endpoint_update(now, event)
         elif isinstance(event, events.ClientDisconnected):
@@ -110,20 +109,21 @@
             if not request.in_flight and not request.awaiting_retry:
                 self._retry(now, request)
 
-    def _on_timer(self, now: int, token: str) -> None:
-        if token == outlier_detection.OVERDUE_TIMER and now >= self.state.overdue_timer_ns:
-            for request_id, attempt in outlier_detection.check_overdue_attempts(self.state, now):
-                self._send_elsewhere(now, request_id, attempt)
-            outlier_detection.set_overdue_timer(self.state, now)
-        elif token == POLL_TIMER:
-            self.state.actions.append(actions.WatchEndpoints())
-        elif token[:1] == RETRY_TIMER:
-            if (request := self.state.requests.get(token[1:])) is not None and request.awaiting_retry:
-                self._attempt(now, request)
+    def _on_timer(self, now: int, timer: Timer) -> None:
+        match timer:
+            case OverdueCheck() if now >= self.state.overdue_timer_ns:
+                for request_id, attempt in outlier_detection.check_overdue_attempts(self.state, now):
+                    self._send_elsewhere(now, request_id, attempt)
+                outlier_detection.set_overdue_timer(self.state, now)
+            case PollTimer():
+                self.state.actions.append(actions.WatchEndpoints())
+            case RetryTimer(request_id):
+                if (request := self.state.requests.get(request_id)) is not None and request.awaiting_retry:
+                    self._attempt(now, request)
 
     def _on_endpoint_update(self, now: int, event: events.EndpointUpdate) -> None:
         if event.kind is events.EndpointUpdateKind.FAILED:
-            self.state.actions.append(actions.SetTimer(subset.draw_poll_backoff_ns(self.state), POLL_TIMER))
+            self.state.actions.append(actions.SetTimer(subset.draw_poll_backoff_ns(self.state), PollTimer()))
             return
         if event.kind is events.EndpointUpdateKind.CACHED and self.state.settings.subscribe_to_endpoints:
             self.state.actions.append(actions.WatchEndpoints())
@@ -190,7 +190,7 @@
             return
         request.retries += 1
         request.awaiting_retry = True
-        self.state.actions.append(actions.SetTimer(delay_ns, RETRY_TIMER + request.id))
+        self.state.actions.append(actions.SetTimer(delay_ns, RetryTimer(request.id)))
 
     def _give_up(self, request: records.RequestState) -> None:
         """Give the final answer at once: a rejection with advice where the rules allow it."""
--- a/lugtally/balancing/events.py
+++ b/lugtally/balancing/events.py
@@ -8,6 +8,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from lugtally.balancing.timers import Timer
+
 
 class AttemptResult(Enum):
     """How an attempt ended, as far as decisions depend on it."""
@@ -115,7 +117,7 @@
 class TimerFired:
     """A timer set by :class:`~lugtally.balancing.actions.SetTimer` has come due."""
 
-    token: str
+    timer: Timer
 
 
 @dataclass(slots=True)
--- a/lugtally/balancing/outlier_detection.py
+++ b/lugtally/balancing/outlier_detection.py
@@ -8,6 +8,7 @@
 from lugtally.balancing.events import AttemptResult
 from lugtally.balancing.latency import CONGESTED_RATIO
 from lugtally.balancing.records import BalancerState, EndpointStats, InFlightAttempt, RequestState
+from lugtally.balancing.timers import OverdueCheck
 from lugtally.units import NS_PER_S
 
 EJECTION_NS = 1 * NS_PER_S  # after a failure; doubles with each further one up to four times
@@ -17,7 +18,6 @@
 MIN_SAMPLES, MIN_CONGESTED_SAMPLES = 8, 6
 SILENT_RATIO = 3.0  # baselines without any response after which an endpoint is silent
 OVERDUE_SHARE = 0.5  # part of the objective after which an attempt without a response is overdue
-OVERDUE_TIMER = "due"
 RESPONSES = (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.REJECTED, AttemptResult.DECLINED)
 
 
@@ -88,7 +88,7 @@
     due_ns = state.overdue.next_due_ns(state.attempts)
     if due_ns is not None and (not state.overdue_timer_ns or due_ns < state.overdue_timer_ns):
         state.overdue_timer_ns = due_ns
-        state.actions.append(SetTimer(max(1, due_ns - now), OVERDUE_TIMER))
+        state.actions.append(SetTimer(max(1, due_ns - now), OverdueCheck()))
 
 
 def check_overdue_attempts(state: BalancerState, now: int) -> Iterator[tuple[str, int]]:
--- a/lugtally/dispatch/balancer_timers.py
+++ b/lugtally/dispatch/balancer_timers.py
@@ -1,10 +1,12 @@
-"""The timers that the balancer sets: tokens by the time at which they come due."""
+"""The timers that the balancer has set, by the time at which they come due."""
 
 from __future__ import annotations
 
 from heapq import heappop, heappush
 from typing import NamedTuple
 
+from lugtally import balancing
+
 NO_REQUEST = ""
 """In the place of a request's id: no request waits for the timer alone."""
 
@@ -14,7 +16,7 @@
 
     due_ns: int
     sequence: int
-    token: str
+    timer: balancing.Timer
     request_id: str
     """The request for which nothing but this timer is under way, or ``NO_REQUEST``."""
 
@@ -26,10 +28,10 @@
         self._heap: list[BalancerTimer] = []
         self._sequence = 0
 
-    def add(self, due_ns: int, token: str, request_id: str = NO_REQUEST) -> None:
-        """Let the token come due at that time."""
+    def add(self, due_ns: int, timer: balancing.Timer, request_id: str = NO_REQUEST) -> None:
+        """Schedule a timer for that time."""
         self._sequence += 1
-        heappush(self._heap, BalancerTimer(due_ns, self._sequence, token, request_id))
+        heappush(self._heap, BalancerTimer(due_ns, self._sequence, timer, request_id))
 
     def pop_due(self, now_ns: int) -> BalancerTimer | None:
         """Remove and return a timer that has come due, or ``None``."""
@@ -38,5 +40,5 @@
         return None
 
     def next_due_ns(self) -> int | None:
-        """Return when the next token comes due, or ``None``."""
+        """Return when the next timer comes due, or ``None``."""
         return self._heap[0].due_ns if self._heap else None
--- a/lugtally/dispatch/dispatcher.py
+++ b/lugtally/dispatch/dispatcher.py
@@ -239,8 +239,8 @@
     def run_due_timers(self) -> int | None:
         """Fire the balancer's timers that have come due; returns when the next one does, or ``None``."""
         now_ns = self._loop.now()
-        while (timer := self._timers.pop_due(now_ns)) is not None:
-            self._fire_timer(now_ns, timer)
+        while (due := self._timers.pop_due(now_ns)) is not None:
+            self._fire_timer(now_ns, due)
         if self._endpoints_due_ns is not None and self._endpoints_due_ns <= now_ns:
             self._tell_endpoints_again()
         due_ns = self._timers.next_due_ns()
@@ -248,16 +248,16 @@
             return due_ns if self._endpoints_due_ns is None else self._endpoints_due_ns
         return min(due_ns, self._endpoints_due_ns)
 
-    def _fire_timer(self, now_ns: int, timer: BalancerTimer) -> None:
-        request = self._pending.get(timer.request_id)
-        if request is not None and request.awaited_timer == timer.token:
+    def _fire_timer(self, now_ns: int, due: BalancerTimer) -> None:
+        request = self._pending.get(due.request_id)
+        if request is not None and request.awaited_timer == due.timer:
             request.awaited_timer = None
-        if self._handle_event(balancing.TimerFired(timer.token), request):
+        if self._handle_event(balancing.TimerFired(due.timer), request):
             if request is not None:
                 self._answer_if_stranded(request)
             return
-        # What the token stands for only the balancer knows: perhaps a chain of timers that must not break.
-        self._timers.add(now_ns + FAULT_RETRY_NS, timer.token)
+        # The timer may be one of a chain, each of which sets the next: it must not be lost.
+        self._timers.add(now_ns + FAULT_RETRY_NS, due.timer)
         for pending in list(self._pending.values()):
             self._answer_if_stranded(pending)
 
@@ -370,19 +370,19 @@
                 self._finish_unless_streaming(request_id, Failed())
             case balancing.CancelAttempt(request_id, number):
                 self._cancel_attempt(request_id, number)
-            case balancing.SetTimer(delay_ns, token):
-                self._set_timer(now_ns + delay_ns, token, subject)
+            case balancing.SetTimer(delay_ns, timer):
+                self._set_timer(now_ns + delay_ns, timer, subject)
             case balancing.CloseIdleConnections(endpoint_id):
                 self._close_idle_connections(endpoint_id)
             case balancing.WatchEndpoints():
                 self._watch_endpoints()
 
-    def _set_timer(self, due_ns: int, token: str, subject: PendingRequest | None) -> None:
+    def _set_timer(self, due_ns: int, timer: balancing.Timer, subject: PendingRequest | None) -> None:
         if subject is None or subject.finished or subject.in_flight:
-            self._timers.add(due_ns, token)
+            self._timers.add(due_ns, timer)
             return
-        subject.awaited_timer = token  # nothing else is under way for it: this must be what it waits for
-        self._timers.add(due_ns, token, subject.id)
+        subject.awaited_timer = timer  # nothing else is under way for it: this must be what it waits for
+        self._timers.add(due_ns, timer, subject.id)
 
     def _start_attempt(self, request: PendingRequest, endpoint_id: int, now_ns: int, timeout_ns: int) -> None:
         number = len(request.attempts)
--- a/lugtally/dispatch/pending_request.py
+++ b/lugtally/dispatch/pending_request.py
@@ -6,6 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from lugtally import balancing
 from lugtally.dispatch.decision import Decision
 from lugtally.eventloop import Event, EventLoop
 
@@ -69,8 +70,8 @@
         self.in_flight: set[int] = set()
         self.submitted = False
         """Whether the balancer has been told of it."""
-        self.awaited_timer: str | None = None
-        """The token of the balancer's timer that it waits for, with nothing in flight."""
+        self.awaited_timer: balancing.Timer | None = None
+        """The balancer's timer that it waits for, with nothing in flight."""
         self.finished = False
         self.streaming_attempt = NO_ATTEMPT
         """The attempt whose response is passed on as it comes: the request is bound to it."""
--- a/lugtally/simulator/adapter.py
+++ b/lugtally/simulator/adapter.py
@@ -68,10 +68,10 @@
         endpoints = [] if failed else read_endpoints(self._endpoint_lists[message[2]])
         self._handle_event(message[1], balancing.EndpointUpdate(kind, endpoints))
 
-    def _handle_event(self, instance: int, event: balancing.Event) -> None:
+    def _handle_event(self, instance: int, event: balancing.Event | None) -> None:
         """Hand an event to its balancer; an exception inside the balancer is reported as its ``bug``."""
         balancer = self._balancers.get(instance)
-        if balancer is None:
+        if balancer is None or event is None:
             return
         try:
             for action in balancer.handle(self._now, event):
--- a/lugtally/simulator/wire.py
+++ b/lugtally/simulator/wire.py
@@ -38,6 +38,11 @@
     "NOP": balancing.AttemptResult.NEVER_SENT,
 }
 
+TIMER_TEXTS: dict[balancing.Timer, str] = {balancing.OverdueCheck(): "due", balancing.PollTimer(): "watch"}
+"""The texts of the timers that carry nothing."""
+RETRY_TIMER_PREFIX = "r"
+"""The text of a retry timer is this and the id of its request."""
+
 HEALTHY = "GOOD"
 CLIENT_RETRY_FLAG = 2
 
@@ -67,14 +72,32 @@
             return ["end_failed", instance, request_id]
         case balancing.CancelAttempt(request_id, attempt):
             return ["retract", instance, request_id, attempt]
-        case balancing.SetTimer(delay_ns, token):
-            return ["remind", instance, delay_ns, token]
+        case balancing.SetTimer(delay_ns, timer):
+            return ["remind", instance, delay_ns, write_timer(timer)]
         case balancing.CloseIdleConnections(endpoint_id):
             return ["free_links", instance, endpoint_id]
         case balancing.WatchEndpoints():
             return ["follow", instance, True]
 
 
+def write_timer(timer: balancing.Timer) -> str:
+    """Return the text that stands for a timer."""
+    if isinstance(timer, balancing.RetryTimer):
+        return RETRY_TIMER_PREFIX + timer.request_id
+    return TIMER_TEXTS[timer]
+
+
+def _read_timer(message: Message) -> balancing.Event | None:
+    """Translate ``timer``: its text; ``None`` for a text that no balancer sets."""
+    text = message[2]
+    for timer, timer_text in TIMER_TEXTS.items():
+        if text == timer_text:
+            return balancing.TimerFired(timer)
+    if text.startswith(RETRY_TIMER_PREFIX):
+        return balancing.TimerFired(balancing.RetryTimer(text.removeprefix(RETRY_TIMER_PREFIX)))
+    return None
+
+
 def _read_request(message: Message) -> balancing.Event:
     """Translate ``req``: request, class, tenant, (key), time left, (unused), flags from position 2 on."""
     is_retry = bool((message[8] or 0) & CLIENT_RETRY_FLAG)
@@ -95,13 +118,13 @@
     )
 
 
-EVENT_READERS: dict[str, Callable[[Message], balancing.Event]] = {
+EVENT_READERS: dict[str, Callable[[Message], balancing.Event | None]] = {
     "req": _read_request,
     "answer": _read_attempt_finished,
-    "timer": lambda message: balancing.TimerFired(message[2]),
+    "timer": _read_timer,
     "expired": lambda message: balancing.ClientDisconnected(message[2]),
     "first_byte": lambda message: balancing.ResponseStarted(message[2], message[3], message[4]),
     "health": lambda message: balancing.HealthCheckFinished(message[3], message[2] == HEALTHY),
     "message": lambda message: balancing.GossipReceived(message[2], message[3]),
 }
-"""How to read the events for one instance, which stands at position 1, by the name of the message."""
+"""Readers of the events for one instance, by the name of the message; ``None`` is ignored."""
--- a/lugtally/testbed/experiments/baselines.py
+++ b/lugtally/testbed/experiments/baselines.py
@@ -17,7 +17,6 @@
 MAX_RETRIES = 3
 ATTEMPT_SHARE = 0.5  # of the time left that an attempt gets where another may follow
 RETRY_LIST_DELAY_NS = 100 * NS_PER_MS
-RETRY_LIST_TIMER = "ask"
 RETRY = "+retry"
 RANDOM, ROUND_ROBIN, LEAST_IN_FLIGHT = "random", "round-robin", "least-in-flight"
 PICKS = (RANDOM, ROUND_ROBIN, LEAST_IN_FLIGHT)
@@ -81,7 +80,7 @@
 
     def _update_endpoints(self, event: balancing.EndpointUpdate) -> list[balancing.Action]:
         if event.kind is balancing.EndpointUpdateKind.FAILED:
-            return [balancing.SetTimer(RETRY_LIST_DELAY_NS, RETRY_LIST_TIMER)]
+            return [balancing.SetTimer(RETRY_LIST_DELAY_NS, balancing.PollTimer())]
         if event.kind is not balancing.EndpointUpdateKind.DELTA:
             self._endpoints = {}
         for endpoint in event.endpoints:
--- a/tests/balancing/fleet.py
+++ b/tests/balancing/fleet.py
@@ -160,7 +160,7 @@
             elif isinstance(action, balancing.FailRequest):
                 self._end(sidecar, action.request_id, RequestOutcome.FAILED)
             elif isinstance(action, balancing.SetTimer):
-                fired = balancing.TimerFired(action.token)
+                fired = balancing.TimerFired(action.timer)
                 self._schedule(action.delay_ns, lambda fired=fired: self._feed(sidecar, fired))  # type: ignore[misc]
             elif isinstance(action, balancing.CancelAttempt):
                 key = AttemptKey(sidecar, action.request_id, action.attempt)
--- a/tests/balancing/test_endpoint_list.py
+++ b/tests/balancing/test_endpoint_list.py
@@ -36,7 +36,7 @@
         for _ in range(60):
             world.timers.clear()
             world.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FAILED, []))
-            delays += [due_ns - world.now for due_ns, token in world.timers if token == "watch"]
+            delays += [due_ns - world.now for due_ns, timer in world.timers if timer == balancing.PollTimer()]
         assert len(delays) == 60
         assert 0.7 * max_backoff_ns < max(delays) <= max_backoff_ns
         assert len(set(delays)) > 50, "forty sidecars must not poll at the same moments"
--- a/tests/balancing/test_retries.py
+++ b/tests/balancing/test_retries.py
@@ -20,7 +20,9 @@
 def retry_delays_ns(actions: list[balancing.Action]) -> list[int]:
     """Return the delays of the retries among the actions."""
     return [
-        action.delay_ns for action in actions if isinstance(action, balancing.SetTimer) and action.token.startswith("r")
+        action.delay_ns
+        for action in actions
+        if isinstance(action, balancing.SetTimer) and isinstance(action.timer, balancing.RetryTimer)
     ]
 
 
--- a/tests/balancing/test_rules.py
+++ b/tests/balancing/test_rules.py
@@ -203,8 +203,8 @@
     world.send_request("a", time_left_ns=100 * NS_PER_MS)
     world.end("a", 0, balancing.AttemptResult.REJECTED)
     world.now += 105 * NS_PER_MS
-    for _, token in list(world.timers):
-        world.feed(balancing.TimerFired(token))
+    for _, timer in list(world.timers):
+        world.feed(balancing.TimerFired(timer))
     assert len(world.requests["a"].attempts) == 1
     assert world.requests["a"].final_answers == 1
 
--- a/tests/balancing/test_rules_random.py
+++ b/tests/balancing/test_rules_random.py
@@ -90,8 +90,8 @@
     """Deliver an event that names what the balancer does not know; it causes no send and no final answer."""
     events: list[balancing.Event] = [
         balancing.ClientDisconnected("nobody"),
-        balancing.TimerFired("rnobody"),
-        balancing.TimerFired("?"),
+        balancing.TimerFired(balancing.RetryTimer("nobody")),
+        balancing.TimerFired(balancing.RetryTimer("")),
         balancing.HealthCheckFinished(99, True),
         balancing.GossipReceived(1, "x"),
         balancing.ResponseStarted("nobody", 0, 1),
--- a/tests/balancing/world.py
+++ b/tests/balancing/world.py
@@ -91,7 +91,7 @@
         self.requests: dict[str, TrackedRequest] = {}
         self.endpoints: dict[int, balancing.Endpoint] = {}
         self.drained: set[int] = set()
-        self.timers: list[tuple[int, str]] = []  # when due, its token
+        self.timers: list[tuple[int, balancing.Timer]] = []  # when due
         self.sends: list[tuple[int, int]] = []  # when, to which endpoint
         self.actions: list[balancing.Action] = []
 
@@ -132,7 +132,7 @@
     def _check(self, action: balancing.Action) -> None:
         if isinstance(action, balancing.SetTimer):
             assert action.delay_ns >= 0
-            self.timers.append((self.now + action.delay_ns, action.token))
+            self.timers.append((self.now + action.delay_ns, action.timer))
         elif isinstance(action, balancing.SendAttempt):
             self._check_send(action)
         elif isinstance(action, balancing.RejectRequest | balancing.FailRequest):
@@ -211,8 +211,8 @@
             self.now += interval_ns
             due = [timer for timer in self.timers if timer[0] <= self.now]
             self.timers = [timer for timer in self.timers if timer[0] > self.now]
-            for _, token in due:
-                self.feed(balancing.TimerFired(token))
+            for _, timer in due:
+                self.feed(balancing.TimerFired(timer))
             for name, request in list(self.requests.items()):
                 for index, attempt in enumerate(request.attempts):
                     if attempt.is_open and self.now >= request.deadline_ns and not request.streaming:
--- a/tests/dispatch/test_balancer_faults.py
+++ b/tests/dispatch/test_balancer_faults.py
@@ -212,14 +212,14 @@
 
 
 def test_of_requests_in_backoff_only_the_one_whose_timer_it_failed_on_is_answered(fixture: Fixture) -> None:
-    """Its token names the request to the balancer alone."""
+    """The other request still waits for a timer of its own."""
 
     def decide(event: balancing.Event) -> list[balancing.Action]:
         if isinstance(event, balancing.Request):
             return [balancing.SendAttempt(event.id, 7, event.time_left_ns)]
         if isinstance(event, balancing.AttemptFinished):
-            return [balancing.SetTimer(NS_PER_MS * int(event.request_id), f"again {event.request_id}")]
-        if event == balancing.TimerFired("again 1"):
+            return [balancing.SetTimer(NS_PER_MS * int(event.request_id), balancing.RetryTimer(event.request_id))]
+        if event == balancing.TimerFired(balancing.RetryTimer("1")):
             raise RuntimeError
         return [balancing.RejectRequest("2", 5)]
 
@@ -240,7 +240,10 @@
 
     def decide(event: balancing.Event) -> list[balancing.Action]:
         if isinstance(event, balancing.Request):
-            return [balancing.SendAttempt(event.id, 7, event.time_left_ns), balancing.SetTimer(1, "overdue")]
+            return [
+                balancing.SendAttempt(event.id, 7, event.time_left_ns),
+                balancing.SetTimer(1, balancing.OverdueCheck()),
+            ]
         if isinstance(event, balancing.TimerFired):
             raise RuntimeError
         return []
@@ -266,7 +269,7 @@
 
     def decide(event: balancing.Event) -> list[balancing.Action]:
         if isinstance(event, balancing.EndpointUpdate):
-            return [balancing.SetTimer(1, "watch")]
+            return [balancing.SetTimer(1, balancing.PollTimer())]
         if fixture.balancer.events.count(event) < 3:
             raise RuntimeError
         return [balancing.WatchEndpoints()]
--- a/tests/races/test_after_end.py
+++ b/tests/races/test_after_end.py
@@ -88,10 +88,10 @@
 
     def decide(event: balancing.Event) -> list[balancing.Action]:
         if isinstance(event, balancing.AttemptFinished) and event.attempt == 0:
-            return [balancing.SetTimer(NS_PER_MS, event.request_id)]
-        if isinstance(event, balancing.TimerFired):
+            return [balancing.SetTimer(NS_PER_MS, balancing.RetryTimer(event.request_id))]
+        if isinstance(event, balancing.TimerFired) and isinstance(event.timer, balancing.RetryTimer):
             end_time_left(sidecar)
-            return [balancing.SendAttempt(event.token, ENDPOINT_A, LONG_NS)]
+            return [balancing.SendAttempt(event.timer.request_id, ENDPOINT_A, LONG_NS)]
         return send_to_endpoint(event)
 
     def script() -> None:
@@ -176,10 +176,10 @@
 
     def decide(event: balancing.Event) -> list[balancing.Action]:
         if isinstance(event, balancing.AttemptFinished) and event.attempt == 0:
-            return [balancing.SetTimer(NS_PER_MS, event.request_id)]
-        if isinstance(event, balancing.TimerFired):
+            return [balancing.SetTimer(NS_PER_MS, balancing.RetryTimer(event.request_id))]
+        if isinstance(event, balancing.TimerFired) and isinstance(event.timer, balancing.RetryTimer):
             leave(clients[0].sock, how)  # since the loop's last poll
-            return [balancing.SendAttempt(event.token, ENDPOINT_A, LONG_NS)]
+            return [balancing.SendAttempt(event.timer.request_id, ENDPOINT_A, LONG_NS)]
         return send_to_endpoint(event)
 
     def script() -> None:
--- a/tests/races/test_attempts.py
+++ b/tests/races/test_attempts.py
@@ -136,9 +136,9 @@
             if isinstance(event, balancing.Request):
                 return [balancing.SendAttempt(event.id, ENDPOINT_A, event.time_left_ns)]
             if isinstance(event, balancing.AttemptFinished):
-                return [balancing.SetTimer(1, "again " + event.request_id)]
-            if isinstance(event, balancing.TimerFired):
-                return [balancing.SendAttempt(event.token.split()[1], ENDPOINT_A, NS_PER_S)]
+                return [balancing.SetTimer(1, balancing.RetryTimer(event.request_id))]
+            if isinstance(event, balancing.TimerFired) and isinstance(event.timer, balancing.RetryTimer):
+                return [balancing.SendAttempt(event.timer.request_id, ENDPOINT_A, NS_PER_S)]
             return []
 
         client = sidecar.client(sidecar.listen_with_one_endpoint())
@@ -278,8 +278,8 @@
         for action in balancer.handle(
             NS_PER_S, balancing.AttemptFinished("q", 0, endpoint_id, balancing.AttemptResult.RESET, False, NS_PER_S)
         )
-        if isinstance(action, balancing.SetTimer) and action.token == "rq"
+        if isinstance(action, balancing.SetTimer) and action.timer == balancing.RetryTimer("q")
     )
-    sent_attempt(balancer.handle(NS_PER_S + timer.delay_ns, balancing.TimerFired(timer.token)))
+    sent_attempt(balancer.handle(NS_PER_S + timer.delay_ns, balancing.TimerFired(timer.timer)))
     assert balancer.may_start(window_ns + 1, "q", 1)
     assert not balancer.may_start(window_ns + 2, "q", 1)
