--- a/Makefile
+++ b/Makefile
@@ -6,12 +6,11 @@
 rehearse: .venv/kit.txt
 	@.venv/bin/python -m lugtally rehearse run short --html rehearsal.html
 
-# Format, lint, types, the decision module's size, and all tests.
+# Format, lint, types and all tests.
 test: .venv/kit.txt
 	.venv/bin/ruff format --check .
 	.venv/bin/ruff check .
 	.venv/bin/mypy
-	.venv/bin/python tests/size.py
 	.venv/bin/python -m pytest
 
 .venv/kit.txt: pyproject.toml
--- /dev/null
+++ b/lugtally/balancing/attempts.py
@@ -0,0 +1,109 @@
+"""The attempts in flight of one balancer."""
+
+from __future__ import annotations
+
+from lugtally.balancing.attempt_id import AttemptId
+from lugtally.balancing.endpoint import EndpointStats
+from lugtally.balancing.events import AttemptFinished, AttemptResult
+from lugtally.balancing.request import RequestState
+
+
+class InFlightAttempt:
+    """An attempt in flight."""
+
+    __slots__ = (
+        "endpoint",
+        "class_index",
+        "request_class",
+        "sent_ns",
+        "endpoint_started_ns",
+        "was_only_one",
+        "unused_ns",
+        "is_overdue",
+        "is_lost",
+        "result",
+        "duration_ns",
+        "load_report",
+    )
+
+    def __init__(self, endpoint: EndpointStats, request: RequestState, sent_ns: int, unused_ns: int) -> None:
+        self.endpoint = endpoint
+        self.class_index = request.class_index
+        self.request_class = request.request_class
+        self.sent_ns = sent_ns
+        self.endpoint_started_ns = endpoint.started_ns
+        self.was_only_one = not endpoint.in_flight
+        """Whether no other own attempt was in flight at the endpoint when this one was sent."""
+        self.unused_ns = unused_ns
+        """How long its connection had been unused; 0: a new connection."""
+        self.is_overdue = False
+        self.is_lost = False
+        """Whether its response is considered lost."""
+        self.result = AttemptResult.CANCELLED
+        """Its result, provisional while it is overdue; with ``duration_ns`` valid from then on."""
+        self.duration_ns = 0
+        self.load_report: tuple[float, ...] | None = None
+
+
+class InFlightAttempts:
+    """The attempts in flight by their ids; keeps the sets of the endpoints in step."""
+
+    def __init__(self) -> None:
+        self.by_id: dict[AttemptId, InFlightAttempt] = {}
+        self.lost_responses = 0
+        """Number of attempts whose response is considered lost."""
+
+    def __len__(self) -> int:
+        return len(self.by_id)
+
+    @property
+    def active(self) -> int:
+        """Number of attempts in flight that endpoints presumably work on."""
+        return len(self.by_id) - self.lost_responses
+
+    def start(self, now_ns: int, request: RequestState, endpoint: EndpointStats, unused_ns: int) -> AttemptId:
+        """Record that an attempt is sent; return its id."""
+        attempt_id = request.add_attempt(now_ns, endpoint)
+        self.by_id[attempt_id] = InFlightAttempt(endpoint, request, now_ns, unused_ns)
+        endpoint.in_flight[attempt_id] = now_ns
+        return attempt_id
+
+    def mark_lost(self, attempt: InFlightAttempt) -> None:
+        """Record that the response of an attempt is considered lost."""
+        attempt.is_lost = True
+        attempt.endpoint.lost_responses += 1
+        self.lost_responses += 1
+
+    def finish(self, event: AttemptFinished) -> InFlightAttempt | None:
+        """Record that an attempt has finished; return it, ``None`` if it was not in flight."""
+        attempt_id = AttemptId(event.request_id, event.attempt)
+        return self._remove(attempt_id, event.result, event.duration_ns, event.load_report)
+
+    def finish_streaming(self, now_ns: int, attempt_id: AttemptId) -> InFlightAttempt | None:
+        """Record that an attempt's response began to stream; return it, ``None`` if it was not in flight.
+
+        The endpoint has responded; the rest is sent at the client's speed and is no load of the endpoint.
+        """
+        attempt = self.by_id.get(attempt_id)
+        if attempt is None:
+            return None
+        return self._remove(attempt_id, AttemptResult.OK, now_ns - attempt.sent_ns, None)
+
+    def _remove(
+        self,
+        attempt_id: AttemptId,
+        result: AttemptResult,
+        duration_ns: int,
+        load_report: tuple[float, ...] | None,
+    ) -> InFlightAttempt | None:
+        attempt = self.by_id.pop(attempt_id, None)
+        if attempt is None:
+            return None
+        attempt.result = result
+        attempt.duration_ns = duration_ns
+        attempt.load_report = load_report
+        attempt.endpoint.in_flight.pop(attempt_id, None)
+        if attempt.is_lost:
+            attempt.endpoint.lost_responses -= 1
+            self.lost_responses -= 1
+        return attempt
--- a/lugtally/balancing/concurrency_limit.py
+++ b/lugtally/balancing/concurrency_limit.py
@@ -1,87 +1,98 @@
-"""Limits on own requests in flight, by Little's law and a quota (docs/design.md, "Concurrency limits")."""
+"""Limits on own requests in flight, by Little's law (docs/design.md, "Concurrency limits")."""
 
-from math import exp
+from __future__ import annotations
 
+from lugtally.balancing.attempts import InFlightAttempt
 from lugtally.balancing.events import AttemptResult
-from lugtally.balancing.records import BalancerState, InFlightAttempt
-from lugtally.units import NS_PER_MS, NS_PER_S
+from lugtally.balancing.fleet_quota import FleetQuota
+from lugtally.balancing.latency import LatencyTracker
+from lugtally.balancing.settings import Settings
+from lugtally.balancing.subset import Subset
+from lugtally.units import NS_PER_MS
 
-REFRESH_INTERVAL_NS = 250 * NS_PER_MS  # how often weights and limits are drawn up anew
-MIN_UPDATES = 4  # before the throughput estimate is used
-LIMIT_RATIO = 1.8  # the limit, as a multiple of what is in flight at the edge of congestion
-DEVIATIONS = 3.0  # deviations of chance in flight that the limit leaves free
+UPDATE_INTERVAL_NS = 250 * NS_PER_MS
+"""Shortest time between two updates of limits."""
+MIN_UPDATES = 4
+"""Updates before the throughput estimate is used."""
+START_LIMIT_PER_MEMBER = 2.0
+"""The limit until then, for each member: the clients of a restart come all at once."""
+MIN_START_MEMBERS = 4
+"""Least number of members that this limit counts."""
+THROUGHPUT_SMOOTHING = 0.3
+"""Weight of the newest interval in the throughput estimate."""
+LIMIT_RATIO = 1.8
+"""The limit as a multiple of what is in flight at the edge of congestion."""
+HEADROOM_SHARE = 6
+"""The edge of congestion is at least the number of baselines in the tightest objective, divided by this."""
+DEVIATIONS = 3.0
+"""Standard deviations of the number in flight that the limit leaves free: few requests vary by chance."""
 MIN_LIMIT = 4.0
+"""Lowest limit on own requests in flight."""
+MIN_LIMIT_PER_ENDPOINT = 4
+"""Lowest limit on the requests in flight of the fleet for each member."""
 MAX_ENDPOINT_LIMIT = 64.0
-FLEET_LIMIT = 3.5  # requests that all balancers together let an endpoint hold, by its report, at first
-SHARE_DECAY_NS = 5 * NS_PER_S  # how fast what was seen of our share of these fades
-PROMPT_SHARE = 0.25  # part of the objective within which a response shows that endpoints could hold more
-MIN_RISE_PER_S = 0.01  # how fast the smallest of these parts rises
-MAX_REPORT_AGE_NS = 2 * NS_PER_S
+"""Highest limit on own requests in flight at one endpoint."""
+LATE_BATCH_FACTOR = 0.8
+"""Factor by which an endpoint's limit falls after late responses."""
 CONGESTION_RESULTS = (AttemptResult.OK, AttemptResult.TIMEOUT, AttemptResult.REJECTED)
+"""Results that show congestion where the endpoint is slow."""
 
 
-def traffic_share(state: BalancerState) -> float:
-    """Return our part of the fleet's traffic, 0 if unknown."""
-    own_load, fleet_load = state.concurrency.own_load, state.concurrency.fleet_load
-    return own_load / fleet_load / max(1, len(state.usable)) if fleet_load else 0.0
+class ConcurrencyLimiter:
+    """The limit on all own requests in flight, and those at single endpoints."""
 
+    def __init__(
+        self, settings: Settings, subset: Subset, latency: LatencyTracker, quota: FleetQuota
+    ) -> None:
+        self._settings = settings
+        self._subset = subset
+        self._latency = latency
+        self._quota = quota
+        self._updates = 0
+        self._work_done_ns = 0.0
+        """Sum of the baselines of the responses since the last update."""
+        self._throughput = 0.0
+        """Work done a nanosecond, smoothed; by Little's law the number in flight if none queue."""
+        self.limit = MIN_LIMIT
+        """Highest number of own requests in flight."""
 
-def record_response(state: BalancerState, attempt: InFlightAttempt, baseline_ns: float) -> None:
-    """Count the work that a good response has done."""
-    concurrency = state.concurrency
-    concurrency.work_done += baseline_ns
-    share = attempt.took_ns / attempt.request_class.latency_objective_ns
-    concurrency.objective_share += 0.02 * (share - concurrency.objective_share)
+    def record_response(self, attempt: InFlightAttempt, baseline_ns: float) -> None:
+        """Count the work that a good response has done."""
+        self._work_done_ns += baseline_ns
+        self._quota.record_response(attempt)
 
+    def adjust_endpoint_limit(self, now_ns: int, attempt: InFlightAttempt) -> None:
+        """Raise an endpoint's limit while its responses are prompt; lower it once for each late batch."""
+        endpoint = attempt.endpoint
+        limit = endpoint.concurrency_limit
+        if attempt.result is AttemptResult.OK and endpoint.slowness < self._latency.congested_ratio:
+            is_used = len(endpoint.in_flight) + 1 >= limit / 2
+            if is_used:
+                endpoint.concurrency_limit = min(MAX_ENDPOINT_LIMIT, limit + 1 / limit)
+        elif attempt.result in CONGESTION_RESULTS:
+            sent_after_last_fall = now_ns - attempt.duration_ns >= endpoint.limit_lowered_ns
+            if sent_after_last_fall:
+                endpoint.limit_lowered_ns = now_ns
+                endpoint.concurrency_limit = max(1.0, limit * LATE_BATCH_FACTOR)
 
-def adjust_endpoint_limit(state: BalancerState, now: int, attempt: InFlightAttempt) -> None:
-    """Raise an endpoint's own limit while its responses are soon; lower it once for each late batch."""
-    endpoint, result, limit = attempt.endpoint, attempt.result, attempt.endpoint.concurrency_limit
-    if result is AttemptResult.OK and endpoint.slowness < state.latency.congested_at:
-        if len(endpoint.in_flight) + 1 >= limit / 2:
-            endpoint.concurrency_limit = min(MAX_ENDPOINT_LIMIT, limit + 1 / limit)
-    elif result in CONGESTION_RESULTS and now - attempt.took_ns >= endpoint.limit_lowered_ns:
-        endpoint.limit_lowered_ns = now
-        endpoint.concurrency_limit = max(1.0, limit * 0.8)
+    def update(self, now_ns: int, elapsed_ns: int) -> None:
+        """Recompute the limit from the work done in the ``elapsed_ns`` since the last update."""
+        self._updates += 1
+        newest_weight = min(1.0, THROUGHPUT_SMOOTHING * elapsed_ns / UPDATE_INTERVAL_NS)
+        weight = max(newest_weight, 1 / self._updates)
+        self._throughput += weight * (self._work_done_ns / elapsed_ns - self._throughput)
+        self._work_done_ns = 0.0
+        if self._updates > MIN_UPDATES:
+            self.limit = min(self._limit_by_throughput(), self._quota.update(now_ns, elapsed_ns))
 
+    def use_start_limit(self) -> None:
+        """Set a generous limit until the throughput is known."""
+        if self._updates <= MIN_UPDATES:
+            self.limit = START_LIMIT_PER_MEMBER * max(MIN_START_MEMBERS, len(self._subset.members))
 
-def allow_start(state: BalancerState) -> None:
-    """After our own restart the pace is unknown, and the clients of the pause come all at once."""
-    if state.concurrency.updates <= MIN_UPDATES:
-        state.concurrency.limit = 2.0 * max(4, len(state.subset.members))
-
-
-def update_limit(state: BalancerState, now: int, elapsed_ns: int) -> None:
-    """Draw up the limit from what was done since the last update."""
-    concurrency, latency = state.concurrency, state.latency
-    concurrency.updates += 1
-    weight = max(min(1.0, 0.3 * elapsed_ns / REFRESH_INTERVAL_NS), 1 / concurrency.updates)
-    concurrency.throughput += weight * (concurrency.work_done / elapsed_ns - concurrency.throughput)
-    concurrency.work_done = 0.0
-    if concurrency.updates > MIN_UPDATES:
-        floor = max(MIN_LIMIT, 4 * len(state.subset.members) / state.settings.fleet_size)
-        # Few requests in flight scatter by as much as their number.
-        edge = LIMIT_RATIO * max(latency.congested_at, latency.headroom / 6) * concurrency.throughput
-        concurrency.limit = max(floor, edge + DEVIATIONS * concurrency.throughput**0.5)
-        _apply_fleet_quota(state, now, elapsed_ns)
-
-
-def _apply_fleet_quota(state: BalancerState, now: int, elapsed_ns: int) -> None:
-    """Hold the limit to our part of what all endpoints should hold together, by their reports."""
-    concurrency, oldest_ns = state.concurrency, now - MAX_REPORT_AGE_NS
-    recent = [m for m in state.subset.members if m.load_estimated_ns and m.load_estimated_ns > oldest_ns]
-    if not state.latency.reports_seen or not recent:
-        return
-    load, decay = sum(m.reported_load for m in recent) / len(recent), exp(-elapsed_ns / SHARE_DECAY_NS)
-    concurrency.own_load = decay * concurrency.own_load + len(state.attempts) * elapsed_ns
-    concurrency.fleet_load = decay * concurrency.fleet_load + load * elapsed_ns
-    share, min_share = concurrency.objective_share, concurrency.min_objective_share
-    min_share = min(share, min_share * (1 + MIN_RISE_PER_S * elapsed_ns / NS_PER_S)) if min_share else share
-    concurrency.min_objective_share = min_share
-    if load > 0.7 * concurrency.fleet_limit:  # endpoints of many cores may hold more
-        rise = 0.4 if share < min(PROMPT_SHARE, 1.6 * min_share) else -0.4
-        risen = concurrency.fleet_limit * (1 + rise * elapsed_ns / NS_PER_S)
-        concurrency.fleet_limit = max(FLEET_LIMIT, risen)
-    quota = concurrency.fleet_limit * concurrency.own_load / max(1.0, concurrency.fleet_load) + 1.0
-    slack = max(1.0, 0.75 * concurrency.fleet_limit / max(0.1, load))
-    concurrency.limit = min(concurrency.limit, max(2.0, quota * slack))
+    def _limit_by_throughput(self) -> float:
+        floor = max(MIN_LIMIT, MIN_LIMIT_PER_ENDPOINT * len(self._subset.members) / self._settings.fleet_size)
+        edge_ratio = max(self._latency.congested_ratio, self._latency.headroom / HEADROOM_SHARE)
+        edge = LIMIT_RATIO * edge_ratio * self._throughput
+        deviation: float = self._throughput**0.5  # math.sqrt may round the last bit differently
+        return max(floor, edge + DEVIATIONS * deviation)
--- /dev/null
+++ b/lugtally/balancing/overdue_attempts.py
@@ -0,0 +1,106 @@
+"""Overdue attempts: those in flight for longer than a part of their latency objective are judged.
+
+Their response is lost, their endpoint is slow, or it does not respond at all (docs/design.md, "Outlier
+detection").
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+from lugtally.balancing.actions import Action, SetTimer
+from lugtally.balancing.admission import AdmissionControl
+from lugtally.balancing.attempt_id import AttemptId
+from lugtally.balancing.attempts import InFlightAttempt, InFlightAttempts
+from lugtally.balancing.deadline_queue import DeadlineQueue
+from lugtally.balancing.events import AttemptResult
+from lugtally.balancing.latency import LatencyTracker
+from lugtally.balancing.outlier_detection import OutlierDetector
+from lugtally.balancing.request import RequestState
+from lugtally.balancing.stale_connections import StaleConnectionDetector
+from lugtally.balancing.timers import OverdueCheck
+
+OVERDUE_SHARE = 0.5
+"""Part of the latency objective after which an attempt without a response is overdue."""
+SILENT_RATIO = 3.0
+"""Expected response times without any response after which an endpoint counts as silent."""
+HEDGING_FAILURES = 2
+"""More failures in a row than this make the endpoint of an overdue attempt unlikely to respond."""
+NO_TIMER = 0
+
+
+class OverdueMonitor:
+    """The attempts that may become overdue, and the one timer for the first of them."""
+
+    def __init__(
+        self,
+        attempts: InFlightAttempts,
+        latency: LatencyTracker,
+        admission: AdmissionControl,
+        outliers: OutlierDetector,
+        stale_connections: StaleConnectionDetector,
+    ) -> None:
+        self._attempts = attempts
+        self._latency = latency
+        self._admission = admission
+        self._outliers = outliers
+        self._stale_connections = stale_connections
+        self._queue = DeadlineQueue()
+        self._timer_due_ns = NO_TIMER
+
+    def watch(self, now_ns: int, request: RequestState, attempt_id: AttemptId) -> list[Action]:
+        """Watch an attempt that is sent at ``now_ns``."""
+        patience_ns = int(request.request_class.latency_objective_ns * OVERDUE_SHARE)
+        self._queue.push(now_ns + patience_ns, attempt_id)
+        return self.set_timer(now_ns)
+
+    def set_timer(self, now_ns: int) -> list[Action]:
+        """Set the timer, unless it is set or nothing is in flight."""
+        due_ns = self._queue.next_due_ns(self._attempts.by_id)
+        if due_ns is None or (self._timer_due_ns != NO_TIMER and due_ns >= self._timer_due_ns):
+            return []
+        self._timer_due_ns = due_ns
+        return [SetTimer(max(1, due_ns - now_ns), OverdueCheck())]
+
+    def is_due(self, now_ns: int) -> bool:
+        """Return whether a timer that fires at ``now_ns`` is the one that was set last."""
+        return now_ns >= self._timer_due_ns
+
+    def check(self, now_ns: int) -> Iterator[AttemptId]:
+        """Judge what is overdue; yield each attempt to replace or hedge before judging the next."""
+        self._timer_due_ns = NO_TIMER
+        while (attempt_id := self._queue.pop_due(now_ns)) is not None:
+            attempt = self._attempts.by_id.get(attempt_id)
+            if attempt is not None and self._judge(now_ns, attempt):
+                yield attempt_id
+
+    def _judge(self, now_ns: int, attempt: InFlightAttempt) -> bool:
+        """Learn from an overdue attempt; return whether to send its request elsewhere."""
+        responded_since = attempt.endpoint.last_response_ns >= attempt.sent_ns
+        if responded_since and attempt.endpoint.slowness < self._latency.prompt_ratio:
+            self._attempts.mark_lost(attempt)  # later requests had prompt responses there: nothing queues
+            return False
+        if not attempt.is_overdue:
+            self._record_timeout(now_ns, attempt)
+        return not responded_since and self._judge_silence(now_ns, attempt)
+
+    def _record_timeout(self, now_ns: int, attempt: InFlightAttempt) -> None:
+        attempt.result = AttemptResult.TIMEOUT
+        attempt.duration_ns = now_ns - attempt.sent_ns
+        self._admission.record_outcome(now_ns, attempt)
+        attempt.is_overdue = True
+
+    def _judge_silence(self, now_ns: int, attempt: InFlightAttempt) -> bool:
+        """Learn from an endpoint without a response since the attempt; return whether to send elsewhere."""
+        self._stale_connections.record_silence(attempt)
+        may_be_slow = now_ns < attempt.sent_ns + self._silence_ns(attempt)
+        if may_be_slow and not self._stale_connections.is_suspecting:
+            return False
+        self._outliers.record_failure(now_ns, attempt.endpoint)
+        fails_repeatedly = attempt.endpoint.consecutive_failures > HEDGING_FAILURES
+        return self._stale_connections.is_suspecting or fails_repeatedly
+
+    def _silence_ns(self, attempt: InFlightAttempt) -> int:
+        """Return how long an endpoint may take before it counts as silent."""
+        expected_ns = self._latency.baseline_ns(attempt.class_index) * max(1.0, attempt.endpoint.slowness)
+        return int(SILENT_RATIO * expected_ns)
--- a/lugtally/balancing/priority.py
+++ b/lugtally/balancing/priority.py
@@ -1,43 +1,95 @@
-"""Priority: what a response brings for its work, by class and tenant (docs/design.md, "Priority")."""
+"""Relative priority by class and tenant: the value of a response for the work that it takes.
+
+The reasons are in docs/design.md, "Priority".
+"""
+
+from __future__ import annotations
 
 from math import exp
+from typing import NamedTuple
 
-from lugtally.balancing.records import BalancerState, RequestState
+from lugtally.balancing.latency import LatencyTracker
+from lugtally.balancing.request import RequestState
+from lugtally.balancing.settings import Settings
 from lugtally.units import NS_PER_S
 
-DEMAND_DECAY_NS = 5 * NS_PER_S  # how fast the demand seen fades
+DEMAND_DECAY_NS = 5 * NS_PER_S
+"""Time in which the demand seen decays to 1/e."""
 MIN_DEMAND = 0.01
-WITHIN_QUOTA = -1  # in place of a tenant: any within its quota
-
-
-def record_demand(state: BalancerState, key: tuple[int, int]) -> None:
-    """Count a first attempt by class and tenant."""
-    state.priority.demand[key] = state.priority.demand.get(key, 0.0) + 1
-
-
-def relative_priority(state: BalancerState, request: RequestState) -> float:
-    """Return a request's relative priority; its class's where no more is known."""
-    relative, index = state.priority.relative, request.class_index
-    return relative.get((index, request.tenant_index), relative.get((index, WITHIN_QUOTA), 0.0))
-
-
-def update_priorities(state: BalancerState, elapsed_ns: int, traffic_share: float) -> None:
-    """Derive the priorities; ``traffic_share``: our part of the fleet's traffic, 0 if unknown."""
-    settings, decay = state.settings, exp(-elapsed_ns / DEMAND_DECAY_NS)
-    demand = {key: n * decay for key, n in state.priority.demand.items() if n * decay > MIN_DEMAND}
-    absolute = {
-        (index, WITHIN_QUOTA): settings.request_class(index).priority_weight / max(1.0, baseline_ns)
-        for index, baseline_ns in state.latency.baseline_ns.items()
-    }
-    highest = max(absolute.values(), default=0.0) or 1.0
-    # Of whole priorities alone: by what is past a quota, one rare kind would shield all others.
-    state.priority.lowest = min(absolute.values(), default=highest) / highest
-    for index, tenant in demand:
-        quota = settings.tenants[tenant].quota_per_s if 0 <= tenant < len(settings.tenants) else 0.0
-        if quota and traffic_share and (index, WITHIN_QUOTA) in absolute:
-            seen = sum(n for (_, other), n in demand.items() if other == tenant)
-            within = min(1.0, quota * traffic_share * DEMAND_DECAY_NS / NS_PER_S / seen)
-            factor = within + (1 - within) * settings.over_quota_weight
-            absolute[index, tenant] = absolute[index, WITHIN_QUOTA] * factor
-    state.priority.demand = demand
-    state.priority.relative = {key: value / highest for key, value in absolute.items()}
+"""Demand, in requests, below which a class and tenant are forgotten."""
+WITHIN_QUOTA = -1
+"""In place of a tenant: any tenant within its quota."""
+
+
+class TrafficKey(NamedTuple):
+    """A class and a tenant, by their positions in the settings."""
+
+    class_index: int
+    tenant_index: int
+
+
+class PriorityTracker:
+    """The priorities relative to the highest, and the demand by which tenants exceed their quotas."""
+
+    def __init__(self, settings: Settings, latency: LatencyTracker) -> None:
+        self._settings = settings
+        self._latency = latency
+        self._relative: dict[TrafficKey, float] = {}
+        self.lowest = 1.0
+        """The lowest relative priority within quotas."""
+        self.demand: dict[TrafficKey, float] = {}
+        """Number of first attempts by class and tenant, decaying."""
+
+    def record_demand(self, class_index: int, tenant_index: int) -> None:
+        """Count a request that is no retry of a client."""
+        key = TrafficKey(class_index, tenant_index)
+        self.demand[key] = self.demand.get(key, 0.0) + 1
+
+    def relative_priority(self, request: RequestState) -> float:
+        """Return the priority of a request from 0 to 1; of its class where its tenant is not known."""
+        index = request.class_index
+        of_class = self._relative.get(TrafficKey(index, WITHIN_QUOTA), 0.0)
+        return self._relative.get(TrafficKey(index, request.tenant_index), of_class)
+
+    def update(self, elapsed_ns: int, traffic_share: float) -> None:
+        """Recompute the priorities.
+
+        ``traffic_share`` is this balancer's part of the fleet's traffic, 0 if unknown.
+        """
+        self._decay_demand(elapsed_ns)
+        absolute = {
+            TrafficKey(index, WITHIN_QUOTA): self._class_priority(index, baseline_ns)
+            for index, baseline_ns in self._latency.baselines_ns.items()
+        }
+        highest = max(absolute.values(), default=0.0) or 1.0
+        # Only priorities within quotas count: one rare class beyond its quota would shield all others.
+        self.lowest = min(absolute.values(), default=highest) / highest
+        if traffic_share:
+            self._add_tenants(absolute, traffic_share)
+        self._relative = {key: priority / highest for key, priority in absolute.items()}
+
+    def _decay_demand(self, elapsed_ns: int) -> None:
+        decay = exp(-elapsed_ns / DEMAND_DECAY_NS)
+        self.demand = {key: count * decay for key, count in self.demand.items() if count * decay > MIN_DEMAND}
+
+    def _class_priority(self, class_index: int, baseline_ns: float) -> float:
+        return self._settings.request_class(class_index).priority_weight / max(1.0, baseline_ns)
+
+    def _add_tenants(self, absolute: dict[TrafficKey, float], traffic_share: float) -> None:
+        """Add the priority of each class and tenant with a quota, lower where demand exceeds the quota."""
+        for key in self.demand:
+            quota_per_s = self._quota_per_s(key.tenant_index)
+            class_key = TrafficKey(key.class_index, WITHIN_QUOTA)
+            if not quota_per_s or class_key not in absolute:
+                continue
+            demand = sum(
+                count for other, count in self.demand.items() if other.tenant_index == key.tenant_index
+            )
+            within = min(1.0, quota_per_s * traffic_share * DEMAND_DECAY_NS / NS_PER_S / demand)
+            factor = within + (1 - within) * self._settings.over_quota_weight
+            absolute[key] = absolute[class_key] * factor
+
+    def _quota_per_s(self, tenant_index: int) -> float:
+        """Return the quota of a tenant, 0 where it has none or is unknown."""
+        tenants = self._settings.tenants
+        return tenants[tenant_index].quota_per_s if 0 <= tenant_index < len(tenants) else 0.0
--- /dev/null
+++ b/lugtally/balancing/request.py
@@ -0,0 +1,83 @@
+"""What a balancer knows of one request that still needs its final answer."""
+
+from __future__ import annotations
+
+from lugtally.balancing.attempt_id import AttemptId
+from lugtally.balancing.endpoint import EndpointStats
+from lugtally.balancing.events import Request
+from lugtally.balancing.settings import DeduplicationScope, Idempotency, Settings
+
+SHARED_DOMAIN = 0
+"""The deduplication domain of a request whose key all endpoints know."""
+
+
+class RequestState:
+    """A request without a final answer."""
+
+    __slots__ = (
+        "id",
+        "class_index",
+        "request_class",
+        "tenant_index",
+        "deadline_ns",
+        "endpoint_ids",
+        "in_flight",
+        "first_sent_ns",
+        "first_domain",
+        "may_have_run",
+        "retries",
+        "awaiting_retry",
+        "streaming",
+    )
+
+    def __init__(self, event: Request, settings: Settings, now_ns: int) -> None:
+        self.id, self.class_index, self.tenant_index = event.id, event.class_index, event.tenant_index
+        self.request_class = settings.request_class(event.class_index)
+        self.deadline_ns = now_ns + event.time_left_ns
+        self.endpoint_ids: list[int] = []
+        """The endpoint of each attempt, by the attempt's number."""
+        self.in_flight: set[int] = set()
+        """Numbers of the attempts in flight."""
+        self.first_sent_ns = 0
+        """Instant of the first of the attempts in ``may_have_run``."""
+        self.first_domain = -1
+        """Deduplication domain of the first of the attempts in ``may_have_run``."""
+        self.may_have_run: set[int] = set()
+        """Numbers of the attempts that an endpoint may have processed."""
+        self.retries = 0
+        self.awaiting_retry = False
+        self.streaming = False
+        """Whether the client receives a streamed response: no other attempt or answer may follow."""
+
+    @property
+    def is_keyed(self) -> bool:
+        """Whether endpoints deduplicate the request by an idempotency key."""
+        return self.request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
+
+    @property
+    def may_repeat_freely(self) -> bool:
+        """Whether a repeat is safe at any endpoint and any time."""
+        return not self.may_have_run or self.request_class.idempotency is Idempotency.IDEMPOTENT
+
+    @property
+    def deduplication_ends_ns(self) -> int:
+        """Instant until which endpoints recognise a repeat by its key."""
+        return self.first_sent_ns + self.request_class.deduplication_window_ns
+
+    def deduplication_domain(self, endpoint: EndpointStats) -> int:
+        """Return the number of the domain that drops duplicates of this request at an endpoint."""
+        scope = self.request_class.deduplication_scope
+        if scope is DeduplicationScope.ALL:
+            return SHARED_DOMAIN
+        return endpoint.zone if scope is DeduplicationScope.ZONE else endpoint.cell
+
+    def add_attempt(self, now_ns: int, endpoint: EndpointStats) -> AttemptId:
+        """Record an attempt that is sent at ``now_ns``; return its id."""
+        number = len(self.endpoint_ids)
+        self.endpoint_ids.append(endpoint.id)
+        self.in_flight.add(number)
+        if not self.may_have_run:
+            self.first_sent_ns = now_ns
+            self.first_domain = self.deduplication_domain(endpoint)
+        self.may_have_run.add(number)
+        return AttemptId(self.id, number)
--- a/lugtally/balancing/stale_connections.py
+++ b/lugtally/balancing/stale_connections.py
@@ -1,37 +1,62 @@
-"""Stale connections: they may die unseen while unused; docs/design.md, "Stale connections"."""
+"""Stale connections: idle connections that the other side has dropped without notice.
 
-from lugtally.balancing.records import BalancerState, InFlightAttempt
+The reasons are in docs/design.md, "Stale connections".
+"""
+
+from __future__ import annotations
+
+from random import Random
+
+from lugtally.balancing.attempts import InFlightAttempt
 from lugtally.units import NS_PER_S
 
-MIN_UNUSED_NS = NS_PER_S // 2  # a connection unused for longer may have died unseen
-MAX_SILENT_ATTEMPTS = 3  # silent attempts on unused connections in a row before such are closed first
-TRIAL_SHARE = 0.06  # part of the requests that try an unused connection all the same
+MIN_UNUSED_NS = NS_PER_S // 2
+"""A connection that was unused for longer may be stale."""
+MAX_SILENT_ATTEMPTS = 3
+"""Attempts in a row without a response on unused connections, after which these are closed before use."""
+TRIAL_SHARE = 0.06
+"""Part of the requests that use such a connection all the same, to learn whether it is stale."""
 
 
 def may_be_stale(attempt: InFlightAttempt) -> bool:
-    """Return whether the attempt went out on a connection that was unused for long."""
+    """Return whether the attempt was sent on a connection that had been unused for long."""
     return attempt.unused_ns > MIN_UNUSED_NS
 
 
-def should_close_idle(state: BalancerState, unused_ns: int, is_retry: bool) -> bool:
-    """Return whether to close idle connections, so as to send on a fresh one."""
-    safe_ns = state.stale.safe_unused_ns
-    return bool(safe_ns and (is_retry or (unused_ns > safe_ns and state.rng.random() > TRIAL_SHARE)))
-
-
-def record_silence(state: BalancerState, attempt: InFlightAttempt) -> None:
-    """Learn from an attempt that the endpoint left without any response."""
-    if may_be_stale(attempt):
-        stale = state.stale
-        stale.silent_attempts += 1
-        if stale.silent_attempts >= MAX_SILENT_ATTEMPTS:
+class StaleConnectionDetector:
+    """How long connections may be unused before they are closed instead of reused."""
+
+    def __init__(self, rng: Random) -> None:
+        self._rng = rng
+        self._safe_unused_ns = 0
+        """Connections unused for longer are closed before use; 0: none are."""
+        self._silent_attempts = 0
+        """Attempts in a row without a response on unused connections."""
+
+    @property
+    def is_suspecting(self) -> bool:
+        """Whether unused connections are closed before use."""
+        return self._safe_unused_ns > 0
+
+    def should_close_idle(self, unused_ns: int, is_retry: bool) -> bool:
+        """Return whether to close idle connections, so that the next attempt opens a new one."""
+        if not self.is_suspecting:
+            return False
+        return is_retry or (unused_ns > self._safe_unused_ns and self._rng.random() > TRIAL_SHARE)
+
+    def record_silence(self, attempt: InFlightAttempt) -> None:
+        """Learn from an attempt whose endpoint has sent no response to anyone since."""
+        if not may_be_stale(attempt):
+            return
+        self._silent_attempts += 1
+        if self._silent_attempts >= MAX_SILENT_ATTEMPTS:
             bound_ns = max(MIN_UNUSED_NS, attempt.unused_ns // 2)
-            stale.safe_unused_ns = min(stale.safe_unused_ns or attempt.unused_ns, bound_ns)
-
-
-def record_response(state: BalancerState, attempt: InFlightAttempt) -> None:
-    """Learn from a response: one on an old connection proves the suspicion wrong."""
-    if attempt.unused_ns:
-        state.stale.silent_attempts = 0
-        if attempt.unused_ns > state.stale.safe_unused_ns:
-            state.stale.safe_unused_ns = 0
+            self._safe_unused_ns = min(self._safe_unused_ns or attempt.unused_ns, bound_ns)
+
+    def record_response(self, attempt: InFlightAttempt) -> None:
+        """Learn from a response: one on an unused connection disproves the suspicion."""
+        if not attempt.unused_ns:
+            return
+        self._silent_attempts = 0
+        if attempt.unused_ns > self._safe_unused_ns:
+            self._safe_unused_ns = 0
--- a/lugtally/balancing/subset.py
+++ b/lugtally/balancing/subset.py
@@ -1,54 +1,39 @@
-"""Subset: the endpoints of the list that may be sent to, and the few, random but lasting, that are."""
+"""Subset: the few endpoints, drawn at random and stable over time, that this balancer sends to."""
 
-from lugtally.balancing.events import EndpointState, EndpointUpdate, EndpointUpdateKind
-from lugtally.balancing.records import BalancerState, EndpointStats
-from lugtally.units import NS_PER_S
-
-MAX_POLL_BACKOFF_NS = 8 * NS_PER_S
-MIN_MEMBERS = 10
-INITIAL_CONCURRENCY_LIMIT = 2.0  # own requests in flight at an endpoint, to begin with
-
-
-def draw_poll_backoff_ns(state: BalancerState) -> int:
-    """Draw the delay before the next poll after a failed one."""
-    state.poll_failures = min(state.poll_failures + 1, 5)
-    bound_ns = min(MAX_POLL_BACKOFF_NS, NS_PER_S << state.poll_failures)
-    # Never beyond what the settings allow between two polls, or a drain is overlooked in an outage.
-    return int(state.rng.uniform(0.2, 1) * min(bound_ns, state.settings.max_poll_interval_ns or bound_ns))
+from __future__ import annotations
 
+from lugtally.balancing.attempts import InFlightAttempts
+from lugtally.balancing.endpoint import EndpointStats
+from lugtally.balancing.endpoint_table import EndpointTable
+from lugtally.balancing.settings import Settings
 
-def apply_update(state: BalancerState, now: int, update: EndpointUpdate) -> None:
-    """Take over an update of the endpoint list."""
-    state.poll_failures = 0
-    endpoints, is_binding = state.endpoints, state.settings.removal_is_binding
-    for entry in update.endpoints:
-        known = endpoints.get(entry.id)
-        endpoint = known or EndpointStats(entry.id, state.rng.random())
-        if known is None or entry.started_ns > known.started_ns:  # another process
-            # In a large fleet each balancer sends so rarely that it must not wait for a whole token.
-            endpoint.reset(now, INITIAL_CONCURRENCY_LIMIT, tokens=endpoint.rank * 1e6 % 1)
-        endpoint.update(entry)
-        endpoints[entry.id] = endpoint
-    if update.kind is not EndpointUpdateKind.DELTA:
-        named = {entry.id for entry in update.endpoints}
-        for endpoint in endpoints.values():
-            if endpoint.id not in named and (endpoint.state is EndpointState.READY or is_binding):
-                endpoint.state = EndpointState.REMOVED
-    usable = [e for e in endpoints.values() if e.state is EndpointState.READY]
-    removed = [e for e in endpoints.values() if e.state is EndpointState.REMOVED]
-    if is_binding:  # ids are never reused: on a long day thousands come and go
-        for endpoint in removed:
-            if not endpoint.in_flight:
-                del endpoints[endpoint.id]
-    elif not usable:
-        usable = removed
-    state.usable = sorted(usable, key=lambda endpoint: endpoint.rank)
-
-
-def draw_members(state: BalancerState) -> None:
-    """Choose the members: enough to keep a busy balancer near one request in flight at each second one."""
-    subset = state.subset
-    subset.is_outdated = False
-    subset.mean_in_flight += 0.3 * (len(state.attempts) - subset.mean_in_flight)
-    fair_share = -(-3 * len(state.usable) // state.settings.fleet_size)
-    subset.members = state.usable[: max(MIN_MEMBERS, fair_share, int(2 * subset.mean_in_flight))]
+MIN_MEMBERS = 10
+"""Smallest subset, if there are as many endpoints."""
+BALANCERS_PER_ENDPOINT = 3
+"""How many subsets of the fleet contain each endpoint, on average and at least."""
+MEMBERS_PER_REQUEST = 2
+"""Members for each own request in flight: every second member is near one request in flight."""
+IN_FLIGHT_SMOOTHING = 0.3
+"""Weight of the newest number of requests in flight in their mean."""
+
+
+class Subset:
+    """The members of the subset."""
+
+    def __init__(self, settings: Settings, endpoints: EndpointTable, attempts: InFlightAttempts) -> None:
+        self._settings = settings
+        self._endpoints = endpoints
+        self._attempts = attempts
+        self._mean_in_flight = 0.0
+        self.members: list[EndpointStats] = []
+        self.is_outdated = False
+        """Whether members and weights must be recomputed before the next pick."""
+
+    def draw_members(self) -> None:
+        """Select the members: more of them while more own requests are in flight."""
+        self.is_outdated = False
+        self._mean_in_flight += IN_FLIGHT_SMOOTHING * (len(self._attempts) - self._mean_in_flight)
+        usable = self._endpoints.usable
+        fair_share = -(-BALANCERS_PER_ENDPOINT * len(usable) // self._settings.fleet_size)  # rounded up
+        needed = int(MEMBERS_PER_REQUEST * self._mean_in_flight)
+        self.members = usable[: max(MIN_MEMBERS, fair_share, needed)]
--- a/tests/admin/test_operator_drains.py
+++ b/tests/admin/test_operator_drains.py
@@ -99,5 +99,5 @@
     assert len(sends) >= 200
     assert set(sends) == {2}
     dispatcher.end_drain(1)
-    assert balancer.state.usable
-    assert {endpoint.id for endpoint in balancer.state.usable} == {1, 2}
+    assert balancer.endpoints.usable
+    assert {endpoint.id for endpoint in balancer.endpoints.usable} == {1, 2}
--- a/tests/balancing/test_admission.py
+++ b/tests/balancing/test_admission.py
@@ -13,9 +13,9 @@
     """It rose from 60 to 400 ms with the congestion and hid it."""
     world = start_world(settings(), make_endpoints(10))
     serve_requests(world, 100, duration_ns=40 * NS_PER_MS)
-    before = world.balancer.state.latency.baseline_ns[0]
+    before = world.balancer.latency.baselines_ns[0]
     serve_requests(world, 20, duration_ns=400 * NS_PER_MS)
-    assert before <= world.balancer.state.latency.baseline_ns[0] < 1.3 * before
+    assert before <= world.balancer.latency.baselines_ns[0] < 1.3 * before
 
 
 def test_the_concurrency_limit_stops_congestion_from_feeding_itself() -> None:
@@ -43,11 +43,11 @@
             world.end(f"x{number}", 0, balancing.AttemptResult.OK)
     sent = sum(bool(world.requests[f"x{number}"].attempts) for number in range(60))
     assert sent == 60
-    assert world.balancer.state.lost_responses >= 4
-    assert world.balancer.state.admission.log_probability > 0
+    assert world.balancer.attempts.lost_responses >= 4
+    assert world.balancer.admission.log_probability > 0
     world.pass_time(3 * NS_PER_S)
-    assert world.balancer.state.lost_responses == 0
-    assert not any(endpoint.lost_responses for endpoint in world.balancer.state.subset.members)
+    assert world.balancer.attempts.lost_responses == 0
+    assert not any(endpoint.lost_responses for endpoint in world.balancer.subset.members)
 
 
 def test_as_many_may_be_in_flight_as_the_latency_objectives_allow() -> None:
@@ -57,7 +57,7 @@
         world.send_request(f"x{number}")
         world.now += 2 * NS_PER_MS
         world.end(f"x{number}", 0, balancing.AttemptResult.OK)
-    assert world.balancer.state.concurrency.limit > 30, "the floor is 20"
+    assert world.balancer.limiter.limit > 30, "the floor is 20"
 
 
 def test_late_responses_shed_classes_of_low_priority_first() -> None:
@@ -101,7 +101,7 @@
                     world.end(name, index, balancing.AttemptResult.OK)
     rejected = sum(isinstance(action, balancing.RejectRequest) for action in world.actions)
     assert rejected <= 10, f"{rejected} of {len(world.requests)} rejected though every response was soon"
-    assert all(endpoint.ejected_until_ns <= world.now for endpoint in world.balancer.state.subset.members)
+    assert all(endpoint.ejected_until_ns <= world.now for endpoint in world.balancer.subset.members)
 
 
 def test_the_demand_of_each_class_outlasts_a_long_idle_time() -> None:
@@ -111,10 +111,8 @@
         make_endpoints(4),
     )
     serve_requests(world, 20)
-    world.balancer.state.concurrency.own_load = world.balancer.state.concurrency.fleet_load = (
-        1.0  # as reports would have it
-    )
+    world.balancer.quota.own_load = world.balancer.quota.fleet_load = 1.0  # as reports would have it
     world.now += 100 * 3600 * NS_PER_S
     serve_requests(world, 5)
-    assert all(demand > 0 for demand in world.balancer.state.priority.demand.values())
-    assert 0 < world.balancer.state.priority.lowest <= 1.0
+    assert all(demand > 0 for demand in world.balancer.priority.demand.values())
+    assert 0 < world.balancer.priority.lowest <= 1.0
--- a/tests/balancing/test_fleet.py
+++ b/tests/balancing/test_fleet.py
@@ -152,7 +152,7 @@
     arrived = sum(count for (outcome, _), count in fleet.class_counts.items() if outcome is RequestOutcome.ARRIVED)
     rejected = sum(count for (outcome, _), count in fleet.class_counts.items() if outcome is RequestOutcome.REJECTED)
     assert rejected < 0.15 * arrived
-    assert sum(balancer.state.concurrency.fleet_limit > 5 for balancer in fleet.balancers) >= 4
+    assert sum(balancer.quota.fleet_limit > 5 for balancer in fleet.balancers) >= 4
 
 
 def test_in_overload_a_tenant_over_its_quota_is_rejected_first() -> None:
--- a/tests/balancing/test_outlier_detection.py
+++ b/tests/balancing/test_outlier_detection.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from lugtally import balancing
-from lugtally.balancing import outlier_detection
 from lugtally.balancing.latency import CONGESTED_RATIO
 from lugtally.balancing.outlier_detection import MAX_EJECTED_SHARE
 from lugtally.units import NS_PER_MS, NS_PER_S
@@ -39,10 +38,10 @@
 def test_a_server_that_answers_again_is_found_within_seconds() -> None:
     """After a silence servers were ejected for up to 16 s, while the others carried too much."""
     world = start_world(settings(max_attempts=1), make_endpoints(10))
-    endpoint = world.balancer.state.subset.members[0]
+    endpoint = world.balancer.subset.members[0]
     for _ in range(9):
         world.now = max(world.now, endpoint.ejected_until_ns)
-        outlier_detection.eject(world.balancer.state, world.now, endpoint)
+        world.balancer.outliers.record_failure(world.now, endpoint)
         assert world.now < endpoint.ejected_until_ns <= world.now + 5 * NS_PER_S
 
 
@@ -50,9 +49,9 @@
     """Slow servers made up the half that may be ejected, and two that had just stopped got 450 requests."""
     for result in balancing.AttemptResult.NO_CONNECTION, balancing.AttemptResult.REJECTED:
         world = start_world(settings(max_attempts=1), make_endpoints(10))
-        for endpoint in world.balancer.state.subset.members[:5]:
+        for endpoint in world.balancer.subset.members[:5]:
             endpoint.ejected_until_ns = world.now + 60 * NS_PER_S
-        dead = world.balancer.state.subset.members[5].id
+        dead = world.balancer.subset.members[5].id
         for number in range(60):
             world.send_request(f"x{number}")
             world.now += 5 * NS_PER_MS
@@ -70,12 +69,12 @@
         world.send_request(f"good{number}", time_left_ns=NS_PER_S)
         world.pass_time(60 * NS_PER_MS)
         for attempt in world.requests[f"good{number}"].attempts:
-            world.balancer.state.endpoints[attempt.endpoint_id].last_response_ns = world.now
+            world.balancer.endpoints.by_id[attempt.endpoint_id].last_response_ns = world.now
         for name in [f"late{number}"]:
             for attempt in world.requests[name].attempts:  # its server answers somebody meanwhile
-                world.balancer.state.endpoints[attempt.endpoint_id].last_response_ns = world.now
+                world.balancer.endpoints.by_id[attempt.endpoint_id].last_response_ns = world.now
         world.pass_time(60 * NS_PER_MS)
-    assert not any(endpoint.ejected_until_ns > world.now for endpoint in world.balancer.state.subset.members)
+    assert not any(endpoint.ejected_until_ns > world.now for endpoint in world.balancer.subset.members)
 
 
 def test_errors_in_a_row_eject_but_never_more_than_the_cap() -> None:
@@ -86,7 +85,7 @@
         if world.requests[name].attempts:
             world.end(name, 0, balancing.AttemptResult.RESET)
         world.pass_time(5 * NS_PER_MS)
-    ejected = sum(endpoint.ejected_until_ns > world.now for endpoint in world.balancer.state.subset.members)
+    ejected = sum(endpoint.ejected_until_ns > world.now for endpoint in world.balancer.subset.members)
     assert 0 < ejected <= MAX_EJECTED_SHARE * 10
 
 
@@ -98,7 +97,7 @@
         world.send_request(f"x{number}")
         world.now += 20 * NS_PER_MS
         world.end(f"x{number}", 0, balancing.AttemptResult.RESET if number % 20 == 0 else balancing.AttemptResult.OK)
-        ejected += any(endpoint.ejected_until_ns > world.now for endpoint in world.balancer.state.subset.members)
+        ejected += any(endpoint.ejected_until_ns > world.now for endpoint in world.balancer.subset.members)
     assert ejected < 15
 
 
@@ -106,7 +105,7 @@
     world = start_world(settings(max_attempts=1), make_endpoints(10))
     world.send_request("a")
     world.end("a", 0, balancing.AttemptResult.NO_CONNECTION)
-    until = [endpoint.ejected_until_ns for endpoint in world.balancer.state.subset.members if endpoint.ejected_until_ns]
+    until = [endpoint.ejected_until_ns for endpoint in world.balancer.subset.members if endpoint.ejected_until_ns]
     assert len(until) == 1
     assert until[0] <= world.now + 1.2 * NS_PER_S
 
@@ -115,7 +114,7 @@
     """Servers that are slow even one request at a time are ejected for a while, the same ones at every balancer."""
     world = start_world(settings(), make_endpoints(10))
     serve_requests(world, 40)
-    for endpoint in world.balancer.state.subset.members:
+    for endpoint in world.balancer.subset.members:
         endpoint.concurrency_limit, endpoint.slowness, endpoint.samples, endpoint.last_response_ns = (
             1.0,
             2 * CONGESTED_RATIO,
@@ -123,6 +122,10 @@
             world.now,
         )
     world.balancer._refresh(world.now)
-    assert {
-        endpoint.id for endpoint in world.balancer.state.subset.members if endpoint.ejected_until_ns > world.now
-    } == {1, 2, 3, 4, 5}
+    assert {endpoint.id for endpoint in world.balancer.subset.members if endpoint.ejected_until_ns > world.now} == {
+        1,
+        2,
+        3,
+        4,
+        5,
+    }
--- a/tests/balancing/test_picker.py
+++ b/tests/balancing/test_picker.py
@@ -9,7 +9,7 @@
 
 def test_subset_has_ten_members_and_redraws_those_that_drain() -> None:
     world = start_world(settings(fleet_size=20), make_endpoints(40))
-    first = {endpoint.id for endpoint in world.balancer.state.subset.members}
+    first = {endpoint.id for endpoint in world.balancer.subset.members}
     assert len(first) == 10
     draining = sorted(first)[:3]
     world.feed(
@@ -18,7 +18,7 @@
             [balancing.Endpoint(number, state=balancing.EndpointState.DRAINING) for number in draining],
         )
     )
-    second = {endpoint.id for endpoint in world.balancer.state.subset.members}
+    second = {endpoint.id for endpoint in world.balancer.subset.members}
     assert len(second) == 10
     assert not second & set(draining)
     assert first - set(draining) < second
@@ -30,14 +30,14 @@
     for number in range(14):
         world.send_request(f"a{number}", time_left_ns=5 * NS_PER_S)
         world.pass_time(100 * NS_PER_MS)
-    assert len(world.balancer.state.subset.members) > 10
+    assert len(world.balancer.subset.members) > 10
 
 
 def test_pick_prefers_fewer_own_requests_in_flight() -> None:
     world = start_world(settings(fleet_size=1), make_endpoints(10))
     for number in range(10):
         world.send_request(f"a{number}")
-    spread = [len(endpoint.in_flight) for endpoint in world.balancer.state.subset.members]
+    spread = [len(endpoint.in_flight) for endpoint in world.balancer.subset.members]
     assert sum(spread) == 10
     assert max(spread) <= 2
 
--- a/tests/balancing/test_rules.py
+++ b/tests/balancing/test_rules.py
@@ -5,7 +5,6 @@
 from dataclasses import replace
 
 from lugtally import balancing
-from lugtally.balancing import rules
 from lugtally.units import NS_PER_MS, NS_PER_S
 from tests.balancing.world import (
     IDEMPOTENT,
@@ -214,10 +213,10 @@
     world = start_world(settings(), make_endpoints(4))
     world.send_request("a")
     balancer = world.balancer
-    request = balancer.state.requests["a"]
-    assert rules.may_send_to(balancer.state, world.now, request, balancer.state.endpoints[1])
+    request = balancer.requests["a"]
+    assert balancer.rules.may_send_to(world.now, request, balancer.endpoints.by_id[1])
     for state in (balancing.EndpointState.DRAINING, balancing.EndpointState.REMOVED):
-        balancer.state.endpoints[1].state = state
-        assert not rules.may_send_to(balancer.state, world.now, request, balancer.state.endpoints[1])
-    del balancer.state.requests["a"]
-    assert not rules.may_send_to(balancer.state, world.now, request, balancer.state.endpoints[2])
+        balancer.endpoints.by_id[1].state = state
+        assert not balancer.rules.may_send_to(world.now, request, balancer.endpoints.by_id[1])
+    del balancer.requests["a"]
+    assert not balancer.rules.may_send_to(world.now, request, balancer.endpoints.by_id[2])
--- a/tests/discovery/test_watcher.py
+++ b/tests/discovery/test_watcher.py
@@ -83,4 +83,4 @@
         real_balancer.handle(version, balancer.events[-1])
     tables = (endpoint_watcher._endpoints, endpoint_watcher._start_times._converted, upstream._addresses)
     assert [len(table) for table in tables] == [1, 1, 1]
-    assert len(real_balancer.state.endpoints) == 1
+    assert len(real_balancer.endpoints.by_id) == 1
--- a/tests/dispatch/test_balancer_faults.py
+++ b/tests/dispatch/test_balancer_faults.py
@@ -8,7 +8,6 @@
 import pytest
 
 from lugtally import balancing, dispatch
-from lugtally.balancing import outlier_detection, retry_budget
 from lugtally.balancing.balancer import Balancer
 from lugtally.dispatch import dispatcher as dispatcher_module
 from lugtally.dispatch.attempt_outcome import AttemptOutcome
@@ -101,17 +100,17 @@
     dispatcher = dispatch.Dispatcher(settings, 1, loop, lambda *_: balancer)
     listed = [ListedEndpoint(endpoint_id, 0, 0, READY, 0) for endpoint_id in (7, 8)]
     dispatcher.update_endpoints(balancing.EndpointUpdateKind.CACHED, listed)
-    watch_attempt = outlier_detection.watch_attempt
+    watch_attempt = balancer.overdue.watch
     watched: list[int] = []
 
-    def fail_once(*arguments: Any) -> None:
+    def fail_once(*arguments: Any) -> list[balancing.Action]:
         watched.append(1)
         if len(watched) == (1 if fails_on == "the first attempt" else 2):
             raise RuntimeError
-        watch_attempt(*arguments)
+        return watch_attempt(*arguments)
 
-    monkeypatch.setattr(outlier_detection, "watch_attempt", fail_once)
-    monkeypatch.setattr(retry_budget, "try_spend", lambda *_: True)
+    monkeypatch.setattr(balancer.overdue, "watch", fail_once)
+    monkeypatch.setattr(balancer.retry_budget, "try_spend", lambda: True)
 
     def new_request() -> dispatch.PendingRequest:
         return dispatch.PendingRequest(loop, 0, loop.now() + TIME_LEFT_NS, False, lambda _: None)
@@ -125,9 +124,9 @@
             decision = dispatcher.next_decision(pending)
         assert decision == dispatch.Rejected(0)
         assert len(watched) == (1 if fails_on == "the first attempt" else 2)
-        assert not balancer.state.requests
-        assert not balancer.state.attempts
-        assert not any(endpoint.in_flight for endpoint in balancer.state.endpoints.values())
+        assert not balancer.requests
+        assert not balancer.attempts
+        assert not any(endpoint.in_flight for endpoint in balancer.endpoints.by_id.values())
         after = new_request()
         assert isinstance(dispatcher.next_decision(after), dispatch.StartAttempt), "the next event is not sound"
         assert dispatcher.attempt_finished(after, 0, AttemptOutcome.SERVED)
--- a/tests/http1/test_body_framing.py
+++ b/tests/http1/test_body_framing.py
@@ -80,14 +80,14 @@
         if isinstance(action, balancing.SendAttempt)
     ]
     assert [send.endpoint_id for send in sends] == [7]
-    endpoint = balancer.state.endpoints[7]
+    endpoint = balancer.endpoints.by_id[7]
     assert len(endpoint.in_flight) == 1
     balancer.handle(5 * NS_PER_MS, balancing.ResponseStarted("r", 0, 7))
     assert not endpoint.in_flight
-    assert not balancer.state.attempts
-    assert "r" in balancer.state.requests
+    assert not balancer.attempts
+    assert "r" in balancer.requests
     later = balancer.handle(
         9 * NS_PER_S, balancing.AttemptFinished("r", 0, 7, balancing.AttemptResult.OK, True, 9 * NS_PER_S, None)
     )
-    assert "r" not in balancer.state.requests
+    assert "r" not in balancer.requests
     assert not any(isinstance(action, balancing.SendAttempt) for action in later)
--- a/tests/races/test_attempts.py
+++ b/tests/races/test_attempts.py
@@ -9,6 +9,7 @@
 import pytest
 
 from lugtally import balancing
+from lugtally.balancing.attempt_id import AttemptId
 from lugtally.balancing.balancer import Balancer
 from lugtally.eventloop import READABLE, EventLoop
 from lugtally.units import NS_PER_MS, NS_PER_S
@@ -272,7 +273,7 @@
     window_ns = CLASSES[1].deduplication_window_ns
     sent_attempt(balancer.handle(1, balancing.Request("q", 1, 0, 8 * NS_PER_S)))
     assert balancer.may_start(window_ns + 2, "q", 0), "a first attempt has no window"
-    endpoint_id = balancer.state.attempts["q", 0].endpoint.id
+    endpoint_id = balancer.attempts.by_id[AttemptId("q", 0)].endpoint.id
     timer = next(
         action
         for action in balancer.handle(
