--- a/lugtally/balancing/actions.py
+++ b/lugtally/balancing/actions.py
@@ -1,4 +1,4 @@
-"""The actions that a balancer orders.  Times are integer nanoseconds from the event that is answered."""
+"""The actions that a balancer orders.  Delays are integer nanoseconds from the event that led to them."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class RejectRequest:
-    """Final answer: not processed, so a repeat is safe, best after ``retry_after_ns`` (0: no advice)."""
+    """Final answer: a repeat is safe, and advised after ``retry_after_ns`` (0: no advice)."""
 
     request_id: str
     retry_after_ns: int
--- a/lugtally/balancing/events.py
+++ b/lugtally/balancing/events.py
@@ -12,12 +12,12 @@
 
 
 class AttemptResult(Enum):
-    """How an attempt ended, as far as decisions depend on it."""
+    """How an attempt finished, as far as decisions depend on it."""
 
     OK = "ok"
     ERROR = "error"
     DECLINED = "declined"
-    """The request itself is at fault; no other endpoint would do better."""
+    """The request itself is at fault; another endpoint would decline it as well."""
     REJECTED = "rejected"
     """The endpoint said that it did not process the request."""
     TIMEOUT = "timeout"
@@ -28,7 +28,7 @@
 
 
 NOT_PROCESSED = frozenset({AttemptResult.REJECTED, AttemptResult.NO_CONNECTION, AttemptResult.NEVER_SENT})
-"""Results of attempts that certainly did not run."""
+"""Results that prove that the endpoint did not process the request."""
 
 
 class EndpointUpdateKind(Enum):
@@ -37,11 +37,11 @@
     DELTA = "changes"
     """Changes since the update before."""
     FULL = "whole"
-    """The whole list: what it does not name is gone."""
+    """The complete list: endpoints that it does not contain are removed."""
     CACHED = "kept"
-    """The list as it was known before a restart: the first event of every process."""
+    """The list as it was cached before a restart: the first event of every process."""
     FAILED = "failed"
-    """Nothing: the list could not be had."""
+    """Nothing: discovery gave no list."""
 
 
 class EndpointState(Enum):
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """A client's request has arrived; exactly one final answer is owed."""
+    """A client's request has arrived; it gets exactly one final answer."""
 
     id: str
     class_index: int
@@ -92,7 +92,7 @@
 
 @dataclass(slots=True)
 class AttemptFinished:
-    """An attempt has ended; ``request_finished`` says that the request has its final answer as well."""
+    """An attempt has finished; ``request_finished`` says that the request has its final answer as well."""
 
     request_id: str
     attempt: int
@@ -101,12 +101,12 @@
     request_finished: bool
     duration_ns: int
     load_report: tuple[float, ...] | None = None
-    """Values of ``Settings.load_report_fields``, in their order; none where the answer carried no report."""
+    """Values of ``Settings.load_report_fields`` in their order; ``None``: the response had no report."""
 
 
 @dataclass(slots=True)
 class ResponseStarted:
-    """A streamed response has begun: the request is bound to this attempt."""
+    """A response is being streamed to the client: no other attempt can serve the request."""
 
     request_id: str
     attempt: int
@@ -115,7 +115,7 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer set by :class:`~lugtally.balancing.actions.SetTimer` has come due."""
+    """A timer set by :class:`~lugtally.balancing.actions.SetTimer` has fired."""
 
     timer: Timer
 
--- a/lugtally/balancing/settings.py
+++ b/lugtally/balancing/settings.py
@@ -111,7 +111,7 @@
     retry_after_allowed: bool = False
     max_retry_after_ns: int = 0
     subscribe_to_endpoints: bool = False
-    """Whether the endpoint list comes only to a balancer that watches it."""
+    """Whether discovery sends the endpoint list only to a balancer that watches it."""
     removal_is_binding: bool = True
     """Whether an endpoint that is missing from a full list must not be sent to."""
     max_poll_interval_ns: int = 0
--- a/lugtally/balancing/sliding_counter.py
+++ b/lugtally/balancing/sliding_counter.py
@@ -16,7 +16,7 @@
         self._newest = 0
 
     def advance(self, now_ns: int) -> None:
-        """Drop the buckets that have left the window; a gap of a window's length clears them at once."""
+        """Drop the buckets before the window; a gap of a window's length clears them at once."""
         bucket = now_ns // self._bucket_ns
         newest = self._newest
         if bucket == newest and newest:
--- a/lugtally/balancing/stale_connections.py
+++ b/lugtally/balancing/stale_connections.py
@@ -19,7 +19,7 @@
 
 
 def may_be_stale(attempt: InFlightAttempt) -> bool:
-    """Return whether the attempt was sent on a connection that had been unused for long."""
+    """Return whether the attempt used a connection that had been unused for long."""
     return attempt.unused_ns > MIN_UNUSED_NS
 
 
