--- a/lugtally/dispatch/dispatcher.py
+++ b/lugtally/dispatch/dispatcher.py
@@ -20,6 +20,7 @@
 from lugtally.dispatch.metrics import RequestMetrics
 from lugtally.dispatch.pending_request import PendingRequest, SentAttempt
 from lugtally.dispatch.policy import BalancingPolicyFactory
+from lugtally.dispatch.service_times import ServiceTimes
 from lugtally.eventloop import EventLoop, WakeReason
 from lugtally.overload.admission import AdmissionController
 from lugtally.units import NS_PER_MS
@@ -28,8 +29,6 @@
 """How long after its deadline a request without a decision is answered."""
 FAULT_RETRY_NS = 500 * NS_PER_MS
 """How long after the balancer failed on a timer or an endpoint list it is told of it again."""
-USUAL_DURATION_WEIGHT = 0.1
-"""The weight of a new duration in the moving average of a class."""
 
 
 def _do_nothing(*_: object) -> None:
@@ -56,11 +55,9 @@
         self._endpoints = EndpointRegistry()
         self._endpoints_due_ns: int | None = None  # when the balancer is told the whole list, after a fault
         self._admission: AdmissionController | None = None
-        self._usual_duration_ns: dict[int, float] = {}  # by class: moving average of served attempts
+        self._service_times = ServiceTimes()
         self._close_idle_connections: Callable[[int], None] = _do_nothing
         self._watch_endpoints: Callable[[], None] = _do_nothing
-        self._disconnected_count = 0
-        self._shed_count = 0
         self.metrics = RequestMetrics(tuple(request_class.name for request_class in settings.classes))
 
     def set_handlers(self, close_idle_connections: Callable[[int], None], watch_endpoints: Callable[[], None]) -> None:
@@ -87,12 +84,11 @@
             class_index,
             time_left_ns,
             self._loop.scheduling_delay_ns(),
-            self._usual_duration_ns.get(class_index, 0.0),
+            self._service_times.average_ns(class_index),
         )
         if reason is None:
             return None
-        self._shed_count += 1
-        self.metrics.record_rejection(class_index)
+        self.metrics.record_shed(class_index)
         return Rejected(admission.retry_after_ns())
 
     def next_decision(self, request: PendingRequest) -> Decision:
@@ -170,7 +166,7 @@
         )
         if won:
             if not bound:  # a stream lasts as long as its client takes to read it
-                self._note_duration(request.class_index, duration_ns)
+                self._service_times.record(request.class_index, duration_ns)
             self.metrics.record_success(request.class_index)
             self._finish(request, Finished())
         elif bound:
@@ -185,7 +181,7 @@
         """Take it that the client went away; nothing happens where the request is over."""
         if not request.finished:
             self._handle_event(balancing.ClientDisconnected(request.id))
-            self._disconnected_count += 1
+            self.metrics.record_disconnect()
             self._finish(request, Finished())
 
     # ------------------------------------------------------------ endpoints
@@ -224,15 +220,7 @@
 
     def request_counts(self) -> dict[str, int]:
         """Return the requests by how they ended so far, and those in progress, by the keys of the status socket."""
-        metrics = self.metrics
-        return {
-            "in_progress": len(self._pending),
-            "served": sum(metrics.success),
-            "busy": sum(metrics.overload) - self._shed_count,
-            "failed": sum(metrics.error),
-            "left": self._disconnected_count,
-            "own_overload": self._shed_count,
-        }
+        return self.metrics.request_counts(len(self._pending))
 
     # ------------------------------------------------------------ the balancer
 
@@ -324,10 +312,6 @@
             )
         self._handle_event(balancing.ClientDisconnected(request.id))
 
-    def _note_duration(self, class_index: int, duration_ns: int) -> None:
-        usual_ns = self._usual_duration_ns.setdefault(class_index, float(duration_ns))
-        self._usual_duration_ns[class_index] = usual_ns + USUAL_DURATION_WEIGHT * (duration_ns - usual_ns)
-
     def _update_endpoint(self, endpoint: balancing.Endpoint | None) -> None:
         if endpoint is not None:
             self._tell_endpoints(balancing.EndpointUpdateKind.DELTA, [endpoint])
--- a/lugtally/dispatch/metrics.py
+++ b/lugtally/dispatch/metrics.py
@@ -1,4 +1,4 @@
-"""The request metrics that operators read at ``GET /control/counters``, counted from 0 in each process."""
+"""The request counters of one process, for ``GET /control/counters`` and the status socket."""
 
 from __future__ import annotations
 
@@ -6,38 +6,60 @@
 
 
 class RequestMetrics:
-    """Requests by class and how they ended, and attempts that were written completely.  Plain integers, no I/O."""
+    """Counts requests by class and result, and attempts that were sent completely.
 
-    __slots__ = ("_class_names", "success", "overload", "error", "dispatches")
+    All counters start at 0 in each process.
+
+    Attributes:
+        success: Served requests, by class.
+        overload: Rejected requests, by class, including those that this sidecar shed.  The client may retry them.
+        error: Failed and invalid requests, by class.
+        dispatches: Attempts whose last byte was written.
+        shed: Requests that this sidecar rejected because it was itself overloaded.
+        disconnected: Requests whose client disconnected before the final answer.
+    """
+
+    __slots__ = ("_class_names", "success", "overload", "error", "dispatches", "shed", "disconnected")
 
     def __init__(self, class_names: tuple[str, ...]) -> None:
         self._class_names = class_names
-        self.success = [0] * len(class_names)  # by class: served
-        self.overload = [0] * len(class_names)  # by class: rejected; a client's retry does no harm
-        self.error = [0] * len(class_names)  # by class: failed, or invalid
-        self.dispatches = 0  # attempts whose last byte was written
+        self.success = [0] * len(class_names)
+        self.overload = [0] * len(class_names)
+        self.error = [0] * len(class_names)
+        self.dispatches = 0
+        self.shed = 0
+        self.disconnected = 0
 
     def record_success(self, class_index: int) -> None:
-        """Count a request of that class that was served."""
+        """Count a served request.  An unknown class is ignored."""
         if 0 <= class_index < len(self.success):
             self.success[class_index] += 1
 
     def record_rejection(self, class_index: int) -> None:
-        """Count a request of that class that was rejected."""
+        """Count a rejected request.  An unknown class is ignored."""
         if 0 <= class_index < len(self.overload):
             self.overload[class_index] += 1
 
+    def record_shed(self, class_index: int) -> None:
+        """Count a request that this sidecar rejected because it was itself overloaded."""
+        self.shed += 1
+        self.record_rejection(class_index)
+
     def record_failure(self, class_index: int) -> None:
-        """Count a request of that class that failed."""
+        """Count a failed request.  An unknown class is ignored."""
         if 0 <= class_index < len(self.error):
             self.error[class_index] += 1
 
+    def record_disconnect(self) -> None:
+        """Count a request whose client disconnected before the final answer."""
+        self.disconnected += 1
+
     def record_dispatch(self) -> None:
         """Count an attempt whose last byte was written."""
         self.dispatches += 1
 
     def snapshot(self, in_progress: int, endpoint_count: int, disabled_count: int) -> dict[str, Any]:
-        """Return the object of the page: what was counted, with the present values that are handed in."""
+        """Return the response body of ``GET /control/counters``; the arguments are current values."""
         return {
             "replies": {
                 name: {"success": success, "overload": overload, "error": error}
@@ -50,3 +72,14 @@
             "targets": endpoint_count,
             "targets_disabled": disabled_count,
         }
+
+    def request_counts(self, in_progress: int) -> dict[str, int]:
+        """Return the requests in progress and the finished ones by result, keyed as on the status socket."""
+        return {
+            "in_progress": in_progress,
+            "served": sum(self.success),
+            "busy": sum(self.overload) - self.shed,
+            "failed": sum(self.error),
+            "left": self.disconnected,
+            "own_overload": self.shed,
+        }
--- a/tests/dispatch/test_balancer_faults.py
+++ b/tests/dispatch/test_balancer_faults.py
@@ -193,7 +193,7 @@
         assert not pending.finished
         assert fixture.dispatcher.attempt_finished(pending, 0, AttemptOutcome.SERVED)
         assert fixture.dispatcher.next_decision(pending) == dispatch.Finished()
-        assert not fixture.dispatcher._usual_duration_ns, "a stream lasts as long as its client takes"
+        assert not fixture.dispatcher._service_times._average_ns, "a stream lasts as long as its client takes"
 
     fixture.run(work)
 
