--- a/lugtally/dispatch/dispatcher.py
+++ b/lugtally/dispatch/dispatcher.py
@@ -12,10 +12,13 @@
 
 from lugtally import balancing
 from lugtally.balancing import Balancer
+from lugtally.dispatch import fault_recovery
 from lugtally.dispatch.attempt_outcome import ATTEMPT_RESULTS, FULLY_SENT, AttemptOutcome
 from lugtally.dispatch.balancer_timers import BalancerTimer, BalancerTimers
 from lugtally.dispatch.decision import Decision, Failed, Finished, Rejected, StartAttempt
-from lugtally.dispatch.endpoint_registry import EndpointRegistry, ListedEndpoint
+from lugtally.dispatch.endpoint_registry import ListedEndpoint
+from lugtally.dispatch.endpoint_updates import EndpointUpdates
+from lugtally.dispatch.fault_recovery import FaultRecovery
 from lugtally.dispatch.guarded_policy import GuardedPolicy
 from lugtally.dispatch.metrics import RequestMetrics
 from lugtally.dispatch.pending_request import PendingRequest, SentAttempt
@@ -27,8 +30,6 @@
 
 DEADLINE_MARGIN_NS = 20 * NS_PER_MS
 """How long after its deadline a request without a decision is answered."""
-FAULT_RETRY_NS = 500 * NS_PER_MS
-"""How long after the balancer failed on a timer or an endpoint list it is told of it again."""
 
 
 def _do_nothing(*_: object) -> None:
@@ -52,8 +53,8 @@
         self._pending: dict[str, PendingRequest] = {}
         self._last_id = 0
         self._timers = BalancerTimers()
-        self._endpoints = EndpointRegistry()
-        self._endpoints_due_ns: int | None = None  # when the balancer is told the whole list, after a fault
+        self._recovery = FaultRecovery(self._balancer, self._handle_event, self._finish)
+        self._endpoint_updates = EndpointUpdates(loop, self._handle_event, self._restart_watch)
         self._admission: AdmissionController | None = None
         self._service_times = ServiceTimes()
         self._close_idle_connections: Callable[[int], None] = _do_nothing
@@ -106,7 +107,7 @@
                 # Guards the one final answer against a fault: else each attempt has timed out by now.
                 if not request.deadline_was_shortened:
                     logger.error("no decision by the deadline of a request", event="dispatch.deadline_exceeded")
-                self._give_up(request)
+                self._recovery.give_up(request)
         return request.decisions.popleft()
 
     def shorten_deadline(self, request: PendingRequest, deadline_ns: int) -> None:
@@ -126,7 +127,7 @@
         request.streaming_attempt = number
         endpoint_id = request.attempts[number].endpoint_id
         if not self._handle_event(balancing.ResponseStarted(request.id, number, endpoint_id)):
-            self._let_balancer_forget(request)  # it must send nothing more for the request
+            self._recovery.withdraw(request)  # it must send nothing more for the request
         for other in request.in_flight - {number}:
             request.cancel_attempt(other)
         return True
@@ -172,9 +173,9 @@
         elif bound:
             self._finish(request, Failed())  # half a response has gone out: the client's connection ends
         elif not handled:
-            self._recover(request)
+            self._recovery.recover(request)
         else:
-            self._answer_if_stranded(request)
+            self._recovery.give_up_if_stranded(request)
         return won
 
     def client_disconnected(self, request: PendingRequest) -> None:
@@ -188,19 +189,19 @@
 
     def update_endpoints(self, kind: balancing.EndpointUpdateKind, endpoints: Iterable[ListedEndpoint] = ()) -> None:
         """Take an update of the endpoint list, or that none could be had (``FAILED``)."""
-        self._tell_endpoints(kind, self._endpoints.update(kind, endpoints))
+        self._endpoint_updates.apply(kind, endpoints)
 
     def was_listed(self, endpoint_id: int) -> bool:
         """Return whether the endpoint was listed at any time since the start."""
-        return self._endpoints.was_listed(endpoint_id)
+        return self._endpoint_updates.registry.was_listed(endpoint_id)
 
     def start_drain(self, endpoint_id: int) -> None:
         """Send the endpoint no new work from now on, until :meth:`end_drain`."""
-        self._update_endpoint(self._endpoints.start_drain(endpoint_id))
+        self._endpoint_updates.start_drain(endpoint_id)
 
     def end_drain(self, endpoint_id: int) -> None:
         """Let the endpoint come back as one that has just started: it warms up."""
-        self._update_endpoint(self._endpoints.end_drain(endpoint_id, self._loop.now()))
+        self._endpoint_updates.end_drain(endpoint_id)
 
     # ------------------------------------------------------------ figures
 
@@ -212,11 +213,12 @@
     @property
     def endpoint_count(self) -> int:
         """The number of endpoints in the list at hand."""
-        return len(self._endpoints)
+        return len(self._endpoint_updates.registry)
 
     def disabled_count(self) -> int:
         """Return how many listed endpoints get no new work now: drained by operators, or ejected."""
-        return self._endpoints.drained_count() + self._balancer.ejected_count(self._loop.now())
+        drained_count = self._endpoint_updates.registry.drained_count()
+        return drained_count + self._balancer.ejected_count(self._loop.now())
 
     def request_counts(self) -> dict[str, int]:
         """Return the requests by how they ended so far, and those in progress, by the keys of the status socket."""
@@ -229,12 +231,15 @@
         now_ns = self._loop.now()
         while (due := self._timers.pop_due(now_ns)) is not None:
             self._fire_timer(now_ns, due)
-        if self._endpoints_due_ns is not None and self._endpoints_due_ns <= now_ns:
-            self._tell_endpoints_again()
-        due_ns = self._timers.next_due_ns()
-        if self._endpoints_due_ns is None or due_ns is None:
-            return due_ns if self._endpoints_due_ns is None else self._endpoints_due_ns
-        return min(due_ns, self._endpoints_due_ns)
+        updates = self._endpoint_updates
+        if updates.resend_due_ns is not None and updates.resend_due_ns <= now_ns:
+            updates.resend()
+        timer_due_ns = self._timers.next_due_ns()
+        if updates.resend_due_ns is None:
+            return timer_due_ns
+        if timer_due_ns is None:
+            return updates.resend_due_ns
+        return min(timer_due_ns, updates.resend_due_ns)
 
     def _fire_timer(self, now_ns: int, due: BalancerTimer) -> None:
         request = self._pending.get(due.request_id)
@@ -242,12 +247,12 @@
             request.awaited_timer = None
         if self._handle_event(balancing.TimerFired(due.timer), request):
             if request is not None:
-                self._answer_if_stranded(request)
+                self._recovery.give_up_if_stranded(request)
             return
         # The timer may be one of a chain, each of which sets the next: it must not be lost.
-        self._timers.add(now_ns + FAULT_RETRY_NS, due.timer)
+        self._timers.add(now_ns + fault_recovery.FAULT_RETRY_NS, due.timer)
         for pending in list(self._pending.values()):
-            self._answer_if_stranded(pending)
+            self._recovery.give_up_if_stranded(pending)
 
     def _submit(self, request: PendingRequest) -> None:
         request.submitted = True
@@ -260,9 +265,9 @@
             return
         event = balancing.Request(request.id, request.class_index, request.tenant_index, time_left_ns, request.is_retry)
         if self._handle_event(event, request):
-            self._answer_if_stranded(request)
+            self._recovery.give_up_if_stranded(request)
         else:
-            self._recover(request)
+            self._recovery.recover(request)
 
     def _finish(self, request: PendingRequest, decision: Decision) -> None:
         """End the request: its last decision, and an end to the attempts that are still in flight."""
@@ -279,53 +284,9 @@
         for number in list(request.in_flight):
             request.cancel_attempt(number)
 
-    def _give_up(self, request: PendingRequest) -> None:
-        """End a request on which the balancer gives no decision: a repeat is safe where no attempt may have run."""
-        self._finish(request, Failed() if request.may_have_run else Rejected(0))
-        self._let_balancer_forget(request)
-
-    def _recover(self, request: PendingRequest) -> None:
-        """Go on without the balancer, which failed on an event of this request.
-
-        What it decided is lost, and its numbers of attempts may differ from ours by now: it decides nothing more for
-        the request.  Attempts that are written may still bring the answer; without one it is given at once.
-        """
-        self._let_balancer_forget(request)
-        request.awaited_timer = None
-        self._answer_if_stranded(request)
-
-    def _answer_if_stranded(self, request: PendingRequest) -> None:
-        """Answer a request for which nothing is under way, where a fault may have lost what was decided on it."""
-        if self._balancer.has_failed and request.is_stranded:
-            self._give_up(request)
-
-    def _let_balancer_forget(self, request: PendingRequest) -> None:
-        """Tell the balancer that nothing more comes of a request.
-
-        On the event that it failed on it may have recorded one attempt more, which it never ordered: left in its books,
-        that would take a place at an endpoint for good.
-        """
-        if self._balancer.has_failed:
-            never_ordered = len(request.attempts)
-            self._handle_event(
-                balancing.AttemptFinished(request.id, never_ordered, 0, balancing.AttemptResult.NEVER_SENT, True, 0)
-            )
-        self._handle_event(balancing.ClientDisconnected(request.id))
-
-    def _update_endpoint(self, endpoint: balancing.Endpoint | None) -> None:
-        if endpoint is not None:
-            self._tell_endpoints(balancing.EndpointUpdateKind.DELTA, [endpoint])
-
-    def _tell_endpoints(self, kind: balancing.EndpointUpdateKind, endpoints: list[balancing.Endpoint]) -> None:
-        if not self._handle_event(balancing.EndpointUpdate(kind, endpoints)):
-            self._endpoints_due_ns = self._loop.now() + FAULT_RETRY_NS
-
-    def _tell_endpoints_again(self) -> None:
-        """Tell the balancer the whole list, after it failed on a part; the watch may have been lost with it."""
-        self._endpoints_due_ns = None
+    def _restart_watch(self) -> None:
         if self._subscribes_to_endpoints:
             self._watch_endpoints()
-        self._tell_endpoints(balancing.EndpointUpdateKind.FULL, self._endpoints.all())
 
     def _handle_event(self, event: balancing.Event, request: PendingRequest | None = None) -> bool:
         """Let the balancer decide on an event, of this request if any; return whether it did."""
--- a/tests/dispatch/test_balancer_faults.py
+++ b/tests/dispatch/test_balancer_faults.py
@@ -10,7 +10,7 @@
 from lugtally import balancing, dispatch
 from lugtally.balancing import outlier_detection, retry_budget
 from lugtally.balancing.balancer import Balancer
-from lugtally.dispatch import dispatcher as dispatcher_module
+from lugtally.dispatch import fault_recovery
 from lugtally.dispatch.attempt_outcome import AttemptOutcome
 from lugtally.dispatch.endpoint_registry import DRAINING, READY, ListedEndpoint
 from lugtally.eventloop import EventLoop
@@ -263,7 +263,7 @@
 
 def test_a_timer_that_it_failed_on_fires_again(fixture: Fixture, monkeypatch: pytest.MonkeyPatch) -> None:
     """It may be a chain, as that of the watch, which would end for good."""
-    monkeypatch.setattr(dispatcher_module, "FAULT_RETRY_NS", NS_PER_MS)
+    monkeypatch.setattr(fault_recovery, "FAULT_RETRY_NS", NS_PER_MS)
     watched: list[int] = []
     fixture.dispatcher.set_handlers(lambda _: None, lambda: watched.append(1))
 
@@ -287,7 +287,7 @@
 
 def test_a_list_that_it_failed_on_is_told_again_whole(fixture: Fixture, monkeypatch: pytest.MonkeyPatch) -> None:
     """A drain in it was lost until discovery happened to name the endpoint again."""
-    monkeypatch.setattr(dispatcher_module, "FAULT_RETRY_NS", NS_PER_MS)
+    monkeypatch.setattr(fault_recovery, "FAULT_RETRY_NS", NS_PER_MS)
     watched: list[int] = []
     fixture.dispatcher.set_handlers(lambda _: None, lambda: watched.append(1))
 
