--- a/lugtally/dispatch/__init__.py
+++ b/lugtally/dispatch/__init__.py
@@ -1,7 +1,7 @@
 """Requests in progress, between the connections and the balancer.
 
-It owns each request from its arrival to its final answer, the timers of the balancer, drains by operators and the
-request metrics.  It must not know sockets or protocols, and it decides nothing.
+This package owns each request from its submission to its final answer, the timers of the balancer, the operators'
+drains and the request metrics.  It must not know sockets or protocols, and it makes no balancing decision.
 """
 
 from lugtally.dispatch.attempt_outcome import ATTEMPT_RESULTS, FULLY_SENT, AttemptOutcome
--- a/lugtally/dispatch/attempt_outcome.py
+++ b/lugtally/dispatch/attempt_outcome.py
@@ -1,4 +1,4 @@
-"""Every way in which an attempt can end, and what each means to the decision module."""
+"""The outcomes of an attempt, and the result that each is reported as to the balancer."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 
 class AttemptOutcome(Enum):
-    """How an attempt ended.  ``BEFORE_SENT`` ones ended before the request's last byte was written."""
-
-    SERVED = "a whole 200 answer"
-    ERRORED = "another answer that does not rule out that the request ran"
-    DECLINED = "an answer that the request itself is at fault"
-    REJECTED = "503 or 504, marked as not processed"
-    CONNECTION_REFUSED = "the connection was refused or could not be made"
-    CONNECT_TIMEOUT = "the connection did not come up in time"
-    NO_DESCRIPTOR = "no descriptor was free for a connection"
-    RESET_BEFORE_SENT = "the connection broke before the last byte was written"
-    RESET = "the connection broke or ended after that, without a whole answer"
-    MALFORMED_RESPONSE = "what came back is no HTTP answer, or too large a one"
-    TIMEOUT_BEFORE_SENT = "time ran out before the last byte was written"
-    TIMEOUT = "time ran out after that"
-    CANCELLED_BEFORE_SENT = "called off before the last byte was written"
-    CANCELLED = "called off after that"
+    """How an attempt ended.  "Sent" means that the last byte of the request was written."""
+
+    SERVED = "a complete response with status 200"
+    ERRORED = "a complete response after which the request may have been processed"
+    DECLINED = "a complete response that reports a fault of the request"
+    REJECTED = "a response with status 503 or 504, marked as not processed"
+    CONNECTION_REFUSED = "the connection could not be established"
+    CONNECT_TIMEOUT = "the connection was not established within the connect timeout"
+    NO_DESCRIPTOR = "no file descriptor was available for a connection"
+    RESET_BEFORE_SENT = "the connection failed before the request was sent"
+    RESET = "the connection failed or was closed before the response was complete"
+    MALFORMED_RESPONSE = "the response is not valid HTTP, or is too large"
+    TIMEOUT_BEFORE_SENT = "the deadline passed before the request was sent"
+    TIMEOUT = "the deadline passed before the response was complete"
+    CANCELLED_BEFORE_SENT = "the attempt was cancelled before the request was sent"
+    CANCELLED = "the attempt was cancelled before the response was complete"
 
 
 ATTEMPT_RESULTS: dict[AttemptOutcome, AttemptResult] = {
@@ -42,11 +42,18 @@
     AttemptOutcome.CANCELLED_BEFORE_SENT: AttemptResult.NEVER_SENT,
     AttemptOutcome.CANCELLED: AttemptResult.CANCELLED,
 }
-
-
-FULLY_SENT = frozenset(outcome for outcome in AttemptOutcome if not outcome.name.endswith("_BEFORE_SENT")) - {
-    AttemptOutcome.CONNECTION_REFUSED,
-    AttemptOutcome.CONNECT_TIMEOUT,
-    AttemptOutcome.NO_DESCRIPTOR,
-}
-"""Endings of steps whose last byte was written: the attempts that the counters call dispatches."""
+"""The result that each outcome is reported as to the balancer."""
+
+FULLY_SENT = frozenset(
+    {
+        AttemptOutcome.SERVED,
+        AttemptOutcome.ERRORED,
+        AttemptOutcome.DECLINED,
+        AttemptOutcome.REJECTED,
+        AttemptOutcome.RESET,
+        AttemptOutcome.MALFORMED_RESPONSE,
+        AttemptOutcome.TIMEOUT,
+        AttemptOutcome.CANCELLED,
+    }
+)
+"""Outcomes of attempts whose request was sent: the counters call these attempts dispatches."""
--- a/lugtally/dispatch/balancer_timers.py
+++ b/lugtally/dispatch/balancer_timers.py
@@ -1,4 +1,4 @@
-"""The timers that the balancer has set, by the time at which they come due."""
+"""The timers that the balancer has set."""
 
 from __future__ import annotations
 
@@ -8,37 +8,37 @@
 from lugtally import balancing
 
 NO_REQUEST = ""
-"""In the place of a request's id: no request waits for the timer alone."""
+"""The request id of a timer that no request waits for."""
 
 
 class BalancerTimer(NamedTuple):
-    """One timer; ``sequence`` keeps those of the same time in the order in which they were set."""
+    """A timer of the balancer; ``sequence`` orders timers that are due at the same time."""
 
     due_ns: int
     sequence: int
     timer: balancing.Timer
     request_id: str
-    """The request for which nothing but this timer is under way, or ``NO_REQUEST``."""
+    """The request that waits for this timer and nothing else, or ``NO_REQUEST``."""
 
 
 class BalancerTimers:
-    """A heap of timers; those of the same time come due in the order in which they were set."""
+    """A heap of timers.  Timers that are due at the same time fire in the order in which they were set."""
 
     def __init__(self) -> None:
         self._heap: list[BalancerTimer] = []
         self._sequence = 0
 
     def add(self, due_ns: int, timer: balancing.Timer, request_id: str = NO_REQUEST) -> None:
-        """Schedule a timer for that time."""
+        """Add a timer that is due at ``due_ns`` on the clock of the event loop."""
         self._sequence += 1
         heappush(self._heap, BalancerTimer(due_ns, self._sequence, timer, request_id))
 
     def pop_due(self, now_ns: int) -> BalancerTimer | None:
-        """Remove and return a timer that has come due, or ``None``."""
+        """Remove and return the earliest timer that is due; ``None`` if there is none."""
         if self._heap and self._heap[0].due_ns <= now_ns:
             return heappop(self._heap)
         return None
 
     def next_due_ns(self) -> int | None:
-        """Return when the next timer comes due, or ``None``."""
+        """Return when the next timer is due; ``None`` if there is none."""
         return self._heap[0].due_ns if self._heap else None
--- a/lugtally/dispatch/decision.py
+++ b/lugtally/dispatch/decision.py
@@ -1,4 +1,4 @@
-"""What is to be done next for a request."""
+"""Decisions on a request: start an attempt, or give the final answer."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class StartAttempt:
-    """Start attempt ``number`` at this endpoint; it times out at ``deadline_ns`` on the loop's clock."""
+    """Start attempt ``number`` at this endpoint.  It times out at ``deadline_ns`` on the event loop's clock."""
 
     number: int
     endpoint_id: int
@@ -16,19 +16,23 @@
 
 @dataclass(slots=True)
 class Rejected:
-    """Final: not processed, so a repeat is safe, best after ``retry_after_ns`` (0: no advice)."""
+    """Final: the request was not processed, and the client may retry it.
+
+    Attributes:
+        retry_after_ns: When the client should retry; 0 sends no advice.
+    """
 
     retry_after_ns: int
 
 
 @dataclass(slots=True)
 class Failed:
-    """Final: the request failed, and may have run."""
+    """Final: the request failed and may have been processed."""
 
 
 @dataclass(slots=True)
 class Finished:
-    """Final: nothing is left to decide; an attempt was served, or the client is gone."""
+    """Final: an attempt was served, or the client disconnected."""
 
 
 Decision = StartAttempt | Rejected | Failed | Finished
--- a/lugtally/dispatch/dispatcher.py
+++ b/lugtally/dispatch/dispatcher.py
@@ -1,7 +1,7 @@
-"""The dispatcher: the one caller of the balancer.
+"""The dispatcher: the only caller of the balancer.
 
-It turns what happens to requests, attempts and endpoints into the balancer's events, and its actions into decisions
-that the tasks of the requests wait for.
+It translates changes of requests, attempts and endpoints into events of the balancer.  It translates the balancer's
+actions into decisions, which the tasks of the requests wait for.
 """
 
 from __future__ import annotations
@@ -29,15 +29,19 @@
 from lugtally.units import NS_PER_MS
 
 DEADLINE_MARGIN_NS = 20 * NS_PER_MS
-"""How long after its deadline a request without a decision is answered."""
+"""How long after its deadline a request without a decision gets its final answer."""
 
 
 def _do_nothing(*_: object) -> None:
-    """Stand in for a handler that has not been set."""
+    """Replace a handler that has not been set."""
 
 
 class Dispatcher:
-    """All requests in progress of one sidecar."""
+    """Manages the requests in progress of one sidecar.
+
+    Attributes:
+        metrics: The counters of requests and attempts.
+    """
 
     def __init__(
         self,
@@ -62,20 +66,20 @@
         self.metrics = RequestMetrics(tuple(request_class.name for request_class in settings.classes))
 
     def set_handlers(self, close_idle_connections: Callable[[int], None], watch_endpoints: Callable[[], None]) -> None:
-        """Name who closes the idle connections to an endpoint, and who watches the endpoint list."""
+        """Set what closes the idle connections to an endpoint, and what polls the endpoint list."""
         self._close_idle_connections = close_idle_connections
         self._watch_endpoints = watch_endpoints
 
     def set_admission_controller(self, admission: AdmissionController) -> None:
-        """Ask this controller before anything is done for a request."""
+        """Check each request with this controller before it is processed."""
         self._admission = admission
 
     # ------------------------------------------------------------ requests
 
     def reject_if_overloaded(self, class_index: int, time_left_ns: int) -> Rejected | None:
-        """Return the answer of a request that must not come in now, as this sidecar itself is overloaded.
+        """Return a rejection if this sidecar is itself overloaded, else ``None``.
 
-        Called with nothing done for the request but its head read, so that nothing of it has been sent.
+        The caller has only read the head of the request: no byte of it has been sent to an endpoint.
         """
         admission = self._admission
         if admission is None:
@@ -93,49 +97,50 @@
         return Rejected(admission.retry_after_ns())
 
     def next_decision(self, request: PendingRequest) -> Decision:
-        """Block until the next decision on a request; the first call hands it to the balancer."""
+        """Block until the next decision on a request; the first call submits it to the balancer."""
         if not request.submitted:
             self._submit(request)
         while not request.decisions:
             if request.is_streaming:
-                # Its response has begun: the stream's own end ends it, however long it takes.
+                # The request has no deadline any more: it ends when its stream ends.
                 request.decision_ready.wait()
                 continue
             reason = request.decision_ready.wait(request.deadline_ns + DEADLINE_MARGIN_NS)
-            # Only where the loop had a turn: after a stall, attempts must first see that their time is over.
+            # READY without a decision is a stale wake-up.
+            # Wait again, so that attempts that timed out during a stall of the process report first.
             if reason is not WakeReason.READY and not request.decisions and not request.is_streaming:
-                # Guards the one final answer against a fault: else each attempt has timed out by now.
+                # All attempts have timed out by now, so only a fault of the balancer leads here.
                 if not request.deadline_was_shortened:
-                    logger.error("no decision by the deadline of a request", event="dispatch.deadline_exceeded")
+                    logger.error("a request got no decision by its deadline", event="dispatch.deadline_exceeded")
                 self._recovery.give_up(request)
         return request.decisions.popleft()
 
     def shorten_deadline(self, request: PendingRequest, deadline_ns: int) -> None:
-        """Answer a request by an earlier time than was thought."""
+        """Set an earlier deadline for a request that is already in progress."""
         request.deadline_ns = deadline_ns
         request.deadline_was_shortened = True
-        request.decision_ready.set()  # whoever waits for it waits for less
+        request.decision_ready.set()  # the waiting task must use the new deadline
 
     def claim_stream(self, request: PendingRequest, number: int) -> bool:
-        """Return whether an attempt with the head of a long response may pass it on; the first to ask may.
+        """Bind the request to an attempt whose response is streamed; return whether the attempt may send it.
 
-        From then on the balancer sends nothing more for the request, and only the end of that attempt ends it: the
-        others in flight are cancelled, as their responses could go nowhere.
+        Only the first attempt that claims the stream may.  The balancer starts no further attempt for the request, the
+        other attempts in flight are cancelled, and the request finishes when this attempt does.
         """
         if request.finished or request.is_streaming or number not in request.in_flight:
             return False
         request.streaming_attempt = number
         endpoint_id = request.attempts[number].endpoint_id
         if not self._handle_event(balancing.ResponseStarted(request.id, number, endpoint_id)):
-            self._recovery.withdraw(request)  # it must send nothing more for the request
+            self._recovery.withdraw(request)  # the balancer must not start another attempt
         for other in request.in_flight - {number}:
             request.cancel_attempt(other)
         return True
 
     def may_start(self, request: PendingRequest, number: int) -> bool:
-        """Return whether an attempt's bytes may go out now: asked right before each part of them is written."""
+        """Return whether bytes of an attempt may be written now.  Call this right before each write."""
         now_ns = self._loop.now()
-        return request.wants(number, now_ns) and self._balancer.may_start(now_ns, request.id, number)
+        return request.allows_attempt(number, now_ns) and self._balancer.may_start(now_ns, request.id, number)
 
     def attempt_finished(
         self,
@@ -144,34 +149,34 @@
         outcome: AttemptOutcome,
         load_report: tuple[float, ...] | None = None,
     ) -> bool:
-        """Take the end of an attempt; every attempt that was started reports one.
+        """Record how an attempt ended; return whether its response is the final answer of the request.
 
-        Returns whether its response is the request's answer.
+        Call this exactly once for each attempt that was started.
         """
         request.in_flight.discard(number)
         attempt = request.attempts[number]
-        bound = request.streaming_attempt == number
+        is_streamed = request.streaming_attempt == number
         served = outcome is AttemptOutcome.SERVED
-        won = served and not request.finished and (not request.is_streaming or bound)
+        won = served and not request.finished and (not request.is_streaming or is_streamed)
         duration_ns = self._loop.now() - attempt.started_ns
         if outcome in FULLY_SENT:
             self.metrics.record_dispatch()
         result = ATTEMPT_RESULTS[outcome]
         attempt.may_have_run = result not in balancing.NOT_PROCESSED
-        is_over = won or request.finished or bound
+        request_finished = won or request.finished or is_streamed
         handled = self._handle_event(
             balancing.AttemptFinished(
-                request.id, number, attempt.endpoint_id, result, is_over, duration_ns, load_report
+                request.id, number, attempt.endpoint_id, result, request_finished, duration_ns, load_report
             ),
             request,
         )
         if won:
-            if not bound:  # a stream lasts as long as its client takes to read it
+            if not is_streamed:  # the duration of a stream depends on how fast its client reads
                 self._service_times.record(request.class_index, duration_ns)
             self.metrics.record_success(request.class_index)
             self._finish(request, Finished())
-        elif bound:
-            self._finish(request, Failed())  # half a response has gone out: the client's connection ends
+        elif is_streamed:
+            self._finish(request, Failed())  # the client has received a truncated response
         elif not handled:
             self._recovery.recover(request)
         else:
@@ -179,7 +184,7 @@
         return won
 
     def client_disconnected(self, request: PendingRequest) -> None:
-        """Take it that the client went away; nothing happens where the request is over."""
+        """Record that the client disconnected.  Does nothing if the request has finished."""
         if not request.finished:
             self._handle_event(balancing.ClientDisconnected(request.id))
             self.metrics.record_disconnect()
@@ -188,7 +193,7 @@
     # ------------------------------------------------------------ endpoints
 
     def update_endpoints(self, kind: balancing.EndpointUpdateKind, endpoints: Iterable[ListedEndpoint] = ()) -> None:
-        """Take an update of the endpoint list, or that none could be had (``FAILED``)."""
+        """Apply an update of the endpoint list.  ``FAILED`` reports that discovery could not be polled."""
         self._endpoint_updates.apply(kind, endpoints)
 
     def was_listed(self, endpoint_id: int) -> bool:
@@ -196,38 +201,38 @@
         return self._endpoint_updates.registry.was_listed(endpoint_id)
 
     def start_drain(self, endpoint_id: int) -> None:
-        """Send the endpoint no new work from now on, until :meth:`end_drain`."""
+        """Drain the endpoint: it gets no new requests until :meth:`end_drain`."""
         self._endpoint_updates.start_drain(endpoint_id)
 
     def end_drain(self, endpoint_id: int) -> None:
-        """Let the endpoint come back as one that has just started: it warms up."""
+        """End the drain of the endpoint, which then warms up as after a restart."""
         self._endpoint_updates.end_drain(endpoint_id)
 
-    # ------------------------------------------------------------ figures
+    # ------------------------------------------------------------ metrics
 
     @property
     def in_progress(self) -> int:
-        """The number of requests that were taken and have not ended."""
+        """The number of submitted requests without a final answer."""
         return len(self._pending)
 
     @property
     def endpoint_count(self) -> int:
-        """The number of endpoints in the list at hand."""
+        """The number of endpoints in the current list."""
         return len(self._endpoint_updates.registry)
 
     def disabled_count(self) -> int:
-        """Return how many listed endpoints get no new work now: drained by operators, or ejected."""
+        """Return how many listed endpoints are currently drained by operators or ejected."""
         drained_count = self._endpoint_updates.registry.drained_count()
         return drained_count + self._balancer.ejected_count(self._loop.now())
 
     def request_counts(self) -> dict[str, int]:
-        """Return the requests by how they ended so far, and those in progress, by the keys of the status socket."""
+        """Return the requests in progress and the finished ones by result, keyed as on the status socket."""
         return self.metrics.request_counts(len(self._pending))
 
     # ------------------------------------------------------------ the balancer
 
     def run_due_timers(self) -> int | None:
-        """Fire the balancer's timers that have come due; returns when the next one does, or ``None``."""
+        """Fire the balancer's timers that are due; return when the next one is due, or ``None``."""
         now_ns = self._loop.now()
         while (due := self._timers.pop_due(now_ns)) is not None:
             self._fire_timer(now_ns, due)
@@ -249,7 +254,7 @@
             if request is not None:
                 self._recovery.give_up_if_stranded(request)
             return
-        # The timer may be one of a chain, each of which sets the next: it must not be lost.
+        # The timer may be one that sets itself again, as the poll timer does, so it must not be lost.
         self._timers.add(now_ns + fault_recovery.FAULT_RETRY_NS, due.timer)
         for pending in list(self._pending.values()):
             self._recovery.give_up_if_stranded(pending)
@@ -257,11 +262,11 @@
     def _submit(self, request: PendingRequest) -> None:
         request.submitted = True
         self._last_id += 1
-        request.id = str(self._last_id)  # our own: a client that repeats an id in flight must not lose one
+        request.id = str(self._last_id)  # not the client's id, which another request in flight may have
         self._pending[request.id] = request
         time_left_ns = request.deadline_ns - self._loop.now()
         if time_left_ns <= 0:
-            self._finish(request, Rejected(0))  # it waited for too long before it came here
+            self._finish(request, Rejected(0))  # the deadline passed before the submission
             return
         event = balancing.Request(request.id, request.class_index, request.tenant_index, time_left_ns, request.is_retry)
         if self._handle_event(event, request):
@@ -270,7 +275,7 @@
             self._recovery.recover(request)
 
     def _finish(self, request: PendingRequest, decision: Decision) -> None:
-        """End the request: its last decision, and an end to the attempts that are still in flight."""
+        """Give the request its final decision and cancel its attempts in flight.  Does nothing if it has finished."""
         if request.finished:
             return
         request.finished = True
@@ -289,7 +294,10 @@
             self._watch_endpoints()
 
     def _handle_event(self, event: balancing.Event, request: PendingRequest | None = None) -> bool:
-        """Let the balancer decide on an event, of this request if any; return whether it did."""
+        """Send an event to the balancer and perform its actions; return false if the balancer failed on the event.
+
+        ``request`` is the request that the event belongs to, if any.
+        """
         now_ns = self._loop.now()
         actions = self._balancer.handle(now_ns, event)
         if actions is None:
@@ -298,13 +306,17 @@
             try:
                 self._perform(now_ns, action, request)
             except Exception:
-                # The other actions, and what the caller has still to do, must not be lost with it.
+                # A fault in one action must not prevent the others, nor the remaining work of the caller.
                 action_type = type(action).__name__
-                logger.exception("{action_type} failed", event="dispatch.action_failed", action_type=action_type)
+                logger.exception(
+                    "the action {action_type} raised an exception",
+                    event="dispatch.action_failed",
+                    action_type=action_type,
+                )
         return True
 
     def _perform(self, now_ns: int, action: balancing.Action, subject: PendingRequest | None = None) -> None:
-        """Take one action, decided on an event of the request ``subject``."""
+        """Perform one action, which the balancer returned for an event of the request ``subject``."""
         match action:
             case balancing.SendAttempt(request_id, endpoint_id, timeout_ns):
                 if (request := self._pending.get(request_id)) is not None:
@@ -326,7 +338,7 @@
         if subject is None or subject.finished or subject.in_flight:
             self._timers.add(due_ns, timer)
             return
-        subject.awaited_timer = timer  # nothing else is under way for it: this must be what it waits for
+        subject.awaited_timer = timer  # the request waits for nothing else
         self._timers.add(due_ns, timer, subject.id)
 
     def _start_attempt(self, request: PendingRequest, endpoint_id: int, now_ns: int, timeout_ns: int) -> None:
--- a/lugtally/dispatch/guarded_policy.py
+++ b/lugtally/dispatch/guarded_policy.py
@@ -1,4 +1,4 @@
-"""The balancer as the dispatcher calls it: a fault in it ends no task, and the dispatcher hears of it."""
+"""A wrapper that catches the exceptions of a balancing policy and reports them to the dispatcher."""
 
 from __future__ import annotations
 
@@ -11,7 +11,12 @@
 
 
 class GuardedPolicy:
-    """A balancing policy that may fail."""
+    """Calls a balancing policy and catches its exceptions, so that they end no task.
+
+    Attributes:
+        has_failed: Whether the policy ever raised an exception.  Actions may be lost since, and the policy may wait for
+            attempts that never started.
+    """
 
     __slots__ = ("_ejected_count", "_may_start", "_policy", "has_failed")
 
@@ -20,29 +25,32 @@
         self._may_start: Callable[[int, str, int], bool] | None = getattr(policy, "may_start", None)
         self._ejected_count: Callable[[int], int] | None = getattr(policy, "ejected_count", None)
         self.has_failed = False
-        """Whether it ever failed: actions may have been lost, and it may wait for attempts that never began."""
 
     def handle(self, now_ns: int, event: balancing.Event) -> list[balancing.Action] | None:
-        """Return what to do about an event; ``None`` where the policy failed on it."""
+        """Return the actions of the policy on an event; ``None`` if the policy failed."""
         try:
             return self._policy.handle(now_ns, event)
         except Exception:
             self.has_failed = True
-            event_type = type(event).__name__
-            logger.exception("the balancer failed on {event_type}", event="balancing.failed", event_type=event_type)
+            _log_failure(type(event).__name__)
             return None
 
     def may_start(self, now_ns: int, request_id: str, number: int) -> bool:
-        """Return whether an attempt may still be written; where the policy cannot say, it may not."""
+        """Return whether bytes of an attempt may be written; false if the policy failed."""
         if self._may_start is None:
             return True
         try:
             return self._may_start(now_ns, request_id, number)
         except Exception:
             self.has_failed = True
-            logger.exception("the balancer failed on {event_type}", event="balancing.failed", event_type="may_start")
+            _log_failure("may_start")
             return False
 
     def ejected_count(self, now_ns: int) -> int:
-        """Return how many endpoints the policy leaves out for now."""
+        """Return how many endpoints the policy currently ejects."""
         return 0 if self._ejected_count is None else self._ejected_count(now_ns)
+
+
+def _log_failure(event_type: str) -> None:
+    """Log the exception that is being handled."""
+    logger.exception("the balancer failed on {event_type}", event="balancing.failed", event_type=event_type)
--- a/lugtally/dispatch/pending_request.py
+++ b/lugtally/dispatch/pending_request.py
@@ -1,4 +1,4 @@
-"""One request from its arrival to its final answer, as the dispatcher sees it."""
+"""The state of one request from its submission to its final answer."""
 
 from __future__ import annotations
 
@@ -11,14 +11,20 @@
 from lugtally.eventloop import Event, EventLoop
 
 UNKNOWN_TENANT = -1
-"""The tenant of a request that names none, or one that the settings do not know."""
+"""The tenant index of a request without a tenant, or with one that is not in the settings."""
 NO_ATTEMPT = -1
-"""In the place of an attempt's number."""
+"""The number that stands for no attempt."""
 
 
 @dataclass(slots=True)
 class SentAttempt:
-    """Where and when an attempt was started, and whether it may have run: until its end proves the contrary."""
+    """An attempt that was started.
+
+    Attributes:
+        endpoint_id: The endpoint of the attempt.
+        started_ns: When it was started, on the event loop's clock.
+        may_have_run: Whether the endpoint may have processed the request; false once the outcome rules this out.
+    """
 
     endpoint_id: int
     started_ns: int
@@ -26,7 +32,25 @@
 
 
 class PendingRequest:
-    """A request that is owed its final answer."""
+    """A request in progress.
+
+    Attributes:
+        id: Assigned at submission; empty before.
+        class_index: The index of the request's class in the settings.
+        tenant_index: The index of the tenant in the settings, or ``UNKNOWN_TENANT``.
+        deadline_ns: When the final answer is due, on the event loop's clock.
+        deadline_was_shortened: Whether attempts may have started with a later deadline.
+        is_retry: Whether the client marked the request as a retry.
+        cancel_attempt: Cancels the attempt of that number, which reports its outcome later.
+        decisions: Decisions that the task of the request has not processed yet.
+        decision_ready: Set when a decision is added or the deadline changes.
+        attempts: All attempts, by number.
+        in_flight: The numbers of the attempts that have not finished.
+        submitted: Whether the request was handed to the dispatcher.
+        awaited_timer: The balancer's timer that the request waits for, with no attempt in flight.
+        finished: Whether the final decision has been made.
+        streaming_attempt: The attempt whose response is streamed to the client, or ``NO_ATTEMPT``.
+    """
 
     __slots__ = (
         "attempts",
@@ -55,13 +79,11 @@
         cancel_attempt: Callable[[int], None],
         tenant_index: int = UNKNOWN_TENANT,
     ) -> None:
-        """``cancel_attempt`` calls off the attempt of that number, which reports its end later."""
         self.id = ""
         self.class_index = class_index
         self.tenant_index = tenant_index
         self.deadline_ns = deadline_ns
         self.deadline_was_shortened = False
-        """Whether it had more time when its attempts began, which may go on for longer then."""
         self.is_retry = is_retry
         self.cancel_attempt = cancel_attempt
         self.decisions: deque[Decision] = deque()
@@ -69,32 +91,30 @@
         self.attempts: list[SentAttempt] = []
         self.in_flight: set[int] = set()
         self.submitted = False
-        """Whether the balancer has been told of it."""
         self.awaited_timer: balancing.Timer | None = None
-        """The balancer's timer that it waits for, with nothing in flight."""
         self.finished = False
         self.streaming_attempt = NO_ATTEMPT
-        """The attempt whose response is passed on as it comes: the request is bound to it."""
 
     @property
     def is_streaming(self) -> bool:
-        """Whether part of a response has gone to the client."""
+        """Whether the response of an attempt is being streamed to the client."""
         return self.streaming_attempt != NO_ATTEMPT
 
     @property
     def may_have_run(self) -> bool:
-        """Whether an endpoint may have processed it."""
+        """Whether an endpoint may have processed the request."""
         return any(attempt.may_have_run for attempt in self.attempts)
 
     @property
     def is_stranded(self) -> bool:
-        """Whether it is owed an answer and nothing is under way that could bring one."""
+        """Whether the request has no final answer and waits for nothing that could lead to one."""
         return not (self.finished or self.is_streaming or self.in_flight or self.awaited_timer is not None)
 
-    def wants(self, number: int, now_ns: int) -> bool:
-        """Return whether that attempt may begin at ``now_ns``, or go on being written.
+    def allows_attempt(self, number: int, now_ns: int) -> bool:
+        """Return whether the attempt may start, or continue to be written, at ``now_ns``.
 
-        It may not where an answer has come or begun, the attempt was called off or the request's time is over.
+        It may not if the request has finished or streams another response, the attempt is no longer in flight, or the
+        deadline has passed.
         """
         if self.finished or number not in self.in_flight or now_ns >= self.deadline_ns:
             return False
--- a/lugtally/dispatch/policy.py
+++ b/lugtally/dispatch/policy.py
@@ -1,4 +1,4 @@
-"""What the dispatcher needs of whatever takes the decisions."""
+"""The interface of a balancing policy, as the dispatcher requires it."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 class BalancingPolicy(Protocol):
-    """The shipped :class:`~lugtally.balancing.Balancer`, or a baseline that the testbed compares it with.
+    """The shipped :class:`~lugtally.balancing.Balancer`, or a baseline that the testbed compares with it.
 
-    A policy may also have ``may_start(now_ns, request_id, attempt)``, which returns whether an attempt may still be
-    written, and ``ejected_count(now_ns)``, the number of endpoints that it leaves out for now.
+    A policy may define two further methods.  ``may_start(now_ns, request_id, attempt)`` returns whether bytes of an
+    attempt may be written.  ``ejected_count(now_ns)`` returns the number of endpoints that are currently ejected.
     """
 
     def handle(self, now: int, event: balancing.Event, /) -> list[balancing.Action]:
-        """Return what to do about an event at ``now`` (nanoseconds)."""
+        """Return the actions on an event that occurred at ``now`` (nanoseconds)."""
 
 
 BalancingPolicyFactory = Callable[[balancing.Settings, int], BalancingPolicy]
-"""Builds a policy from its settings and seed."""
+"""Builds a policy from the settings and a seed."""
--- a/lugtally/downstream/exchange.py
+++ b/lugtally/downstream/exchange.py
@@ -168,7 +168,7 @@
 
     def _run_attempt(self, attempt: StartAttempt) -> None:
         outcome, response = AttemptOutcome.CANCELLED_BEFORE_SENT, None
-        if self._request.wants(attempt.number, self._services.loop.now()):
+        if self._request.allows_attempt(attempt.number, self._services.loop.now()):
             try:
                 outcome, response = self._services.upstream.execute_attempt(
                     attempt.endpoint_id,
