--- a/lugtally/config/endpoint_list.py
+++ b/lugtally/config/endpoint_list.py
@@ -7,6 +7,7 @@
 
 import socket
 from dataclasses import dataclass, field
+from enum import Enum
 from hashlib import blake2b
 from typing import Any
 
@@ -20,6 +21,19 @@
 """The first integer that a JSON number need not hold exactly."""
 
 
+class ListedState(Enum):
+    """The state of an endpoint in the endpoint list."""
+
+    READY = "gets requests"
+    DRAINING = "gets no new requests"
+    REMOVED = "is no longer listed"
+    UNKNOWN = "is listed in a state that this version does not know, and gets no requests"
+
+
+STATES_BY_WORD = {"ready": ListedState.READY, "draining": ListedState.DRAINING, "gone": ListedState.REMOVED}
+"""The states by their names in the list; every other name is ``ListedState.UNKNOWN``."""
+
+
 @dataclass(slots=True)
 class EndpointRecord:
     """One endpoint, decoded."""
@@ -28,7 +42,7 @@
     address: Address
     zone: str
     cell: int
-    state: str
+    state: ListedState
     started_ms: int
     """Unix time of its start; 0: long ago."""
 
@@ -92,15 +106,16 @@
     if not isinstance(raw, dict) or not isinstance(raw.get("id"), str):
         raise ValueError(f"{key}.id: a text is wanted")
     endpoint_id = endpoint_id_of(raw["id"])
-    state, cell = raw.get("state"), raw.get("cell")
+    word, cell = raw.get("state"), raw.get("cell")
     if cell is None:
         cell = ~endpoint_id  # unknown: it shares no record of idempotency keys, so it is a cell by itself
-    if not isinstance(state, str):
-        raise ValueError(f"{key}.state: {state!r} is no text")
+    if not isinstance(word, str):
+        raise ValueError(f"{key}.state: {word!r} is no text")
+    state = STATES_BY_WORD.get(word, ListedState.UNKNOWN)
     cell = _integer(cell, f"{key}.cell")
     started_ms = _timestamp_ms(raw.get("started_ms") or 0, f"{key}.started_ms")
     # A removed endpoint need not have an address any more.
-    has_no_address = state == "gone" and raw.get("addr") is None
+    has_no_address = state is ListedState.REMOVED and raw.get("addr") is None
     address = Address("", 0) if has_no_address else parse_address(raw.get("addr"), f"{key}.addr")
     return EndpointRecord(endpoint_id, address, str(raw.get("zone") or ""), cell, state, started_ms)
 
--- a/lugtally/discovery/start_times.py
+++ b/lugtally/discovery/start_times.py
@@ -4,8 +4,7 @@
 
 from typing import NamedTuple
 
-from lugtally.config.endpoint_list import EndpointRecord
-from lugtally.dispatch.endpoint_registry import REMOVED
+from lugtally.config.endpoint_list import EndpointRecord, ListedState
 from lugtally.eventloop import EventLoop
 from lugtally.units import NS_PER_MS
 
@@ -37,7 +36,7 @@
             return known.started_ns
         clock_offset_ns = self._loop.wall_clock() - self._loop.now()
         started_ns = max(1, record.started_ms * NS_PER_MS - clock_offset_ns)
-        if record.state != REMOVED:
+        if record.state is not ListedState.REMOVED:
             self._converted[record.endpoint_id] = _StartTime(record.started_ms, started_ns)
         return started_ns
 
--- a/lugtally/discovery/watcher.py
+++ b/lugtally/discovery/watcher.py
@@ -6,13 +6,13 @@
 
 from lugtally.address import Address
 from lugtally.balancing import EndpointUpdateKind
-from lugtally.config.endpoint_list import EndpointList, EndpointRecord
+from lugtally.config.endpoint_list import EndpointList, EndpointRecord, ListedState
 from lugtally.discovery import timing
 from lugtally.discovery.client import DiscoveryClient
 from lugtally.discovery.start_times import StartTimeConverter
 from lugtally.discovery.timing import MAX_BACKOFF_NS
 from lugtally.dispatch.dispatcher import Dispatcher
-from lugtally.dispatch.endpoint_registry import READY, REMOVED, ListedEndpoint
+from lugtally.dispatch.endpoint_registry import ListedEndpoint
 from lugtally.eventloop import Event, EventLoop, Task
 from lugtally.http1 import ProtocolError
 from lugtally.upstream import UpstreamPool
@@ -43,7 +43,7 @@
     @property
     def ready_count(self) -> int:
         """How many endpoints are listed as ready."""
-        return sum(endpoint.state == READY for endpoint in self._endpoints.values())
+        return sum(endpoint.state is ListedState.READY for endpoint in self._endpoints.values())
 
     def start(self, cached_list: EndpointList) -> None:
         """Begin with the list cached over a restart, then watch whenever the balancer asks for it."""
@@ -77,7 +77,7 @@
             self._forget(endpoint_id)
         for record in update.records:
             endpoint = self._listed_endpoint(record)
-            if record.state != REMOVED:
+            if record.state is not ListedState.REMOVED:
                 self._endpoints[record.endpoint_id] = endpoint
                 self._upstream.set_address(record.endpoint_id, record.address)
             listed.append(endpoint)
@@ -93,7 +93,7 @@
         )
 
     def _removed_ids(self, update: EndpointList, kind: EndpointUpdateKind) -> set[int]:
-        removed = {record.endpoint_id for record in update.records if record.state == REMOVED}
+        removed = {record.endpoint_id for record in update.records if record.state is ListedState.REMOVED}
         if kind is not EndpointUpdateKind.DELTA:  # a full list leaves them out
             listed = {record.endpoint_id for record in update.records}
             removed |= self._endpoints.keys() - listed - update.rejected.keys()
--- a/lugtally/dispatch/endpoint_registry.py
+++ b/lugtally/dispatch/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The endpoints as discovery lists them, with the drains that operators order laid over."""
+"""The listed endpoints and the operators' drains, which take precedence over the listed state."""
 
 from __future__ import annotations
 
@@ -6,42 +6,52 @@
 from dataclasses import dataclass
 
 from lugtally.balancing import Endpoint, EndpointState, EndpointUpdateKind
+from lugtally.config.endpoint_list import ListedState
 
-READY = "ready"
-DRAINING = "draining"
-REMOVED = "gone"
-_STATES = {READY: EndpointState.READY, DRAINING: EndpointState.DRAINING}
+_BALANCER_STATES = {
+    ListedState.READY: EndpointState.READY,
+    ListedState.DRAINING: EndpointState.DRAINING,
+    ListedState.REMOVED: EndpointState.REMOVED,
+    ListedState.UNKNOWN: EndpointState.REMOVED,
+}
 
 
 @dataclass(slots=True)
 class ListedEndpoint:
-    """An endpoint as the endpoint list names it; ``state`` is the list's own word."""
+    """An endpoint as the endpoint list describes it.
+
+    Attributes:
+        id: Derived from the id in the list.
+        zone: The number of its zone.
+        cell: The number of the cell that shares its deduplication records.
+        state: The listed state.
+        started_ns: When it started, on the event loop's clock; 0 if that is long ago.
+    """
 
     id: int
     zone: int
     cell: int
-    state: str
+    state: ListedState
     started_ns: int
 
 
 class EndpointRegistry:
-    """What is known of each endpoint, and which of them operators have taken out."""
+    """Holds the listed endpoints and the endpoints that operators drain."""
 
     def __init__(self) -> None:
         self._listed: dict[int, ListedEndpoint] = {}
         self._ever_listed: set[int] = set()
         self._drained: set[int] = set()
-        # Back from an operator's drain: warming up from then on, whatever the list says.
-        self._restarted_ns: dict[int, int] = {}
+        self._restarted_ns: dict[int, int] = {}  # when an operator's drain ended: slow start begins again
 
     def __len__(self) -> int:
         return len(self._listed)
 
     def update(self, kind: EndpointUpdateKind, endpoints: Iterable[ListedEndpoint]) -> list[Endpoint]:
-        """Take over an update of the list; returns it as the balancer is told it."""
+        """Apply an update of the list; return the updated endpoints as the balancer receives them."""
         updated = list(endpoints)
         for endpoint in updated:
-            if endpoint.state == REMOVED:
+            if endpoint.state is ListedState.REMOVED:
                 self._remove(endpoint.id)
             else:
                 self._listed[endpoint.id] = endpoint
@@ -52,7 +62,7 @@
         return [self._effective(endpoint) for endpoint in updated]
 
     def all(self) -> list[Endpoint]:
-        """Return the whole list as the balancer is to see it."""
+        """Return all listed endpoints as the balancer receives them."""
         return [self._effective(endpoint) for endpoint in self._listed.values()]
 
     def was_listed(self, endpoint_id: int) -> bool:
@@ -60,18 +70,18 @@
         return endpoint_id in self._ever_listed
 
     def drained_count(self) -> int:
-        """Return how many listed endpoints operators have taken out."""
+        """Return how many listed endpoints are drained by operators."""
         return len(self._drained & self._listed.keys())
 
     def start_drain(self, endpoint_id: int) -> Endpoint | None:
-        """Take the endpoint out; returns it as the balancer is to see it, or ``None`` where nothing changes."""
+        """Drain the endpoint; return it as the balancer receives it, or ``None`` if nothing changes."""
         if endpoint_id in self._drained:
             return None
         self._drained.add(endpoint_id)
         return self._effective_of(endpoint_id)
 
     def end_drain(self, endpoint_id: int, now_ns: int) -> Endpoint | None:
-        """Bring the endpoint back as one that has just started; returns it as :meth:`start_drain` does."""
+        """End the drain of the endpoint, which warms up again; return it as :meth:`start_drain` does."""
         if endpoint_id not in self._drained:
             return None
         self._drained.discard(endpoint_id)
@@ -88,9 +98,9 @@
         return None if endpoint is None else self._effective(endpoint)
 
     def _effective(self, endpoint: ListedEndpoint) -> Endpoint:
-        """An endpoint that operators have taken out drains, whatever the list says."""
-        state = _STATES.get(endpoint.state, EndpointState.REMOVED)
-        if endpoint.id in self._drained and endpoint.state != REMOVED:
+        """Return the endpoint as the balancer receives it: one that operators drain is draining until it is removed."""
+        state = _BALANCER_STATES[endpoint.state]
+        if endpoint.id in self._drained and endpoint.state is not ListedState.REMOVED:
             state = EndpointState.DRAINING
         started_ns = max(endpoint.started_ns, self._restarted_ns.get(endpoint.id, 0))
         return Endpoint(endpoint.id, endpoint.zone, endpoint.cell, state, started_ns)
--- a/tests/admin/test_operator_drains.py
+++ b/tests/admin/test_operator_drains.py
@@ -5,6 +5,7 @@
 from lugtally import balancing
 from lugtally.balancing.balancer import Balancer
 from lugtally.config.balancing_settings import read_settings
+from lugtally.config.endpoint_list import ListedState
 from lugtally.dispatch import Dispatcher, ListedEndpoint
 from lugtally.eventloop import EventLoop
 from lugtally.units import NS_PER_MS
@@ -30,7 +31,7 @@
 
 def listed(number: int, started_ns: int = 0) -> ListedEndpoint:
     """Return a ready endpoint as the list has it."""
-    return ListedEndpoint(number, 0, 0, "ready", started_ns)
+    return ListedEndpoint(number, 0, 0, ListedState.READY, started_ns)
 
 
 def test_a_server_drained_by_an_operator_drains_whatever_the_list_says() -> None:
--- a/tests/discovery/test_watcher.py
+++ b/tests/discovery/test_watcher.py
@@ -84,3 +84,31 @@
     tables = (endpoint_watcher._endpoints, endpoint_watcher._start_times._converted, upstream._addresses)
     assert [len(table) for table in tables] == [1, 1, 1]
     assert len(real_balancer.state.endpoints) == 1
+
+
+def test_unknown_state_stays_listed_and_is_removed_for_the_balancer(
+    endpoint_watcher: EndpointWatcher,
+    dispatcher: dispatch.Dispatcher,
+    upstream: UpstreamPool,
+    balancer: ScriptedBalancer,
+) -> None:
+    endpoint_id = endpoint_id_of("s-1")
+    row = {"id": "s-1", "addr": "127.0.0.1:1", "zone": "a", "state": "hibernating", "started_ms": 0}
+    update = parse_endpoint_list({"version": 1, "full": True, "servers": [row]}, "list")
+    endpoint_watcher._apply_update(update, balancing.EndpointUpdateKind.FULL)
+    dispatcher.start_drain(endpoint_id)
+    lists = [event.endpoints for event in balancer.events if isinstance(event, balancing.EndpointUpdate)]
+    assert [endpoint.state for endpoints in lists for endpoint in endpoints] == [
+        balancing.EndpointState.REMOVED,
+        balancing.EndpointState.DRAINING,
+    ]
+    assert dispatcher.endpoint_count == 1
+    assert endpoint_watcher.ready_count == 0
+    assert endpoint_id in upstream._addresses
+
+
+def test_removed_endpoint_needs_no_address_but_one_in_an_unknown_state_does() -> None:
+    row = {"id": "s-1", "state": "gone"}
+    assert len(parse_endpoint_list({"version": 1, "servers": [row]}, "list").records) == 1
+    with pytest.raises(ValueError, match=r"list\.servers\[0\]\.addr"):
+        parse_endpoint_list({"version": 1, "servers": [{**row, "state": "hibernating"}]}, "list")
--- a/tests/dispatch/test_balancer_faults.py
+++ b/tests/dispatch/test_balancer_faults.py
@@ -10,9 +10,10 @@
 from lugtally import balancing, dispatch
 from lugtally.balancing import outlier_detection, retry_budget
 from lugtally.balancing.balancer import Balancer
+from lugtally.config.endpoint_list import ListedState
 from lugtally.dispatch import fault_recovery
 from lugtally.dispatch.attempt_outcome import AttemptOutcome
-from lugtally.dispatch.endpoint_registry import DRAINING, READY, ListedEndpoint
+from lugtally.dispatch.endpoint_registry import ListedEndpoint
 from lugtally.eventloop import EventLoop
 from lugtally.units import NS_PER_MS, NS_PER_S
 from tests.dispatch.scripted_balancer import run_task
@@ -99,7 +100,7 @@
     balancer = Balancer(settings, 1)
     loop = EventLoop()
     dispatcher = dispatch.Dispatcher(settings, 1, loop, lambda *_: balancer)
-    listed = [ListedEndpoint(endpoint_id, 0, 0, READY, 0) for endpoint_id in (7, 8)]
+    listed = [ListedEndpoint(endpoint_id, 0, 0, ListedState.READY, 0) for endpoint_id in (7, 8)]
     dispatcher.update_endpoints(balancing.EndpointUpdateKind.CACHED, listed)
     watch_attempt = outlier_detection.watch_attempt
     watched: list[int] = []
@@ -299,9 +300,9 @@
     def work() -> None:
         kinds = balancing.EndpointUpdateKind
         fixture.dispatcher.update_endpoints(
-            kinds.FULL, [ListedEndpoint(7, 0, 0, READY, 0), ListedEndpoint(8, 0, 0, READY, 0)]
+            kinds.FULL, [ListedEndpoint(7, 0, 0, ListedState.READY, 0), ListedEndpoint(8, 0, 0, ListedState.READY, 0)]
         )
-        fixture.dispatcher.update_endpoints(kinds.DELTA, [ListedEndpoint(7, 0, 0, DRAINING, 0)])
+        fixture.dispatcher.update_endpoints(kinds.DELTA, [ListedEndpoint(7, 0, 0, ListedState.DRAINING, 0)])
         limit_ns = fixture.loop.now() + TIME_LEFT_NS // 2
         while len(fixture.balancer.events) < 3:
             assert fixture.loop.now() < limit_ns, "the list was lost"
