--- a/tests/discovery/test_watcher.py
+++ b/tests/discovery/test_watcher.py
@@ -1,4 +1,4 @@
-"""The endpoint watcher: what it converts, and what it retains of endpoints that left."""
+"""The endpoint watcher: start times, removed endpoints and unknown states."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     balancer: ScriptedBalancer,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A step of the wall clock used to look like a restart: a warm endpoint would have warmed up again."""
+    """A step of the wall clock used to look like a restart, after which the endpoint warmed up again."""
     started_ms = loop.wall_clock() // NS_PER_MS - 700
     raw = {
         "version": 1,
@@ -68,10 +68,10 @@
     assert lists[0][1].started_ns == 0
 
 
-def test_nothing_is_retained_of_removed_endpoints(
+def test_state_of_removed_endpoints_is_dropped(
     endpoint_watcher: EndpointWatcher, upstream: UpstreamPool, balancer: ScriptedBalancer
 ) -> None:
-    """On a long day thousands of ids come and go, and an address may return under a new one."""
+    """Thousands of endpoint ids may be listed in one day, and a new id may have the address of an old one."""
     real_balancer = Balancer(balancing.Settings(), 1)
     for version in range(1, 40):
         rows = [
@@ -86,7 +86,7 @@
     assert len(real_balancer.state.endpoints) == 1
 
 
-def test_unknown_state_stays_listed_and_is_removed_for_the_balancer(
+def test_unknown_state_is_listed_but_removed_for_balancer(
     endpoint_watcher: EndpointWatcher,
     dispatcher: dispatch.Dispatcher,
     upstream: UpstreamPool,
@@ -107,7 +107,7 @@
     assert endpoint_id in upstream._addresses
 
 
-def test_removed_endpoint_needs_no_address_but_one_in_an_unknown_state_does() -> None:
+def test_address_is_optional_for_removed_state_only() -> None:
     row = {"id": "s-1", "state": "gone"}
     assert len(parse_endpoint_list({"version": 1, "servers": [row]}, "list").records) == 1
     with pytest.raises(ValueError, match=r"list\.servers\[0\]\.addr"):
--- a/tests/dispatch/scripted_balancer.py
+++ b/tests/dispatch/scripted_balancer.py
@@ -1,4 +1,4 @@
-"""A balancer that decides by a script, and the running of one task under a dispatcher's timers."""
+"""A balancer with scripted actions, and a runner for one task of a dispatcher."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 class ScriptedBalancer:
-    """Stands in for the balancer: a request of class 0 starts two attempts; every event is recorded."""
+    """Records each event, and starts two attempts for each request of class 0."""
 
     def __init__(self) -> None:
         self.events: list[balancing.Event] = []
 
     def handle(self, now: int, event: balancing.Event) -> list[balancing.Action]:
-        """Two attempts for a request of class 0, and nothing else."""
+        """Return two attempts for a request of class 0, and no action for any other event."""
         self.events.append(event)
         if isinstance(event, balancing.Request) and event.class_index == 0:
             return [
@@ -32,14 +32,14 @@
 
 @pytest.fixture
 def balancer(monkeypatch: pytest.MonkeyPatch) -> ScriptedBalancer:
-    """The scripted balancer that each dispatcher of the test is built with."""
+    """Return the scripted balancer that each dispatcher of the test uses."""
     scripted = ScriptedBalancer()
     monkeypatch.setattr(dispatcher_module, "Balancer", lambda *_: scripted)
     return scripted
 
 
 def run_task(loop: EventLoop, dispatcher: dispatch.Dispatcher, work: Callable[[], object]) -> None:
-    """Run ``work`` as a task of ``loop`` until it is done; what it raises, a failed check too, is raised here."""
+    """Run ``work`` as a task of ``loop`` until it returns; raise what it raises, including failed assertions."""
     failed: list[BaseException] = []
 
     def body() -> None:
--- a/tests/dispatch/test_balancer_faults.py
+++ b/tests/dispatch/test_balancer_faults.py
@@ -1,4 +1,4 @@
-"""A balancer that raises: each request concerned is answered at once, and what follows is sound."""
+"""Faults of the balancer: requests are answered at once, and later events are handled correctly."""
 
 from __future__ import annotations
 
@@ -34,12 +34,12 @@
         return self.decide(event)
 
     def may_start(self, now: int, request_id: str, attempt: int) -> bool:
-        """Fail, as an unknown attempt might make it."""
+        """Fail as the balancer might on an unknown attempt."""
         raise KeyError(request_id)
 
 
-class Fixture:
-    """A dispatcher over a faulty balancer."""
+class FaultHarness:
+    """A dispatcher with a faulty balancer."""
 
     def __init__(self) -> None:
         self.loop = EventLoop()
@@ -54,19 +54,19 @@
         return dispatch.PendingRequest(self.loop, 0, deadline_ns, False, self.cancelled.append)
 
     def run(self, work: Callable[[], None]) -> None:
-        """Run ``work``; what it waits for comes long before a request's deadline."""
-        began_ns = self.loop.now()
+        """Run ``work``, which must not wait until a request's deadline."""
+        started_ns = self.loop.now()
         run_task(self.loop, self.dispatcher, work)
-        assert self.loop.now() - began_ns < TIME_LEFT_NS, "it waited for the deadline"
+        assert self.loop.now() - started_ns < TIME_LEFT_NS, "the request was answered at its deadline only"
 
-    def forgotten(self) -> list[str]:
-        """Ids of the requests that the balancer was told to forget."""
+    def withdrawn(self) -> list[str]:
+        """Return the ids of the requests that the balancer was notified to drop."""
         return [event.request_id for event in self.balancer.events if isinstance(event, balancing.ClientDisconnected)]
 
 
 @pytest.fixture
-def fixture() -> Fixture:
-    return Fixture()
+def harness() -> FaultHarness:
+    return FaultHarness()
 
 
 def fail_on(kind: type, attempts: int = 1) -> Decide:
@@ -82,20 +82,20 @@
     return decide
 
 
-def test_a_request_that_it_failed_on_is_rejected_at_once(fixture: Fixture) -> None:
-    fixture.balancer.decide = fail_on(balancing.Request)
+def test_request_is_rejected_at_once_after_submission_fault(harness: FaultHarness) -> None:
+    harness.balancer.decide = fail_on(balancing.Request)
 
     def work() -> None:
-        pending = fixture.pending()
-        assert fixture.dispatcher.next_decision(pending) == dispatch.Rejected(0)
-        assert fixture.forgotten() == [pending.id] * 2
+        pending = harness.pending()
+        assert harness.dispatcher.next_decision(pending) == dispatch.Rejected(0)
+        assert harness.withdrawn() == [pending.id] * 2
 
-    fixture.run(work)
+    harness.run(work)
 
 
 @pytest.mark.parametrize("fails_on", ["the first attempt", "the retry"])
-def test_the_balancers_books_are_right_after_a_fault(fails_on: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """An attempt that it recorded and never ordered took its place at the endpoint for good."""
+def test_balancer_state_is_consistent_after_fault(fails_on: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """An attempt that was recorded but never started used to count as in flight until the process ended."""
     settings = balancing.Settings(max_attempts=4, timer_resolution_ns=NS_PER_MS)
     balancer = Balancer(settings, 1)
     loop = EventLoop()
@@ -130,7 +130,7 @@
         assert not balancer.state.attempts
         assert not any(endpoint.in_flight for endpoint in balancer.state.endpoints.values())
         after = new_request()
-        assert isinstance(dispatcher.next_decision(after), dispatch.StartAttempt), "the next event is not sound"
+        assert isinstance(dispatcher.next_decision(after), dispatch.StartAttempt), "the next event is handled wrongly"
         assert dispatcher.attempt_finished(after, 0, AttemptOutcome.SERVED)
 
     run_task(loop, dispatcher, work)
@@ -144,75 +144,75 @@
         (AttemptOutcome.SERVED, dispatch.Finished()),
     ],
 )
-def test_an_attempt_whose_end_it_failed_on_ends_the_request(
-    outcome: AttemptOutcome, decision: dispatch.Decision, fixture: Fixture
+def test_request_ends_after_fault_on_finished_attempt(
+    outcome: AttemptOutcome, decision: dispatch.Decision, harness: FaultHarness
 ) -> None:
-    fixture.balancer.decide = fail_on(balancing.AttemptFinished)
+    harness.balancer.decide = fail_on(balancing.AttemptFinished)
 
     def work() -> None:
-        pending = fixture.pending()
-        assert isinstance(fixture.dispatcher.next_decision(pending), dispatch.StartAttempt)
-        fixture.dispatcher.attempt_finished(pending, 0, outcome)
-        assert fixture.dispatcher.next_decision(pending) == decision
+        pending = harness.pending()
+        assert isinstance(harness.dispatcher.next_decision(pending), dispatch.StartAttempt)
+        harness.dispatcher.attempt_finished(pending, 0, outcome)
+        assert harness.dispatcher.next_decision(pending) == decision
 
-    fixture.run(work)
+    harness.run(work)
 
 
 @pytest.mark.parametrize(
     ("outcome", "decision"),
     [(AttemptOutcome.SERVED, dispatch.Finished()), (AttemptOutcome.ERRORED, dispatch.Failed())],
 )
-def test_another_attempt_in_flight_may_still_bring_the_answer(
-    outcome: AttemptOutcome, decision: dispatch.Decision, fixture: Fixture
+def test_other_attempt_in_flight_can_be_served_after_fault(
+    outcome: AttemptOutcome, decision: dispatch.Decision, harness: FaultHarness
 ) -> None:
-    fixture.balancer.decide = fail_on(balancing.AttemptFinished, attempts=2)
+    harness.balancer.decide = fail_on(balancing.AttemptFinished, attempts=2)
 
     def work() -> None:
-        pending = fixture.pending()
+        pending = harness.pending()
         for _ in range(2):
-            assert isinstance(fixture.dispatcher.next_decision(pending), dispatch.StartAttempt)
-        fixture.dispatcher.attempt_finished(pending, 0, AttemptOutcome.RESET)
-        assert fixture.forgotten() == [pending.id]
+            assert isinstance(harness.dispatcher.next_decision(pending), dispatch.StartAttempt)
+        harness.dispatcher.attempt_finished(pending, 0, AttemptOutcome.RESET)
+        assert harness.withdrawn() == [pending.id]
         assert not pending.finished
-        fixture.dispatcher.attempt_finished(pending, 1, outcome)
-        assert fixture.dispatcher.next_decision(pending) == decision
+        harness.dispatcher.attempt_finished(pending, 1, outcome)
+        assert harness.dispatcher.next_decision(pending) == decision
 
-    fixture.run(work)
+    harness.run(work)
 
 
-def test_a_stream_that_it_failed_on_goes_on_to_its_end(fixture: Fixture) -> None:
-    fixture.balancer.decide = fail_on(balancing.ResponseStarted, attempts=2)
+def test_stream_continues_after_fault_on_its_start(harness: FaultHarness) -> None:
+    harness.balancer.decide = fail_on(balancing.ResponseStarted, attempts=2)
 
     def work() -> None:
-        pending = fixture.pending()
+        pending = harness.pending()
         for _ in range(2):
-            fixture.dispatcher.next_decision(pending)
-        assert fixture.dispatcher.claim_stream(pending, 0)
-        assert fixture.forgotten() == [pending.id], "it may send more for the request"
-        assert fixture.cancelled == [1]
-        fixture.dispatcher.attempt_finished(pending, 1, AttemptOutcome.CANCELLED)
+            harness.dispatcher.next_decision(pending)
+        assert harness.dispatcher.claim_stream(pending, 0)
+        assert harness.withdrawn() == [pending.id], "the balancer may start another attempt"
+        assert harness.cancelled == [1]
+        harness.dispatcher.attempt_finished(pending, 1, AttemptOutcome.CANCELLED)
         assert not pending.finished
-        assert fixture.dispatcher.attempt_finished(pending, 0, AttemptOutcome.SERVED)
-        assert fixture.dispatcher.next_decision(pending) == dispatch.Finished()
-        assert not fixture.dispatcher._service_times._average_ns, "a stream lasts as long as its client takes"
+        assert harness.dispatcher.attempt_finished(pending, 0, AttemptOutcome.SERVED)
+        assert harness.dispatcher.next_decision(pending) == dispatch.Finished()
+        assert not harness.dispatcher._service_times._average_ns, "the duration of a stream depends on its client"
 
-    fixture.run(work)
+    harness.run(work)
 
 
-def test_a_client_that_leaves_ends_its_request_all_the_same(fixture: Fixture) -> None:
-    fixture.balancer.decide = fail_on(balancing.ClientDisconnected)
+def test_request_ends_after_fault_on_client_disconnect(harness: FaultHarness) -> None:
+    harness.balancer.decide = fail_on(balancing.ClientDisconnected)
 
     def work() -> None:
-        pending = fixture.pending()
-        fixture.dispatcher.next_decision(pending)
-        fixture.dispatcher.client_disconnected(pending)
-        assert fixture.dispatcher.next_decision(pending) == dispatch.Finished()
-        assert fixture.cancelled == [0]
+        pending = harness.pending()
+        harness.dispatcher.next_decision(pending)
+        harness.dispatcher.client_disconnected(pending)
+        assert harness.dispatcher.next_decision(pending) == dispatch.Finished()
+        assert harness.cancelled == [0]
 
-    fixture.run(work)
+    harness.run(work)
 
 
-def test_of_requests_in_backoff_only_the_one_whose_timer_it_failed_on_is_answered(fixture: Fixture) -> None:
+def test_timer_fault_answers_only_the_request_in_backoff(harness: FaultHarness) -> None:
     """The other request still waits for a timer of its own."""
 
     def decide(event: balancing.Event) -> list[balancing.Action]:
@@ -225,19 +225,19 @@
         return [balancing.RejectRequest("2", 5)]
 
     def work() -> None:
-        first, second = fixture.pending(), fixture.pending()
+        first, second = harness.pending(), harness.pending()
         for pending in (first, second):
-            fixture.dispatcher.next_decision(pending)
-            fixture.dispatcher.attempt_finished(pending, 0, AttemptOutcome.RESET)
-        assert fixture.dispatcher.next_decision(first) == dispatch.Failed()
-        assert fixture.dispatcher.next_decision(second) == dispatch.Rejected(5)
+            harness.dispatcher.next_decision(pending)
+            harness.dispatcher.attempt_finished(pending, 0, AttemptOutcome.RESET)
+        assert harness.dispatcher.next_decision(first) == dispatch.Failed()
+        assert harness.dispatcher.next_decision(second) == dispatch.Rejected(5)
 
-    fixture.balancer.decide = decide
-    fixture.run(work)
+    harness.balancer.decide = decide
+    harness.run(work)
 
 
-def test_a_request_whose_hedge_was_lost_with_a_timer_is_answered_as_its_attempt_ends(fixture: Fixture) -> None:
-    """The balancer waits for an attempt that never began."""
+def test_request_is_answered_when_hedge_is_lost_with_timer(harness: FaultHarness) -> None:
+    """The balancer waits for an attempt that never started."""
 
     def decide(event: balancing.Event) -> list[balancing.Action]:
         if isinstance(event, balancing.Request):
@@ -250,78 +250,78 @@
         return []
 
     def work() -> None:
-        pending = fixture.pending()
-        fixture.dispatcher.next_decision(pending)
-        while not any(isinstance(event, balancing.TimerFired) for event in fixture.balancer.events):
-            fixture.loop.sleep(NS_PER_MS)
+        pending = harness.pending()
+        harness.dispatcher.next_decision(pending)
+        while not any(isinstance(event, balancing.TimerFired) for event in harness.balancer.events):
+            harness.loop.sleep(NS_PER_MS)
         assert not pending.finished, "its attempt is in flight"
-        fixture.dispatcher.attempt_finished(pending, 0, AttemptOutcome.ERRORED)
-        assert fixture.dispatcher.next_decision(pending) == dispatch.Failed()
+        harness.dispatcher.attempt_finished(pending, 0, AttemptOutcome.ERRORED)
+        assert harness.dispatcher.next_decision(pending) == dispatch.Failed()
 
-    fixture.balancer.decide = decide
-    fixture.run(work)
+    harness.balancer.decide = decide
+    harness.run(work)
 
 
-def test_a_timer_that_it_failed_on_fires_again(fixture: Fixture, monkeypatch: pytest.MonkeyPatch) -> None:
-    """It may be a chain, as that of the watch, which would end for good."""
+def test_timer_fires_again_after_fault(harness: FaultHarness, monkeypatch: pytest.MonkeyPatch) -> None:
+    """A timer that sets itself again, such as the poll timer, would otherwise stop."""
     monkeypatch.setattr(fault_recovery, "FAULT_RETRY_NS", NS_PER_MS)
     watched: list[int] = []
-    fixture.dispatcher.set_handlers(lambda _: None, lambda: watched.append(1))
+    harness.dispatcher.set_handlers(lambda _: None, lambda: watched.append(1))
 
     def decide(event: balancing.Event) -> list[balancing.Action]:
         if isinstance(event, balancing.EndpointUpdate):
             return [balancing.SetTimer(1, balancing.PollTimer())]
-        if fixture.balancer.events.count(event) < 3:
+        if harness.balancer.events.count(event) < 3:
             raise RuntimeError
         return [balancing.WatchEndpoints()]
 
     def work() -> None:
-        fixture.dispatcher.update_endpoints(balancing.EndpointUpdateKind.FAILED)
-        limit_ns = fixture.loop.now() + TIME_LEFT_NS // 2
+        harness.dispatcher.update_endpoints(balancing.EndpointUpdateKind.FAILED)
+        limit_ns = harness.loop.now() + TIME_LEFT_NS // 2
         while not watched:
-            assert fixture.loop.now() < limit_ns, "the timer never fired again"
-            fixture.loop.sleep(NS_PER_MS)
+            assert harness.loop.now() < limit_ns, "the timer never fired again"
+            harness.loop.sleep(NS_PER_MS)
 
-    fixture.balancer.decide = decide
-    fixture.run(work)
+    harness.balancer.decide = decide
+    harness.run(work)
 
 
-def test_a_list_that_it_failed_on_is_told_again_whole(fixture: Fixture, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A drain in it was lost until discovery happened to name the endpoint again."""
+def test_full_list_is_sent_again_after_fault_on_update(harness: FaultHarness, monkeypatch: pytest.MonkeyPatch) -> None:
+    """A drain in the update used to be lost until discovery listed the endpoint again."""
     monkeypatch.setattr(fault_recovery, "FAULT_RETRY_NS", NS_PER_MS)
     watched: list[int] = []
-    fixture.dispatcher.set_handlers(lambda _: None, lambda: watched.append(1))
+    harness.dispatcher.set_handlers(lambda _: None, lambda: watched.append(1))
 
     def decide(event: balancing.Event) -> list[balancing.Action]:
-        if len(fixture.balancer.events) == 2:
+        if len(harness.balancer.events) == 2:
             raise RuntimeError
         return []
 
     def work() -> None:
         kinds = balancing.EndpointUpdateKind
-        fixture.dispatcher.update_endpoints(
+        harness.dispatcher.update_endpoints(
             kinds.FULL, [ListedEndpoint(7, 0, 0, ListedState.READY, 0), ListedEndpoint(8, 0, 0, ListedState.READY, 0)]
         )
-        fixture.dispatcher.update_endpoints(kinds.DELTA, [ListedEndpoint(7, 0, 0, ListedState.DRAINING, 0)])
-        limit_ns = fixture.loop.now() + TIME_LEFT_NS // 2
-        while len(fixture.balancer.events) < 3:
-            assert fixture.loop.now() < limit_ns, "the list was lost"
-            fixture.loop.sleep(NS_PER_MS)
-        whole = balancing.EndpointUpdate(
+        harness.dispatcher.update_endpoints(kinds.DELTA, [ListedEndpoint(7, 0, 0, ListedState.DRAINING, 0)])
+        limit_ns = harness.loop.now() + TIME_LEFT_NS // 2
+        while len(harness.balancer.events) < 3:
+            assert harness.loop.now() < limit_ns, "the list was lost"
+            harness.loop.sleep(NS_PER_MS)
+        full_update = balancing.EndpointUpdate(
             kinds.FULL,
             [balancing.Endpoint(7, state=balancing.EndpointState.DRAINING), balancing.Endpoint(8)],
         )
-        assert fixture.balancer.events[2] == whole
-        assert watched == [1], "the watch may have been lost with it"
-        fixture.loop.sleep(5 * NS_PER_MS)
-        assert len(fixture.balancer.events) == 3, "once is enough"
+        assert harness.balancer.events[2] == full_update
+        assert watched == [1], "the watch may be lost with the update"
+        harness.loop.sleep(5 * NS_PER_MS)
+        assert len(harness.balancer.events) == 3, "the list was sent more than once"
 
-    fixture.balancer.decide = decide
-    fixture.run(work)
+    harness.balancer.decide = decide
+    harness.run(work)
 
 
-def test_an_order_that_cannot_be_carried_out_costs_no_other(fixture: Fixture) -> None:
-    """The answer that had come was lost with it."""
+def test_failing_action_does_not_prevent_other_actions(harness: FaultHarness) -> None:
+    """A response that was received used to be lost."""
 
     def close_idle_connections(endpoint_id: int) -> None:
         raise OSError(endpoint_id)
@@ -332,22 +332,22 @@
         return [balancing.CloseIdleConnections(7)]
 
     def work() -> None:
-        pending = fixture.pending()
-        assert isinstance(fixture.dispatcher.next_decision(pending), dispatch.StartAttempt)
-        assert fixture.dispatcher.attempt_finished(pending, 0, AttemptOutcome.SERVED)
-        assert fixture.dispatcher.next_decision(pending) == dispatch.Finished()
+        pending = harness.pending()
+        assert isinstance(harness.dispatcher.next_decision(pending), dispatch.StartAttempt)
+        assert harness.dispatcher.attempt_finished(pending, 0, AttemptOutcome.SERVED)
+        assert harness.dispatcher.next_decision(pending) == dispatch.Finished()
 
-    fixture.dispatcher.set_handlers(close_idle_connections, lambda: None)
-    fixture.balancer.decide = decide
-    fixture.run(work)
+    harness.dispatcher.set_handlers(close_idle_connections, lambda: None)
+    harness.balancer.decide = decide
+    harness.run(work)
 
 
-def test_an_attempt_of_which_it_cannot_say_whether_it_may_start_is_not_started(fixture: Fixture) -> None:
-    fixture.balancer.decide = fail_on(balancing.GossipReceived)
+def test_attempt_does_not_start_after_fault_in_may_start(harness: FaultHarness) -> None:
+    harness.balancer.decide = fail_on(balancing.GossipReceived)
 
     def work() -> None:
-        pending = fixture.pending()
-        fixture.dispatcher.next_decision(pending)
-        assert not fixture.dispatcher.may_start(pending, 0)
+        pending = harness.pending()
+        harness.dispatcher.next_decision(pending)
+        assert not harness.dispatcher.may_start(pending, 0)
 
-    fixture.run(work)
+    harness.run(work)
--- a/tests/dispatch/test_dispatcher.py
+++ b/tests/dispatch/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher: the table of attempt outcomes, two attempts at a time, and requests without a decision."""
+"""The dispatcher: attempt outcomes, hedged requests, and requests without a decision."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     return dispatch.Dispatcher(balancing.Settings(), 1, loop)
 
 
-def test_every_outcome_has_a_result_and_only_unsent_ones_never_ran() -> None:
+def test_outcomes_that_rule_out_processing() -> None:
     never = {outcome for outcome in AttemptOutcome if ATTEMPT_RESULTS[outcome] in balancing.NOT_PROCESSED}
     assert never == {
         AttemptOutcome.REJECTED,
@@ -53,7 +53,7 @@
         assert cancelled == [0]
         assert closed == [9]
         dispatcher.attempt_finished(pending, 0, AttemptOutcome.CANCELLED)
-        dispatcher.client_disconnected(pending)  # too late to mean anything
+        dispatcher.client_disconnected(pending)  # the request has finished
 
     run_task(loop, dispatcher, work)
     finished = [
@@ -71,7 +71,7 @@
     ids=["no attempt", "two attempts"],
 )
 @pytest.mark.parametrize("stalled", [False, True])
-def test_a_request_without_a_verdict_ends_at_its_deadline(
+def test_request_without_decision_ends_at_its_deadline(
     class_index: int,
     decision: dispatch.Decision,
     stalled: bool,
@@ -79,11 +79,11 @@
     dispatcher: dispatch.Dispatcher,
     balancer: ScriptedBalancer,
 ) -> None:
-    """A fault in the balancer must not cost the one final response; without an attempt a repeat is safe."""
+    """The request gets its final answer despite the fault: a rejection if no attempt was started."""
     decisions: list[dispatch.Decision] = []
 
     def stall() -> None:
-        time.sleep(0.15)  # the whole process: past the deadline and its margin
+        time.sleep(0.15)  # stalls the process past the deadline and its margin
 
     def work() -> None:
         pending = dispatch.PendingRequest(loop, class_index, loop.now() + 100 * NS_PER_MS, False, lambda _: None)
@@ -92,17 +92,17 @@
         while not decisions or isinstance(decisions[-1], dispatch.StartAttempt):
             decisions.append(dispatcher.next_decision(pending))
         dispatcher._perform(loop.now(), balancing.SendAttempt(pending.id, 7, NS_PER_MS))
-        assert not pending.decisions, "an attempt after the end"
+        assert not pending.decisions, "an attempt was started after the final answer"
 
     run_task(loop, dispatcher, work)
     assert decisions[-1] == decision
-    assert balancer.events[-1] == balancing.ClientDisconnected("1"), "the balancer still waits for it"
+    assert balancer.events[-1] == balancing.ClientDisconnected("1"), "the balancer still waits for the request"
 
 
-def test_a_request_past_its_deadline_is_answered_without_an_attempt(
+def test_request_past_its_deadline_is_rejected_unsent(
     loop: EventLoop, dispatcher: dispatch.Dispatcher, balancer: ScriptedBalancer
 ) -> None:
-    """It waited for too long before it came here."""
+    """The deadline passed before the request was submitted."""
     decisions: list[dispatch.Decision] = []
 
     def work() -> None:
@@ -114,8 +114,8 @@
     assert not dispatcher.in_progress
 
 
-def test_no_attempt_outlasts_its_request(loop: EventLoop, dispatcher: dispatch.Dispatcher) -> None:
-    """A balancer may order a longer time: the server would be told of more than the client has left."""
+def test_attempt_deadline_is_limited_by_its_request(loop: EventLoop, dispatcher: dispatch.Dispatcher) -> None:
+    """Otherwise the endpoint would be sent a longer timeout than the client has left."""
 
     def work() -> None:
         pending = dispatch.PendingRequest(loop, 0, loop.now() + 5000 * NS_PER_MS, False, lambda _: None)
@@ -124,13 +124,13 @@
         dispatcher._perform(loop.now(), balancing.SendAttempt(pending.id, 7, 9000 * NS_PER_MS))
         assert dispatcher.next_decision(pending) == dispatch.StartAttempt(2, 7, pending.deadline_ns)
         assert dispatcher.may_start(pending, 2)
-        pending.deadline_ns = loop.now()  # its time is over from now on
+        pending.deadline_ns = loop.now()  # the deadline has passed
         assert not dispatcher.may_start(pending, 2)
 
     run_task(loop, dispatcher, work)
 
 
-def test_reports_and_claims_after_the_client_left_change_nothing(
+def test_outcomes_after_client_disconnect_change_nothing(
     loop: EventLoop, dispatcher: dispatch.Dispatcher, balancer: ScriptedBalancer
 ) -> None:
     decisions: list[dispatch.Decision] = []
@@ -155,10 +155,10 @@
     assert dispatcher.request_counts()["served"] == 0
 
 
-def test_a_streaming_attempt_alone_finishes_its_request(
+def test_request_finishes_with_its_streaming_attempt(
     loop: EventLoop, dispatcher: dispatch.Dispatcher, balancer: ScriptedBalancer
 ) -> None:
-    """Once an attempt streams its response, no other attempt's and no decision of the balancer may follow."""
+    """Other attempts and decisions of the balancer are ignored once an attempt streams its response."""
     cancelled: list[int] = []
     decisions: list[dispatch.Decision] = []
 
@@ -169,9 +169,9 @@
         assert dispatcher.claim_stream(pending, 1)
         assert not dispatcher.claim_stream(pending, 0)
         assert not dispatcher.claim_stream(pending, 1)
-        dispatcher.attempt_finished(pending, 0, AttemptOutcome.SERVED)  # the other's complete response is too late
-        dispatcher._perform(loop.now(), balancing.FailRequest(pending.id))  # and so is the balancer's decision
-        loop.sleep(30 * NS_PER_MS)  # past the deadline and the backstop
+        dispatcher.attempt_finished(pending, 0, AttemptOutcome.SERVED)  # a complete response, but too late
+        dispatcher._perform(loop.now(), balancing.FailRequest(pending.id))  # too late as well
+        loop.sleep(30 * NS_PER_MS)  # past the deadline and its margin
         assert not pending.finished
         dispatcher.attempt_finished(pending, 1, AttemptOutcome.RESET)
         decisions.append(dispatcher.next_decision(pending))
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -1,4 +1,4 @@
-"""The upstream pool: attempts that must not go out, connections that must not be reused, load reports."""
+"""The upstream pool: attempts that must not be sent, connections that must not be reused, load reports."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 
 
 def pool_for(loop: EventLoop, server: socket.socket, limits: ConnectionLimits) -> UpstreamPool:
-    """A pool that knows ``server`` as endpoint 1."""
+    """Return a pool in which ``server`` is endpoint 1."""
     upstream = UpstreamPool(loop, limits, ())
     upstream.set_address(1, server.getsockname())
     return upstream
 
 
-def test_an_attempt_is_not_written_after_its_deadline(loop: EventLoop, server: socket.socket) -> None:
+def test_attempt_is_not_written_after_its_deadline(loop: EventLoop, server: socket.socket) -> None:
     upstream = pool_for(loop, server, ConnectionLimits(1000 * NS_PER_MS, 1000 * NS_PER_MS, 9))
     outcomes: list[AttemptOutcome] = []
 
@@ -62,10 +62,10 @@
     ],
     ids=["reset", "interrupt", "timeout"],
 )
-def test_a_request_not_wholly_written_never_ran(
+def test_truncated_request_is_not_sent(
     event: str, outcome: AttemptOutcome, loop: EventLoop, server: socket.socket
 ) -> None:
-    """Nobody reads a request that is larger than any socket's buffer, until something ends the writing."""
+    """The request exceeds every socket buffer and the endpoint does not read, so the write blocks until the event."""
     upstream = pool_for(loop, server, ConnectionLimits(60_000 * NS_PER_MS, 60_000 * NS_PER_MS, 1))
     large_request = ForwardedRequest(Message("POST", "/", body=bytes(64 * 1024 * 1024)))
     outcomes: list[AttemptOutcome] = []
@@ -82,7 +82,7 @@
         if event == "interrupt":
             loop.interrupt(task)
         elif event == "reset":
-            peer.close()  # over unread bytes: a reset
+            peer.close()  # unread bytes cause a reset
         loop.sleep(60_000 * NS_PER_MS)
         peer.close()
 
@@ -94,10 +94,10 @@
 
 
 @pytest.mark.parametrize("pause_s", [0.0, 0.01], ids=["no pause", "pause of 10 ms"])
-def test_bytes_behind_an_answer_are_no_answer_to_the_next_request(
+def test_surplus_bytes_are_not_read_as_the_next_response(
     pause_s: float, loop: EventLoop, server: socket.socket
 ) -> None:
-    """A second copy that comes a moment after the response used to be served to the next client."""
+    """A duplicate response that arrived just after the first used to be served to the next client."""
     upstream = pool_for(loop, server, ConnectionLimits(1000 * NS_PER_MS, 60_000 * NS_PER_MS, 9))
     bodies: list[bytes] = []
 
@@ -124,8 +124,8 @@
     assert bodies == [b"1", b"2"]
 
 
-def test_a_connection_close_to_its_idle_timeout_is_not_reused(loop: EventLoop, server: socket.socket) -> None:
-    """Idle ones were closed once a second only, so that requests crossed the other side's closing."""
+def test_connection_near_its_idle_timeout_is_not_reused(loop: EventLoop, server: socket.socket) -> None:
+    """Expired connections used to be closed only once a second, so that requests met the endpoint's close."""
     limits = ConnectionLimits(1000 * NS_PER_MS, safe_idle_timeout_ns(50 * NS_PER_MS), 9)
     upstream = pool_for(loop, server, limits)
     accepted: list[socket.socket] = []
@@ -156,7 +156,7 @@
     ["", "[]", "{}", '{"queue":"x"}', '{"queue":1e999}', '{"queue":-1}', '{"queue":' + "9" * 400 + "}", "[" * 5000],
     ids=["empty", "list", "no field", "text", "infinite", "negative", "400 digits", "deeply nested"],
 )
-def test_a_load_report_that_cannot_be_read_is_none(text: str, loop: EventLoop) -> None:
+def test_malformed_load_report_is_ignored(text: str, loop: EventLoop) -> None:
     upstream = UpstreamPool(loop, ConnectionLimits(NS_PER_MS, NS_PER_MS, 9), ("queue",))
     assert upstream.load_report(Message(header_map={"x-backend-load": text})) is None
     assert upstream.load_report(Message(header_map={"x-backend-load": '{"queue":2}'})) == (2.0,)
