--- a/lugtally/upstream/__init__.py
+++ b/lugtally/upstream/__init__.py
@@ -1,7 +1,7 @@
-"""Connections to endpoints, and one attempt over one of them.
+"""Connections to endpoints, and the attempts that are made over them.
 
-It owns connecting, connection reuse, writing a request and reading its response.  It must not decide anything, nor know
-clients other than as the sink of a streamed response.
+This package owns connecting, connection reuse, writing a request and reading its response.  It must not make balancing
+decisions.  It knows the client only as the sink of a streamed response.
 """
 
 from lugtally.upstream.attempt import AttemptResponse, MayProceed
--- a/lugtally/upstream/attempt.py
+++ b/lugtally/upstream/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt over one connection: write the request, read the response, classify it."""
+"""One attempt over one connection: write the request, read the response, classify the response."""
 
 from __future__ import annotations
 
@@ -12,11 +12,16 @@
 from lugtally.upstream.errors import AttemptAborted
 
 MayProceed = Callable[[], bool]
-"""Called right before bytes of a request go out: may they still?  Much may have changed since the attempt started."""
+"""Returns whether bytes of a request may be written now.  Called right before each write."""
 
 
 class AttemptResponse(NamedTuple):
-    """How an attempt ended, and the response where one came whole or as a stream."""
+    """The result of an attempt.
+
+    Attributes:
+        outcome: How the attempt ended.
+        response: The response if it was complete or streamed, else ``None``.
+    """
 
     outcome: AttemptOutcome
     response: Message | None
@@ -29,20 +34,21 @@
     deadline_ns: int,
     may_proceed: MayProceed,
 ) -> None:
-    """Write a request whole; the time left that it tells is that of the moment at which it goes out.
+    """Write a complete request.  Its timeout header states the time left when the header is written.
 
-    The caller has just found that it may go out and that nothing has come on the connection.
+    The caller has just checked that the request may be written and that no byte was received on the connection.
 
     Raises:
-        AttemptAborted: It was not written whole, so it never ran; or a response came before it was.
+        AttemptAborted: The request was not sent completely, so it cannot have run; or bytes were received before.
     """
-    data, sent = b"", 0
+    data = b""
+    sent = 0
     while True:
         time_left_ns = deadline_ns - loop.now()
         if time_left_ns <= 0:
             raise AttemptAborted(AttemptOutcome.TIMEOUT_BEFORE_SENT)
         if sent <= request.time_left_offset:
-            data = request.write(time_left_ns)  # the same bytes as before, as far as they are out
+            data = request.write(time_left_ns)  # the bytes already sent stay the same
         try:
             sent += connection.sock.send(memoryview(data)[sent:])
         except BlockingIOError:
@@ -53,19 +59,20 @@
         if sent == len(data):
             return
         connection.wait_writable(loop, deadline_ns, AttemptOutcome.TIMEOUT_BEFORE_SENT, or_readable=True)
-        # The endpoint may have drained meanwhile, the client left or the window closed.
+        # During the wait, the endpoint may have started to drain or the client may have disconnected.
         if not may_proceed():
             raise AttemptAborted(AttemptOutcome.CANCELLED_BEFORE_SENT)
         _check_no_response(connection)
 
 
 def _check_no_response(connection: UpstreamConnection) -> None:
-    """Check that nothing has come while a request is written.
+    """Check that no byte was received while the request is being written.
 
-    A response to half a request serves nobody, or is another request's; but it proves nothing of whether this one ran.
+    A response to an incomplete request is useless or belongs to another request.  It does not prove that this request
+    has not run.
 
     Raises:
-        AttemptAborted: A response has begun, or the endpoint has ended the connection.
+        AttemptAborted: Bytes were received, or the endpoint closed the connection.
     """
     if connection.has_bytes():
         raise AttemptAborted(AttemptOutcome.MALFORMED_RESPONSE)
@@ -74,10 +81,10 @@
 
 
 def read_response(loop: EventLoop, connection: UpstreamConnection, deadline_ns: int) -> Message:
-    """Read a response; of one with a long body, its head.
+    """Read a complete response, or only the head if the response is to be streamed.
 
     Raises:
-        AttemptAborted: No whole response came in time, or one that cannot be read.
+        AttemptAborted: The response was not complete by the deadline, or is malformed.
     """
     while True:
         connection.wait_readable(loop, deadline_ns)
@@ -89,7 +96,6 @@
         except OSError as error:
             raise AttemptAborted(AttemptOutcome.RESET) from error
         except ProtocolError as error:
-            # What an endpoint sends wrongly costs this connection and this attempt, nothing else.
             raise AttemptAborted(AttemptOutcome.MALFORMED_RESPONSE) from error
         if response is not None:
             response.keep_alive = response.keep_alive and bool(data)
@@ -99,11 +105,11 @@
 
 
 def classify_response(response: Message) -> AttemptOutcome:
-    """Return what a whole response says of the attempt."""
+    """Return the outcome of an attempt with a complete response."""
     if response.status == 200:
         return AttemptOutcome.SERVED
     if response.status in (503, 504) and response.header_map.get("x-unprocessed") == "1":
-        return AttemptOutcome.REJECTED  # only the mark proves that the request never ran
+        return AttemptOutcome.REJECTED  # without the header, the request may have run
     if 400 <= response.status < 500 and response.status not in (408, 425, 429):
         return AttemptOutcome.DECLINED
     return AttemptOutcome.ERRORED
--- a/lugtally/upstream/connection.py
+++ b/lugtally/upstream/connection.py
@@ -1,4 +1,4 @@
-"""One connection to an endpoint: its socket, its parser, and the waits on it."""
+"""One connection to an endpoint: its socket, its parser, and the waits on the socket."""
 
 from __future__ import annotations
 
@@ -18,16 +18,18 @@
 from lugtally.upstream.errors import AttemptAborted
 
 READ_CHUNK_BYTES = 64 * 1024
+"""The most bytes that one read returns."""
 _SIOCOUTQNSD = 0x894B
-"""Linux: asks how many bytes of a TCP connection have not been sent yet."""
+"""The Linux ioctl request for the number of bytes in the send queue of a TCP socket that were not sent yet."""
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
+"""The value of ``SO_LINGER`` with which a close resets the connection and discards the send queue."""
 
 
 def open_socket(address: Address) -> socket.socket:
     """Create a non-blocking socket for an address.
 
     Raises:
-        AttemptAborted: No descriptor is free.
+        AttemptAborted: No file descriptor is available.
     """
     host, _ = address
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
@@ -35,7 +37,7 @@
         return socket.socket(family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
     except OSError as error:
         logger.warning(
-            "no descriptor for a connection to an endpoint: {reason}",
+            "no file descriptor for a connection to an endpoint: {reason}",
             event="upstream.no_descriptor",
             reason=error.strerror,
         )
@@ -43,15 +45,19 @@
 
 
 class UpstreamConnection:
-    """One connection to an endpoint; it carries one request at a time.
+    """A connection to an endpoint, which carries one request at a time.
 
-    It owns its registration with the event loop and its descriptor: the number is nobody's to use once it is closed.
+    The connection owns its file descriptor and the registration of it with the event loop.
 
     Attributes:
-        idle_since_ns: When its last response was complete; 0 where it has not been used.
-        carries_request: Whether a request may have begun on it whose response has not been read whole: it is good for
-            nothing else then.
-        is_retired: Whether it must not be used again: the idle connections to its endpoint were closed meanwhile.
+        sock: The non-blocking socket.
+        fd: The file descriptor; -1 after the connection was closed.
+        address: The address that the socket connects to.
+        parser: Parses the responses.
+        idle_since_ns: When the last response was complete; 0 before the first.
+        carries_request: Whether a request may be in progress.  The connection must not be reused then.
+        is_retired: Whether the pool closed the idle connections to the endpoint while this one was in use.  The
+            connection must not be reused then.
     """
 
     __slots__ = ("sock", "fd", "address", "parser", "idle_since_ns", "carries_request", "is_retired", "_watching_loop")
@@ -67,10 +73,10 @@
         self._watching_loop: EventLoop | None = None
 
     def connect(self, loop: EventLoop, timeout_ns: int, deadline_ns: int) -> None:
-        """Connect, within the timeout and by the deadline of the attempt.
+        """Connect within the timeout and before the deadline of the attempt.
 
         Raises:
-            AttemptAborted: The connection was refused, did not come up in time, or the attempt was cancelled.
+            AttemptAborted: Connecting failed or timed out, or the attempt was cancelled.
         """
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         error_number = self.sock.connect_ex(self.address)
@@ -86,7 +92,7 @@
         if error_number:
             host, port = self.address
             logger.debug(
-                "connecting to {host}:{port}: {reason}",
+                "cannot connect to {host}:{port}: {reason}",
                 event="upstream.connect_failed",
                 host=host,
                 port=port,
@@ -95,20 +101,21 @@
             raise AttemptAborted(AttemptOutcome.CONNECTION_REFUSED)
 
     def _is_connected_to_itself(self) -> bool:
-        """Return whether both ends are this one: our port may be drawn as that of an endpoint that is down.
+        """Return whether the socket is connected to itself (TCP simultaneous open).
 
-        The kernel allows that on one machine.  The request would come back as its response, and the port stay taken.
+        The kernel may choose the port of a stopped endpoint on the same machine as the local port.  The request would
+        be read as its own response, and the endpoint could not bind its port.
         """
         host, port = self.sock.getsockname()[:2]
         return bool((host, port) == self.address)
 
     def watch(self, loop: EventLoop, on_event: Callable[[int], None]) -> None:
-        """Call ``on_event`` when bytes come or the connection ends, until :meth:`unwatch`."""
+        """Call ``on_event`` when bytes are received or the connection is closed, until :meth:`unwatch`."""
         loop.register(self.fd, READABLE, on_event)
         self._watching_loop = loop
 
     def unwatch(self) -> None:
-        """End the watch, if there is one."""
+        """Stop watching.  Does nothing if the connection is not watched."""
         if self._watching_loop is not None:
             self._watching_loop.unregister(self.fd)
             self._watching_loop = None
@@ -116,13 +123,13 @@
     def close(self) -> bool:
         """Close the connection; return whether it was open.
 
-        What of a request has not gone out by then does not go out any more: its attempt is over.
+        Bytes of a request that were not sent are discarded: its attempt has finished.
         """
         if self.fd < 0:
             return False
-        self.unwatch()  # first: the number may be another connection's as soon as it is closed
+        self.unwatch()  # before the close: a new connection may get the same descriptor
         if self.carries_request and self._has_unsent_bytes():
-            # Else the kernel would send them as the endpoint reads, and only then the end of the connection.
+            # Otherwise the kernel would still send them before it closes the connection.
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
         self.fd = -1
         self.sock.close()
@@ -130,18 +137,18 @@
 
     def _has_unsent_bytes(self) -> bool:
         try:
-            answer = fcntl.ioctl(self.fd, _SIOCOUTQNSD, bytes(4))
+            unsent_count = fcntl.ioctl(self.fd, _SIOCOUTQNSD, bytes(4))
         except OSError:
-            return False  # a kernel that does not say: the close must go on
-        return any(answer)
+            return False  # not supported by this kernel
+        return any(unsent_count)
 
     def wait_writable(
         self, loop: EventLoop, deadline_ns: int, timeout_outcome: AttemptOutcome, *, or_readable: bool = False
     ) -> None:
-        """Wait until bytes of the request can be written, or with ``or_readable`` until some have come.
+        """Wait until bytes can be written, or with ``or_readable`` until bytes can be written or read.
 
         Raises:
-            AttemptAborted: With ``timeout_outcome`` at the deadline, or the attempt was cancelled before it was sent.
+            AttemptAborted: The deadline passed (``timeout_outcome``), or the attempt was cancelled.
         """
         reason = loop.wait(self.fd, WRITABLE | READABLE if or_readable else WRITABLE, deadline_ns)
         if reason is not WakeReason.READY:
@@ -152,40 +159,41 @@
         """Wait until bytes of the response can be read.
 
         Raises:
-            AttemptAborted: The deadline has come, even where more can be read, or the attempt was cancelled.
+            AttemptAborted: The deadline passed, even if bytes can be read, or the attempt was cancelled.
         """
         if loop.now() >= deadline_ns:
-            raise AttemptAborted(AttemptOutcome.TIMEOUT)  # an endless response is ready before each timer fires
+            raise AttemptAborted(AttemptOutcome.TIMEOUT)  # with an endless response the socket is always readable
         reason = loop.wait(self.fd, READABLE, deadline_ns)
         if reason is not WakeReason.READY:
             timed_out = reason is WakeReason.TIMEOUT
             raise AttemptAborted(AttemptOutcome.TIMEOUT if timed_out else AttemptOutcome.CANCELLED)
 
     def receive(self) -> bytes:
-        """Return what has come, at most a chunk; nothing at the end of the connection.
+        """Read and return up to ``READ_CHUNK_BYTES`` bytes; empty if the endpoint closed the connection.
 
         Raises:
-            OSError: The connection failed; a :class:`BlockingIOError` where nothing has come.
+            BlockingIOError: There is nothing to read.
+            OSError: The connection failed.
         """
         return self.sock.recv(READ_CHUNK_BYTES)
 
     def is_quiet(self) -> bool:
-        """Return whether the connection is open and holds no byte that belongs to no response."""
+        """Return whether the connection is open and there is nothing to read."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
             return True
         except OSError:
             return False
-        return False  # it has ended, or holds such bytes
+        return False  # closed by the endpoint, or unexpected bytes
 
     def has_bytes(self) -> bool:
-        """Return whether bytes have come that have not been read, whatever has become of the connection."""
+        """Return whether there are bytes to read, even if the endpoint closed the connection after them."""
         try:
             return bool(self.sock.recv(1, socket.MSG_PEEK))
         except OSError:
             return False
 
     def is_reusable_after(self, response: Message) -> bool:
-        """Return whether another request may follow: this response, and nothing more, has been read."""
+        """Return whether the connection may carry another request: this response and nothing more was read."""
         return response.keep_alive and not response.streamed and self.parser.is_idle
--- a/lugtally/upstream/errors.py
+++ b/lugtally/upstream/errors.py
@@ -1,4 +1,4 @@
-"""The error that ends an attempt from inside."""
+"""The error that aborts an attempt."""
 
 from __future__ import annotations
 
@@ -6,7 +6,11 @@
 
 
 class AttemptAborted(Exception):
-    """An attempt ended without a whole response; ``outcome`` says how."""
+    """An attempt ended without a complete response.
+
+    Attributes:
+        outcome: How the attempt ended.
+    """
 
     def __init__(self, outcome: AttemptOutcome) -> None:
         super().__init__(outcome.name)
--- a/lugtally/upstream/load_report.py
+++ b/lugtally/upstream/load_report.py
@@ -1,4 +1,4 @@
-"""The load report that an endpoint may send with a response."""
+"""The load report that an endpoint may send in a response header."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def parse_load_report(response: Message, fields: tuple[str, ...]) -> tuple[float, ...] | None:
-    """Return the values of these fields; ``None`` where there is no report, or none that can be read."""
+    """Return the values of these fields; ``None`` if the report is missing or malformed."""
     text = response.header_map.get(LOAD_REPORT_HEADER)
     if text is None:
         return None
--- a/lugtally/upstream/pool.py
+++ b/lugtally/upstream/pool.py
@@ -1,7 +1,7 @@
-"""The connections of this sidecar to endpoints: reuse, limits, and attempts over them.
+"""The pool of connections to endpoints: reuse, limits, and the attempts over the connections.
 
-A connection carries one request at a time.  It is used again only where the whole response, and nothing more, has been
-read from it.
+A connection carries one request at a time.  It is reused only if the complete response and nothing more was read from
+it.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 from lugtally.upstream.streaming import ClaimStream, stream_response
 
 SETTLE_NS = 8 * NS_PER_MS
-"""How long a connection must have been without a byte before it is used again.
+"""How long a connection must be idle, without receiving a byte, before it is reused.
 
-A response may bring more bytes than belong to it, some milliseconds late; on a connection in use they would be read as
-the next request's response.  Second responses came up to 3.8 ms late where it was measured.
+An endpoint may send a duplicate response some milliseconds after the first (up to 3.8 ms was measured).  On a reused
+connection it would be read as the response to the next request.
 """
 
 
@@ -33,10 +33,10 @@
 
 
 class UpstreamPool:
-    """All connections of this sidecar to endpoints.
+    """Manages all connections of this sidecar to endpoints.
 
     Attributes:
-        open_connections: How many are open, idle ones included.
+        open_connections: The number of open connections, including idle ones.
     """
 
     def __init__(self, loop: EventLoop, limits: ConnectionLimits, load_report_fields: tuple[str, ...]) -> None:
@@ -45,28 +45,30 @@
         self._load_report_fields = load_report_fields
         self._addresses: dict[int, Address] = {}
         self._idle = IdleConnections(loop, self._close)
-        self._settling: dict[int, UpstreamConnection] = {}  # what an attempt waits for, by endpoint
+        self._settling: dict[
+            int, UpstreamConnection
+        ] = {}  # by endpoint: the connection whose ``SETTLE_NS`` an attempt waits for
         self.open_connections = 0
 
     def set_address(self, endpoint_id: int, address: Address) -> None:
-        """Set where an endpoint is; idle connections to where it was are closed."""
+        """Set the address of an endpoint; if it changes, close the idle connections to the old address."""
         if self._addresses.get(endpoint_id) != address:
             self.close_idle_connections(endpoint_id)
             self._addresses[endpoint_id] = address
 
     def remove(self, endpoint_id: int) -> None:
-        """Forget an endpoint that has been removed: over a long day thousands come and go."""
+        """Drop the address of a removed endpoint and close the idle connections to it."""
         self.close_idle_connections(endpoint_id)
         self._addresses.pop(endpoint_id, None)
 
     def close_idle_connections(self, endpoint_id: int) -> None:
-        """Close the idle connections to an endpoint; one that settles is closed by the attempt that waits for it."""
+        """Close the idle connections to an endpoint, including one that an attempt waits to reuse."""
         self._idle.close_all(endpoint_id)
         if (settling := self._settling.get(endpoint_id)) is not None:
             settling.is_retired = True
 
     def close_expired(self) -> None:
-        """Close what has been idle for long, before the other side does."""
+        """Close the connections whose idle timeout has expired, before their endpoints do."""
         self._idle.close_idle_since(self._loop.now() - self._limits.idle_timeout_ns)
 
     def execute_attempt(
@@ -77,22 +79,22 @@
         claim_stream: ClaimStream | None = None,
         may_proceed: MayProceed = _always,
     ) -> AttemptResponse:
-        """Make one attempt, in its own task; interrupting the task cancels it.
+        """Make one attempt.  Call this in a task of its own; interrupting the task cancels the attempt.
 
-        A 200 with a long, chunked or unbounded body is passed on as it comes, where ``claim_stream`` gives a sink; its
-        response is returned with ``streamed`` set and no body.  Without a sink that attempt is cancelled.
+        A response with status 200 and a long, chunked or unbounded body is streamed to the sink that ``claim_stream``
+        returns.  It is returned without a body and with ``streamed`` set.  Without a sink the attempt is cancelled.
         """
         try:
-            connection = self._obtain(endpoint_id, deadline_ns, may_proceed)
+            connection = self._acquire(endpoint_id, deadline_ns, may_proceed)
             try:
                 return self._attempt_over(connection, request, deadline_ns, claim_stream, may_proceed)
             finally:
-                self._put_back(endpoint_id, connection)  # whatever happened: nobody else knows of it
+                self._put_back(endpoint_id, connection)  # also after an exception, as nothing else closes it
         except AttemptAborted as aborted:
             return AttemptResponse(aborted.outcome, None)
 
     def load_report(self, response: Message | None) -> tuple[float, ...] | None:
-        """Return the load report that came with a response, where the settings say that responses carry one."""
+        """Return the load report of a response, if the settings say that responses carry one."""
         if response is None or not self._load_report_fields:
             return None
         return parse_load_report(response, self._load_report_fields)
@@ -108,7 +110,7 @@
         """Make one attempt over a connection.
 
         Raises:
-            AttemptAborted: It ended without a whole response.
+            AttemptAborted: The attempt ended without a complete response.
         """
         connection.carries_request = True
         attempt.write_request(self._loop, connection, request, deadline_ns, may_proceed)
@@ -124,75 +126,79 @@
 
     # ------------------------------------------------------------ reuse
 
-    def _obtain(self, endpoint_id: int, deadline_ns: int, may_proceed: MayProceed) -> UpstreamConnection:
-        """Return a connection to where the endpoint is now, over which the request may go out at once.
+    def _acquire(self, endpoint_id: int, deadline_ns: int, may_proceed: MayProceed) -> UpstreamConnection:
+        """Return a connection to the current address of the endpoint, on which the request may be written now.
 
         Raises:
-            AttemptAborted: There is none in time, or the request may not go out.
+            AttemptAborted: No connection was established in time, or the request may not be written.
         """
         while True:
             connection = self._reuse(endpoint_id, deadline_ns) or self._connect(endpoint_id, deadline_ns)
             if self._loop.now() >= deadline_ns:
                 self._close(connection)
-                raise AttemptAborted(AttemptOutcome.TIMEOUT_BEFORE_SENT)  # it came up too late to send
+                raise AttemptAborted(AttemptOutcome.TIMEOUT_BEFORE_SENT)
             if not self._leads_to(endpoint_id, connection):
-                self._close(connection)  # the endpoint moved, or was removed, as it came up
+                self._close(connection)  # the address changed, or the endpoint was removed, while connecting
                 continue
             self._check_may_proceed(endpoint_id, connection, may_proceed)
-            # Last of all, as what comes from now on is read as the response.
+            # This check is the last one: bytes received after it are read as the response.
             if connection.is_quiet():
                 return connection
             self._close(connection)
-            if not connection.idle_since_ns:
-                raise AttemptAborted(AttemptOutcome.RESET_BEFORE_SENT)  # another new one would end like this one
+            is_new = not connection.idle_since_ns
+            if is_new:  # the endpoint would probably close the next one, too
+                raise AttemptAborted(AttemptOutcome.RESET_BEFORE_SENT)
 
     def _check_may_proceed(self, endpoint_id: int, connection: UpstreamConnection, may_proceed: MayProceed) -> None:
-        """Ask whether the request may go out: as its connection came up, the endpoint may have drained, say.
+        """Check that the request may still be written: while connecting, the endpoint may have started to drain.
 
         Raises:
-            AttemptAborted: It may not; the connection is idle again.
+            AttemptAborted: It may not be written.  The connection was returned to the pool.
         """
-        may_go_out = False
+        allowed = False
         try:
-            may_go_out = may_proceed()
+            allowed = may_proceed()
         finally:
-            if not may_go_out:
+            if not allowed:
                 self._release(endpoint_id, connection)
-        if not may_go_out:
+        if not allowed:
             raise AttemptAborted(AttemptOutcome.CANCELLED_BEFORE_SENT)
 
     def _leads_to(self, endpoint_id: int, connection: UpstreamConnection) -> bool:
-        """Return whether the connection goes to where the endpoint is now."""
+        """Return whether the connection leads to the current address of the endpoint."""
         return connection.address == self._addresses.get(endpoint_id)
 
     def _reuse(self, endpoint_id: int, deadline_ns: int) -> UpstreamConnection | None:
-        """Return the most recently used idle connection that may be used again, if there is one."""
+        """Return the most recently used idle connection that may be reused, or ``None``."""
         while True:
-            settled_before_ns = self._loop.now() - SETTLE_NS
-            # A second attempt would wait as well: this rate of requests needs another connection.
+            idle_before_ns = self._loop.now() - SETTLE_NS
+            # At most one attempt waits: if a second one would have to, the rate of requests needs a new connection.
             may_wait = endpoint_id not in self._settling
-            connection = self._idle.take(endpoint_id, settled_before_ns, or_unsettled=may_wait)
+            connection = self._idle.pop(endpoint_id, idle_before_ns, or_longest_idle=may_wait)
             if connection is None:
                 return None
-            if connection.idle_since_ns > settled_before_ns:
+            if connection.idle_since_ns > idle_before_ns:
                 self._wait_until_settled(endpoint_id, connection, deadline_ns)
             if self._may_reuse(connection):
                 return connection
             self._close(connection)
 
     def _may_reuse(self, connection: UpstreamConnection) -> bool:
-        """Return whether a connection that was idle may be used, as far as that does not hang on what comes on it.
+        """Return whether a connection that was idle is neither retired nor expired.
 
-        Near its idle timeout the other side closes it: a request would end as a reset.
+        The endpoint may close an expired connection at any time, which would reset the request.
         """
         return not connection.is_retired and (
             connection.idle_since_ns >= self._loop.now() - self._limits.idle_timeout_ns
         )
 
     def _wait_until_settled(self, endpoint_id: int, connection: UpstreamConnection, deadline_ns: int) -> None:
-        """Wait until the connection may be used, or a byte comes on it.
+        """Wait until the connection has been idle for ``SETTLE_NS``, or a byte is received on it.
 
-        A new connection would cost the endpoint more work than this costs time.
+        The wait costs less than the work of the endpoint for a new connection.
+
+        Raises:
+            AttemptAborted: The attempt was cancelled.
         """
         self._settling[endpoint_id] = connection
         settled_ns = connection.idle_since_ns + SETTLE_NS
@@ -202,22 +208,22 @@
             if self._may_reuse(connection) and connection.is_quiet():
                 self._release(endpoint_id, connection)
             else:
-                self._close(connection)  # a byte came at the same time, say
+                self._close(connection)  # a byte may have been received at the same time
             raise AttemptAborted(AttemptOutcome.CANCELLED_BEFORE_SENT)
 
     def _put_back(self, endpoint_id: int, connection: UpstreamConnection) -> None:
-        """Make the connection idle where it may carry another request; else close it."""
+        """Return the connection to the pool if it may carry another request, else close it."""
         if connection.carries_request:
             self._close(connection)
         else:
             self._release(endpoint_id, connection)
 
     def _release(self, endpoint_id: int, connection: UpstreamConnection) -> None:
-        """Make the connection idle; whatever comes on it meanwhile ends it."""
+        """Make the connection idle, or close it if it must not be reused."""
         if connection.is_retired or not self._leads_to(endpoint_id, connection):
-            self._close(connection)  # its like were closed, or the endpoint was removed or has moved meanwhile
+            self._close(connection)
             return
-        # One that was taken and not used has been idle as long as before.
+        # A connection that was not used keeps the time since which it is idle.
         connection.idle_since_ns = connection.idle_since_ns or self._loop.now()
         self._idle.add(endpoint_id, connection)
 
@@ -225,12 +231,14 @@
 
     def _connect(self, endpoint_id: int, deadline_ns: int) -> UpstreamConnection:
         if self.open_connections >= self._limits.max_connections:
-            self._idle.close_longest_idle()  # so that the attempt is not refused a descriptor
+            self._idle.close_longest_idle()  # to free a descriptor for this attempt
             if self.open_connections >= self._limits.max_connections:
                 raise AttemptAborted(AttemptOutcome.NO_DESCRIPTOR)
         address = self._addresses.get(endpoint_id)
         if address is None:
-            raise AttemptAborted(AttemptOutcome.CONNECTION_REFUSED)  # removed since the attempt was started
+            raise AttemptAborted(
+                AttemptOutcome.CONNECTION_REFUSED
+            )  # the endpoint was removed after the attempt had started
         sock = open_socket(address)
         self.open_connections += 1
         connection = UpstreamConnection(sock, address, self._limits.max_response_body_bytes)
--- a/lugtally/upstream/streaming.py
+++ b/lugtally/upstream/streaming.py
@@ -1,9 +1,9 @@
-"""Streamed responses: a long body is passed on to the client as it comes."""
+"""Streaming of long response bodies to the client."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 from lugtally.dispatch.attempt_outcome import AttemptOutcome
 from lugtally.eventloop import READABLE, EventLoop, WakeReason
@@ -13,25 +13,32 @@
 from lugtally.upstream.errors import AttemptAborted
 
 STREAM_IDLE_TIMEOUT_NS = 5000 * NS_PER_MS
-"""A streamed response of which nothing comes for this long is broken off."""
+"""A streamed response is aborted when no byte of it was received for this long."""
 
 
 class ResponseSink(Protocol):
-    """Where a streamed response goes: the connection of the client."""
+    """The destination of a streamed response: the connection of the client."""
 
     def send(self, data: bytes | memoryview) -> bool:
-        """Write all of it, waiting as long as the client takes; false where it has left or does not read."""
+        """Write all bytes, waiting for the client to read; return false if it disconnected or stopped reading."""
 
     def finish(self) -> bool:
-        """Write the end of the response, all of whose body has been sent; false as for :meth:`send`."""
+        """Complete the response after its body was sent; return false as :meth:`send` does."""
 
     @property
     def hold_until_ns(self) -> int | None:
-        """By when it must be whole, as none of it has been passed on; ``None`` where there is no such time."""
+        """When the response must be complete if it is buffered by the sink; ``None`` if it is not buffered."""
 
 
 ClaimStream = Callable[[Message], "ResponseSink | None"]
-"""Called with the head of a long response: returns where to pass it on, or ``None`` where another attempt answers."""
+"""Returns the sink for a streamed response with this head; ``None`` if the client gets another attempt's response."""
+
+
+class _BodyBeginning(NamedTuple):
+    """The bytes of a body that are buffered before the client receives any of it."""
+
+    data: bytes
+    is_complete: bool
 
 
 def stream_response(
@@ -41,31 +48,40 @@
     claim_stream: ClaimStream | None,
     deadline_ns: int,
 ) -> AttemptOutcome:
-    """Pass a long body on as it comes; beyond its beginning at most one read of it is in memory.
+    """Stream a long body to the client.
+
+    The beginning of the body is buffered; after that, at most one read of it is in memory.
 
     Raises:
-        AttemptAborted: The body failed before any of it reached the client.
+        AttemptAborted: The body was truncated or timed out before any byte of it was sent to the client.
     """
     framing, data = connection.parser.detach_body()
     try:
-        beginning, is_whole = _buffer_beginning(loop, connection, framing, data, deadline_ns)
-        if is_whole and framing.until_close:
-            response.body, response.streamed = beginning, False  # a response like any other
+        beginning = _buffer_beginning(loop, connection, framing, data, deadline_ns)
+        if beginning.is_complete and framing.until_close:
+            response.body = beginning.data
+            response.streamed = False
             return AttemptOutcome.SERVED
         sink = claim_stream(response) if claim_stream is not None else None
-        if sink is None or not sink.send(beginning):
+        if sink is None or not sink.send(beginning.data):
             return AttemptOutcome.CANCELLED
-        del beginning, data  # neither stays in memory for as long as the stream lasts
-        return _pass_on_rest(loop, connection, framing, sink)
+        del beginning, data  # free the memory before the rest is streamed
+        return _stream_rest(loop, connection, framing, sink)
     except OSError:
         return AttemptOutcome.RESET
     except ProtocolError:
         return AttemptOutcome.MALFORMED_RESPONSE
 
 
-def _pass_on_rest(
+def _stream_rest(
     loop: EventLoop, connection: UpstreamConnection, framing: BodyFraming, sink: ResponseSink
 ) -> AttemptOutcome:
+    """Stream the body after its beginning.
+
+    Raises:
+        OSError: The connection to the endpoint failed.
+        ProtocolError: The body is malformed.
+    """
     while not framing.done:
         deadline_ns = loop.now() + STREAM_IDLE_TIMEOUT_NS
         if (hold_until_ns := sink.hold_until_ns) is not None:
@@ -92,11 +108,14 @@
 
 def _buffer_beginning(
     loop: EventLoop, connection: UpstreamConnection, framing: BodyFraming, data: bytes, deadline_ns: int
-) -> tuple[bytes, bool]:
-    """Return the beginning of a body, as far as other responses are buffered, and whether it is whole.
+) -> _BodyBeginning:
+    """Read the beginning of a body, until it exceeds ``MAX_BODY_BYTES`` or is complete.
 
-    Nothing of it has reached the client yet: where the connection breaks, or the body does not end in time, the
-    request can still be retried at another endpoint, or answered as failed.
+    The client has received nothing yet: if the connection fails or the deadline passes, the request can still be
+    retried at another endpoint or answered as failed.
+
+    Raises:
+        AttemptAborted: The connection was closed, the deadline passed or the attempt was cancelled.
     """
     buffered = bytearray(data[: framing.feed(data)])
     while not framing.done and len(buffered) <= MAX_BODY_BYTES:
@@ -107,7 +126,7 @@
             continue
         if not data:
             if framing.until_close:
-                return bytes(buffered), True
+                return _BodyBeginning(bytes(buffered), is_complete=True)
             raise AttemptAborted(AttemptOutcome.RESET)
         buffered += data[: framing.feed(data)]
-    return bytes(buffered), framing.done
+    return _BodyBeginning(bytes(buffered), framing.done)
