--- a/lugtally/discovery/__init__.py
+++ b/lugtally/discovery/__init__.py
@@ -1,7 +1,7 @@
-"""The endpoint list, kept up to date from the discovery service.
+"""The watch of the endpoint list at the discovery service.
 
-It owns the watch, its timeouts and what is known of the endpoints.  It must not know requests, nor how an endpoint is
-chosen.
+This package owns the watch, its timeouts, and the records and start times of the endpoints.  It must not know requests,
+nor how an endpoint is chosen.
 """
 
 from lugtally.discovery.timing import MAX_BACKOFF_NS
--- a/lugtally/discovery/client.py
+++ b/lugtally/discovery/client.py
@@ -1,4 +1,4 @@
-"""The client of one discovery service: one connection, one call at a time."""
+"""The client of a discovery service: one connection, one call at a time."""
 
 from __future__ import annotations
 
@@ -15,34 +15,36 @@
 from lugtally.units import NS_PER_MS
 
 READ_CHUNK_BYTES = 64 * 1024
+"""The most bytes that one read returns."""
 MAX_LIST_BYTES = 4 * 1024 * 1024
+"""The longest endpoint list that is accepted."""
 LIST_PATH = "/catalog/members"
 
 
 class UnexpectedStatusError(ValueError):
-    """Discovery responded with another status than 200."""
+    """The status of the response is not 200."""
 
     def __init__(self, status: int) -> None:
         super().__init__(f"status {status}")
 
 
 class ConnectTimeoutError(OSError):
-    """The connection did not come up in time.
+    """Connecting to discovery timed out.
 
-    No :class:`TimeoutError`: that is a silent watch, whose call is made again at once.
+    This is not a :class:`TimeoutError`: after that error, a missing response, the call is retried at once.
     """
 
     def __init__(self) -> None:
-        super().__init__("no connection in time")
+        super().__init__("connecting timed out")
 
 
 class DiscoveryClient:
-    """One discovery service: its address, the version last taken over from it, and the connection to it.
+    """Polls one discovery service.
 
     Attributes:
-        version: The version that the next call asks for changes since; ``None`` asks for the whole list.
-        watch_requested: Set when the balancer wants the next call after a failure.  Each client has its own, so that
-            the task of an earlier client cannot consume a wake-up meant for this one.
+        version: The version of the list that was applied last; ``None`` requests the full list.
+        watch_requested: Set when the balancer requests the next call after a failure.  Each client has its own event,
+            so that the task of an earlier client cannot consume a wake-up for this one.
     """
 
     def __init__(self, loop: EventLoop, address: Address, version: int | None) -> None:
@@ -54,16 +56,16 @@
         self.watch_requested = Event(loop)
 
     def fetch_update(self) -> EndpointList:
-        """Return the changes since the version at hand, or the whole list where there is none.
+        """Return the changes since ``version``, or the full list if there is no version.
 
-        After a silence, a reset or a refusal changes are requested as well: a whole list costs discovery work for
-        each record, and it returns to all sidecars calling at once.  A discovery whose versions began again shows it
-        by a lower one; only then is its whole list needed.
+        Changes are requested even after a timeout, a reset or a refused connection.  A full list costs discovery work
+        for each record, and a restarted discovery is called by all sidecars at once.  A discovery that restarted its
+        versions responds with a lower one, and only then the full list is needed.
 
         Raises:
-            OSError: The call failed, also when it was made again on a new connection.
-            ProtocolError: The response is no HTTP response.
-            ValueError: The response is not a list, or has another status than 200.
+            OSError: The call failed, and its retry on a new connection failed if there was one.
+            ProtocolError: The response is not valid HTTP.
+            ValueError: The response is not an endpoint list, or its status is not 200.
         """
         if self.version is None:
             target = LIST_PATH
@@ -72,31 +74,31 @@
         response = self._call_with_retry(target)
         if response.status != 200:
             raise UnexpectedStatusError(response.status)
-        return parse_endpoint_list(ujson.loads(response.body), "server list", lenient=True)
+        return parse_endpoint_list(ujson.loads(response.body), "endpoint list", lenient=True)
 
     def close(self) -> None:
-        """Close the connection; the next call opens another."""
+        """Close the connection.  The next call opens a new one."""
         if self._sock is not None:
             self._sock.close()
         self._sock = None
         self._parser = self._new_parser()
 
     def _call_with_retry(self, target: str) -> Message:
-        """Make a call; make it again at once, on a new connection, where the one at hand turns out to be dead.
+        """Make a call; retry it once, on a new connection, if the connection turns out to be lost.
 
-        A reused connection may have been closed between two calls, and a watch that is silent past its hold has lost
-        its connection: neither says that discovery itself fails, and a backoff would use up the time that is left.
+        A reused connection may have been closed between two calls.  A call without a response has probably lost its
+        connection.  Neither means that discovery has failed, and a backoff would exceed the timing budget.
         """
         if self._sock is not None and not self._is_quiet(self._sock):
-            self.close()  # it has ended, or what has come on it answers no call
+            self.close()  # closed by discovery, or bytes that belong to no call
         is_reused = self._sock is not None
         try:
             return self._call(target)
-        except TimeoutError as silence:
+        except TimeoutError as error:
             logger.info(
-                "the watch of the server list fell silent: {reason}",
+                "the watch of the endpoint list timed out and is retried: {reason}",
                 event="discovery.watch_silent",
-                reason=str(silence),
+                reason=str(error),
             )
         except ConnectionError:
             if not is_reused:
@@ -105,11 +107,18 @@
         return self._call(target)
 
     def _call(self, target: str) -> Message:
+        """Send a GET request for the target and return its response.
+
+        Raises:
+            TimeoutError: No complete response was received in time.
+            OSError: Connecting failed, or the connection was closed or reset.
+            ProtocolError: The response is not valid HTTP.
+        """
         sock = self._sock or self._connect()
         deadline_ns = self._loop.now() + timing.WATCH_HOLD_MS * NS_PER_MS + timing.RESPONSE_TIMEOUT_NS
         sock.send(serialize_get(f"{self._address.host}:{self._address.port}", target))
         while True:
-            self._wait(sock, READABLE, deadline_ns, TimeoutError("no answer in time"))
+            self._wait(sock, READABLE, deadline_ns, TimeoutError("no response in time"))
             try:
                 data = sock.recv(READ_CHUNK_BYTES)
             except BlockingIOError:
@@ -117,10 +126,10 @@
             response = self._parser.feed(data) if data else self._parser.end_of_input()
             if response is not None:
                 if not response.keep_alive or not data or not self._parser.is_idle:
-                    self.close()  # bytes behind a response would be read as that of the next call
+                    self.close()  # further bytes would be read as the response to the next call
                 return response
             if not data:
-                raise ConnectionResetError("the connection ended")
+                raise ConnectionResetError("the connection was closed")
 
     def _connect(self) -> socket.socket:
         family = socket.AF_INET6 if ":" in self._address.host else socket.AF_INET
@@ -129,22 +138,27 @@
         sock.connect_ex(self._address)
         self._wait(sock, WRITABLE, self._loop.now() + timing.CONNECT_TIMEOUT_NS, ConnectTimeoutError())
         if error_number := sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-            raise OSError(error_number, "no connection")
+            raise OSError(error_number, "connecting failed")
         return sock
 
     def _wait(self, sock: socket.socket, poll_events: int, deadline_ns: int, timeout_error: OSError) -> None:
-        """Wait for the socket; raises ``timeout_error`` at the deadline, even where more can be read."""
+        """Wait until the socket is ready.
+
+        Raises:
+            InterruptedError: The watch moved to another discovery.
+            OSError: The deadline passed (``timeout_error``), even if bytes can be read.
+        """
         if self._loop.now() >= deadline_ns:
-            raise timeout_error  # an endless response is ready before each timer fires
+            raise timeout_error  # with an endless response the socket is always readable
         reason = self._loop.wait(sock.fileno(), poll_events, deadline_ns)
         if reason is WakeReason.INTERRUPTED:
-            raise InterruptedError("the watch has moved")
+            raise InterruptedError("the watch moved to another discovery")
         if reason is WakeReason.TIMEOUT:
             raise timeout_error
 
     @staticmethod
     def _is_quiet(sock: socket.socket) -> bool:
-        """Return whether the connection is open and nothing has come on it."""
+        """Return whether the connection is open and there is nothing to read."""
         try:
             sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
--- a/lugtally/discovery/start_times.py
+++ b/lugtally/discovery/start_times.py
@@ -1,4 +1,4 @@
-"""Start times of endpoints, from Unix time to the clock of the event loop."""
+"""Conversion of the start times of endpoints from Unix time to the clock of the event loop."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 
 class _StartTime(NamedTuple):
-    """One start: as the list last named it, and on the clock of the event loop."""
+    """A start time as the list states it, and on the clock of the event loop."""
 
     started_ms: int
     started_ns: int
 
 
 class StartTimeConverter:
-    """Converts each start of an endpoint once.
+    """Converts each start time of an endpoint only once.
 
-    Converting the same start again after a step of the wall clock would look like another start, and make a warm
-    endpoint cold.
+    If the same start time were converted again after a step of the wall clock, the endpoint would seem to have
+    restarted, and would warm up again.
     """
 
     def __init__(self, loop: EventLoop) -> None:
@@ -28,7 +28,7 @@
         self._converted: dict[int, _StartTime] = {}
 
     def convert(self, record: EndpointRecord) -> int:
-        """Return when the endpoint started, in nanoseconds of the event loop's clock; 0 stays "long ago"."""
+        """Return when the endpoint started, in nanoseconds of the event loop's clock; 0 if that is long ago."""
         if record.started_ms <= 0:
             return 0
         known = self._converted.get(record.endpoint_id)
@@ -41,5 +41,5 @@
         return started_ns
 
     def forget(self, endpoint_id: int) -> None:
-        """Drop what is known of an endpoint."""
+        """Drop the start time of an endpoint."""
         self._converted.pop(endpoint_id, None)
--- a/lugtally/discovery/watcher.py
+++ b/lugtally/discovery/watcher.py
@@ -1,4 +1,4 @@
-"""The watch of the endpoint list: follows discovery and hands each update to the dispatcher and the upstream pool."""
+"""The endpoint watcher: polls discovery and applies each update to the dispatcher and the upstream pool."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class EndpointWatcher:
-    """Follows the endpoint list and passes on what it says."""
+    """Watches the endpoint list and applies its updates."""
 
     def __init__(
         self,
@@ -42,28 +42,29 @@
 
     @property
     def ready_count(self) -> int:
-        """How many endpoints are listed as ready."""
+        """The number of endpoints that are listed as ready."""
         return sum(endpoint.state is ListedState.READY for endpoint in self._endpoints.values())
 
     def start(self, cached_list: EndpointList) -> None:
-        """Begin with the list cached over a restart, then watch whenever the balancer asks for it."""
+        """Apply the cached list, then start the task that polls discovery when the balancer requests it."""
         self._apply_update(cached_list, EndpointUpdateKind.CACHED)
         self._client.version = cached_list.version
         self._task = self._loop.spawn(self._follow, self._client)
 
     def watch(self) -> None:
-        """Watch for changes, as the balancer asks; it paces this after a failure."""
+        """Request the next poll.  The balancer does so after a failure, with a backoff."""
         self._client.watch_requested.set()
 
     def move_to(self, address: Address) -> None:
-        """Watch at another address from now on; the list at hand stays in force until it responds.
+        """Move the watch to the discovery at another address.
 
-        Its whole list is requested: nothing says that its versions continue those of the old one.
+        The current list stays valid until the new discovery responds.  Its full list is requested, as its versions need
+        not continue those of the old one.
         """
         if self._task is not None:
             self._loop.interrupt(self._task)
         self._client = DiscoveryClient(self._loop, address, None)
-        self._client.watch_requested.set()  # at once, whatever backoff is due after a failure of the old one
+        self._client.watch_requested.set()  # at once: a backoff concerns the old discovery only
         self._task = self._loop.spawn(self._follow, self._client)
 
     # ------------------------------------------------------------ the list
@@ -71,7 +72,7 @@
     def _apply_update(self, update: EndpointList, kind: EndpointUpdateKind) -> None:
         if update.rejected:
             self._log_rejected(update)
-        # What is known of a record that cannot be read stays in force: neither may it hide the others, nor be removed.
+        # A malformed record must not prevent the others from being applied: the previous record of its endpoint stays.
         listed = [self._endpoints[endpoint_id] for endpoint_id in update.rejected if endpoint_id in self._endpoints]
         for endpoint_id in self._removed_ids(update, kind):
             self._forget(endpoint_id)
@@ -86,21 +87,22 @@
     @staticmethod
     def _log_rejected(update: EndpointList) -> None:
         logger.warning(
-            "{count} rows of the server list cannot be read: {reason}",
+            "{count} records of the endpoint list are malformed, the first: {reason}",
             event="discovery.records_rejected",
             count=len(update.rejected),
             reason=next(iter(update.rejected.values())),
         )
 
     def _removed_ids(self, update: EndpointList, kind: EndpointUpdateKind) -> set[int]:
+        """Return the ids of the endpoints that the update removes."""
         removed = {record.endpoint_id for record in update.records if record.state is ListedState.REMOVED}
-        if kind is not EndpointUpdateKind.DELTA:  # a full list leaves them out
+        if kind is not EndpointUpdateKind.DELTA:  # a full list omits removed endpoints
             listed = {record.endpoint_id for record in update.records}
             removed |= self._endpoints.keys() - listed - update.rejected.keys()
         return removed
 
     def _forget(self, endpoint_id: int) -> None:
-        """Drop all that is known of an endpoint: over a long day ids are always new, so nothing may stay."""
+        """Drop all state of an endpoint: a removed id is not used again, so its state would never be freed."""
         self._endpoints.pop(endpoint_id, None)
         self._start_times.forget(endpoint_id)
         self._upstream.remove(endpoint_id)
@@ -113,7 +115,7 @@
     def _zone_index(self, record: EndpointRecord) -> int:
         """Return the number of the record's zone.
 
-        Endpoints whose zone is not named share no deduplication scope: each is a zone by itself.
+        An endpoint without a zone shares its deduplication scope with no other, so it gets a zone of its own.
         """
         if not record.zone:
             return ~record.endpoint_id
@@ -122,39 +124,41 @@
     # ------------------------------------------------------------ the watch
 
     def _follow(self, client: DiscoveryClient) -> None:
-        """Watch at one discovery until the watch moves to another."""
+        """Poll one discovery until the watch moves to another."""
         while client is self._client:
             client.watch_requested.wait()
             self._poll_until_failure(client)
             client.close()
             if client is self._client:
-                # The list at hand stays in force; the balancer says when to try again.  A wake-up from before this
-                # failure would let the next call go without a backoff: a new event drops it.
+                # The current list stays valid, and the balancer decides when to poll again.  The new event discards a
+                # wake-up from before this failure, which would skip the backoff.
                 client.watch_requested = Event(self._loop)
                 self._dispatcher.update_endpoints(EndpointUpdateKind.FAILED)
 
     def _poll_until_failure(self, client: DiscoveryClient) -> None:
+        """Poll until a call fails or the watch moves."""
         try:
             while client is self._client:
                 self._poll(client)
         except (OSError, ProtocolError, ValueError) as error:
             logger.info(
-                "the watch of the server list ended: {reason}", event="discovery.watch_ended", reason=str(error)
+                "the watch of the endpoint list failed: {reason}", event="discovery.watch_ended", reason=str(error)
             )
         except Exception:
-            # Whatever discovery sends, the watch goes on: without it the list would grow old unseen.
-            logger.exception("the watch of the server list failed", event="discovery.failed")
+            # No response may end the task: the endpoint list would never be updated again.
+            logger.exception("the watch of the endpoint list raised an exception", event="discovery.failed")
 
     def _poll(self, client: DiscoveryClient) -> None:
+        """Make one call and apply its update."""
         started_ns = self._loop.now()
         update = client.fetch_update()
         if client is not self._client:
-            return  # the watch moved meanwhile: only the new client counts
+            return  # the watch moved during the call
         previous_version = client.version
         if previous_version is not None and update.version < previous_version and not update.full:
-            client.version = None  # its versions began again: what it calls changes does not follow the list at hand
+            client.version = None  # its versions restarted: the changes do not continue the current list
             return
         self._apply_update(update, EndpointUpdateKind.FULL if update.full else EndpointUpdateKind.DELTA)
-        client.version = update.version  # only now: a list that could not be taken over is requested again
+        client.version = update.version  # after the update, so that one that failed to apply is requested again
         if update.version == previous_version and self._loop.now() - started_ns < timing.EMPTY_RESPONSE_PAUSE_NS:
             self._loop.sleep(timing.EMPTY_RESPONSE_PAUSE_NS)
