--- a/lugtally/daemon/sidecar.py
+++ b/lugtally/daemon/sidecar.py
@@ -22,7 +22,7 @@
 from lugtally.daemon.reload import reload_configuration
 from lugtally.daemon.signals import handle_signals
 from lugtally.daemon.status_socket import StatusSocket
-from lugtally.discovery.watcher import MAX_BACKOFF_NS, EndpointWatcher
+from lugtally.discovery import MAX_BACKOFF_NS, EndpointWatcher
 from lugtally.dispatch import BalancingPolicyFactory, Dispatcher
 from lugtally.downstream.server import DownstreamServer
 from lugtally.eventloop import EventLoop
--- a/lugtally/discovery/watcher.py
+++ b/lugtally/discovery/watcher.py
@@ -10,15 +10,12 @@
 from lugtally.discovery import timing
 from lugtally.discovery.client import DiscoveryClient
 from lugtally.discovery.start_times import StartTimeConverter
-from lugtally.discovery.timing import MAX_BACKOFF_NS
 from lugtally.dispatch.dispatcher import Dispatcher
 from lugtally.dispatch.endpoint_registry import ListedEndpoint
 from lugtally.eventloop import Event, EventLoop, Task
 from lugtally.http1 import ProtocolError
 from lugtally.upstream import UpstreamPool
 
-__all__ = ["MAX_BACKOFF_NS", "EndpointWatcher"]
-
 
 class EndpointWatcher:
     """Watches the endpoint list and applies its updates."""
