--- a/lugtally/dispatch/dispatcher.py
+++ b/lugtally/dispatch/dispatcher.py
@@ -1,7 +1,7 @@
-"""The dispatcher: the one caller of the balancer.
+"""The dispatcher: the only caller of the balancer.
 
-It turns what happens to requests, attempts and endpoints into the balancer's events, and its actions into decisions
-that the tasks of the requests wait for.
+It translates changes of requests, attempts and endpoints into events of the balancer.  It translates the balancer's
+actions into decisions, which the tasks of the requests wait for.
 """
 
 from __future__ import annotations
@@ -12,32 +12,36 @@
 
 from lugtally import balancing
 from lugtally.balancing import Balancer
+from lugtally.dispatch import fault_recovery
 from lugtally.dispatch.attempt_outcome import ATTEMPT_RESULTS, FULLY_SENT, AttemptOutcome
 from lugtally.dispatch.balancer_timers import BalancerTimer, BalancerTimers
 from lugtally.dispatch.decision import Decision, Failed, Finished, Rejected, StartAttempt
-from lugtally.dispatch.endpoint_registry import EndpointRegistry, ListedEndpoint
+from lugtally.dispatch.endpoint_registry import ListedEndpoint
+from lugtally.dispatch.endpoint_updates import EndpointUpdates
+from lugtally.dispatch.fault_recovery import FaultRecovery
 from lugtally.dispatch.guarded_policy import GuardedPolicy
 from lugtally.dispatch.metrics import RequestMetrics
 from lugtally.dispatch.pending_request import PendingRequest, SentAttempt
 from lugtally.dispatch.policy import BalancingPolicyFactory
+from lugtally.dispatch.service_times import ServiceTimes
 from lugtally.eventloop import EventLoop, WakeReason
 from lugtally.overload.admission import AdmissionController
 from lugtally.units import NS_PER_MS
 
 DEADLINE_MARGIN_NS = 20 * NS_PER_MS
-"""How long after its deadline a request without a decision is answered."""
-FAULT_RETRY_NS = 500 * NS_PER_MS
-"""How long after the balancer failed on a timer or an endpoint list it is told of it again."""
-USUAL_DURATION_WEIGHT = 0.1
-"""The weight of a new duration in the moving average of a class."""
+"""How long after its deadline a request without a decision gets its final answer."""
 
 
 def _do_nothing(*_: object) -> None:
-    """Stand in for a handler that has not been set."""
+    """Replace a handler that has not been set."""
 
 
 class Dispatcher:
-    """All requests in progress of one sidecar."""
+    """Manages the requests in progress of one sidecar.
+
+    Attributes:
+        metrics: The counters of requests and attempts.
+    """
 
     def __init__(
         self,
@@ -53,31 +57,29 @@
         self._pending: dict[str, PendingRequest] = {}
         self._last_id = 0
         self._timers = BalancerTimers()
-        self._endpoints = EndpointRegistry()
-        self._endpoints_due_ns: int | None = None  # when the balancer is told the whole list, after a fault
+        self._recovery = FaultRecovery(self._balancer, self._handle_event, self._finish)
+        self._endpoint_updates = EndpointUpdates(loop, self._handle_event, self._restart_watch)
         self._admission: AdmissionController | None = None
-        self._usual_duration_ns: dict[int, float] = {}  # by class: moving average of served attempts
+        self._service_times = ServiceTimes()
         self._close_idle_connections: Callable[[int], None] = _do_nothing
         self._watch_endpoints: Callable[[], None] = _do_nothing
-        self._disconnected_count = 0
-        self._shed_count = 0
         self.metrics = RequestMetrics(tuple(request_class.name for request_class in settings.classes))
 
     def set_handlers(self, close_idle_connections: Callable[[int], None], watch_endpoints: Callable[[], None]) -> None:
-        """Name who closes the idle connections to an endpoint, and who watches the endpoint list."""
+        """Set what closes the idle connections to an endpoint, and what polls the endpoint list."""
         self._close_idle_connections = close_idle_connections
         self._watch_endpoints = watch_endpoints
 
     def set_admission_controller(self, admission: AdmissionController) -> None:
-        """Ask this controller before anything is done for a request."""
+        """Check each request with this controller before it is processed."""
         self._admission = admission
 
     # ------------------------------------------------------------ requests
 
     def reject_if_overloaded(self, class_index: int, time_left_ns: int) -> Rejected | None:
-        """Return the answer of a request that must not come in now, as this sidecar itself is overloaded.
+        """Return a rejection if this sidecar is itself overloaded, else ``None``.
 
-        Called with nothing done for the request but its head read, so that nothing of it has been sent.
+        The caller has only read the head of the request: no byte of it has been sent to an endpoint.
         """
         admission = self._admission
         if admission is None:
@@ -87,58 +89,58 @@
             class_index,
             time_left_ns,
             self._loop.scheduling_delay_ns(),
-            self._usual_duration_ns.get(class_index, 0.0),
+            self._service_times.average_ns(class_index),
         )
         if reason is None:
             return None
-        self._shed_count += 1
-        self.metrics.record_rejection(class_index)
+        self.metrics.record_shed(class_index)
         return Rejected(admission.retry_after_ns())
 
     def next_decision(self, request: PendingRequest) -> Decision:
-        """Block until the next decision on a request; the first call hands it to the balancer."""
+        """Block until the next decision on a request; the first call submits it to the balancer."""
         if not request.submitted:
             self._submit(request)
         while not request.decisions:
             if request.is_streaming:
-                # Its response has begun: the stream's own end ends it, however long it takes.
+                # The request has no deadline any more: it ends when its stream ends.
                 request.decision_ready.wait()
                 continue
             reason = request.decision_ready.wait(request.deadline_ns + DEADLINE_MARGIN_NS)
-            # Only where the loop had a turn: after a stall, attempts must first see that their time is over.
+            # READY without a decision is a stale wake-up.
+            # Wait again, so that attempts that timed out during a stall of the process report first.
             if reason is not WakeReason.READY and not request.decisions and not request.is_streaming:
-                # Guards the one final answer against a fault: else each attempt has timed out by now.
+                # All attempts have timed out by now, so only a fault of the balancer leads here.
                 if not request.deadline_was_shortened:
-                    logger.error("no decision by the deadline of a request", event="dispatch.deadline_exceeded")
-                self._give_up(request)
+                    logger.error("a request got no decision by its deadline", event="dispatch.deadline_exceeded")
+                self._recovery.give_up(request)
         return request.decisions.popleft()
 
     def shorten_deadline(self, request: PendingRequest, deadline_ns: int) -> None:
-        """Answer a request by an earlier time than was thought."""
+        """Set an earlier deadline for a request that is already in progress."""
         request.deadline_ns = deadline_ns
         request.deadline_was_shortened = True
-        request.decision_ready.set()  # whoever waits for it waits for less
+        request.decision_ready.set()  # the waiting task must use the new deadline
 
     def claim_stream(self, request: PendingRequest, number: int) -> bool:
-        """Return whether an attempt with the head of a long response may pass it on; the first to ask may.
+        """Bind the request to an attempt whose response is streamed; return whether the attempt may send it.
 
-        From then on the balancer sends nothing more for the request, and only the end of that attempt ends it: the
-        others in flight are cancelled, as their responses could go nowhere.
+        Only the first attempt that claims the stream may.  The balancer starts no further attempt for the request, the
+        other attempts in flight are cancelled, and the request finishes when this attempt does.
         """
         if request.finished or request.is_streaming or number not in request.in_flight:
             return False
         request.streaming_attempt = number
         endpoint_id = request.attempts[number].endpoint_id
         if not self._handle_event(balancing.ResponseStarted(request.id, number, endpoint_id)):
-            self._let_balancer_forget(request)  # it must send nothing more for the request
+            self._recovery.withdraw(request)  # the balancer must not start another attempt
         for other in request.in_flight - {number}:
             request.cancel_attempt(other)
         return True
 
     def may_start(self, request: PendingRequest, number: int) -> bool:
-        """Return whether an attempt's bytes may go out now: asked right before each part of them is written."""
+        """Return whether bytes of an attempt may be written now.  Call this right before each write."""
         now_ns = self._loop.now()
-        return request.wants(number, now_ns) and self._balancer.may_start(now_ns, request.id, number)
+        return request.allows_attempt(number, now_ns) and self._balancer.may_start(now_ns, request.id, number)
 
     def attempt_finished(
         self,
@@ -147,106 +149,102 @@
         outcome: AttemptOutcome,
         load_report: tuple[float, ...] | None = None,
     ) -> bool:
-        """Take the end of an attempt; every attempt that was started reports one.
+        """Record how an attempt ended; return whether its response is the final answer of the request.
 
-        Returns whether its response is the request's answer.
+        Call this exactly once for each attempt that was started.
         """
         request.in_flight.discard(number)
         attempt = request.attempts[number]
-        bound = request.streaming_attempt == number
+        is_streamed = request.streaming_attempt == number
         served = outcome is AttemptOutcome.SERVED
-        won = served and not request.finished and (not request.is_streaming or bound)
+        won = served and not request.finished and (not request.is_streaming or is_streamed)
         duration_ns = self._loop.now() - attempt.started_ns
         if outcome in FULLY_SENT:
             self.metrics.record_dispatch()
         result = ATTEMPT_RESULTS[outcome]
         attempt.may_have_run = result not in balancing.NOT_PROCESSED
-        is_over = won or request.finished or bound
+        request_finished = won or request.finished or is_streamed
         handled = self._handle_event(
             balancing.AttemptFinished(
-                request.id, number, attempt.endpoint_id, result, is_over, duration_ns, load_report
+                request.id, number, attempt.endpoint_id, result, request_finished, duration_ns, load_report
             ),
             request,
         )
         if won:
-            if not bound:  # a stream lasts as long as its client takes to read it
-                self._note_duration(request.class_index, duration_ns)
+            if not is_streamed:  # the duration of a stream depends on how fast its client reads
+                self._service_times.record(request.class_index, duration_ns)
             self.metrics.record_success(request.class_index)
             self._finish(request, Finished())
-        elif bound:
-            self._finish(request, Failed())  # half a response has gone out: the client's connection ends
+        elif is_streamed:
+            self._finish(request, Failed())  # the client has received a truncated response
         elif not handled:
-            self._recover(request)
+            self._recovery.recover(request)
         else:
-            self._answer_if_stranded(request)
+            self._recovery.give_up_if_stranded(request)
         return won
 
     def client_disconnected(self, request: PendingRequest) -> None:
-        """Take it that the client went away; nothing happens where the request is over."""
+        """Record that the client disconnected.  Does nothing if the request has finished."""
         if not request.finished:
             self._handle_event(balancing.ClientDisconnected(request.id))
-            self._disconnected_count += 1
+            self.metrics.record_disconnect()
             self._finish(request, Finished())
 
     # ------------------------------------------------------------ endpoints
 
     def update_endpoints(self, kind: balancing.EndpointUpdateKind, endpoints: Iterable[ListedEndpoint] = ()) -> None:
-        """Take an update of the endpoint list, or that none could be had (``FAILED``)."""
-        self._tell_endpoints(kind, self._endpoints.update(kind, endpoints))
+        """Apply an update of the endpoint list.  ``FAILED`` reports that discovery could not be polled."""
+        self._endpoint_updates.apply(kind, endpoints)
 
     def was_listed(self, endpoint_id: int) -> bool:
         """Return whether the endpoint was listed at any time since the start."""
-        return self._endpoints.was_listed(endpoint_id)
+        return self._endpoint_updates.registry.was_listed(endpoint_id)
 
     def start_drain(self, endpoint_id: int) -> None:
-        """Send the endpoint no new work from now on, until :meth:`end_drain`."""
-        self._update_endpoint(self._endpoints.start_drain(endpoint_id))
+        """Drain the endpoint: it gets no new requests until :meth:`end_drain`."""
+        self._endpoint_updates.start_drain(endpoint_id)
 
     def end_drain(self, endpoint_id: int) -> None:
-        """Let the endpoint come back as one that has just started: it warms up."""
-        self._update_endpoint(self._endpoints.end_drain(endpoint_id, self._loop.now()))
+        """End the drain of the endpoint, which then warms up as after a restart."""
+        self._endpoint_updates.end_drain(endpoint_id)
 
-    # ------------------------------------------------------------ figures
+    # ------------------------------------------------------------ metrics
 
     @property
     def in_progress(self) -> int:
-        """The number of requests that were taken and have not ended."""
+        """The number of submitted requests without a final answer."""
         return len(self._pending)
 
     @property
     def endpoint_count(self) -> int:
-        """The number of endpoints in the list at hand."""
-        return len(self._endpoints)
+        """The number of endpoints in the current list."""
+        return len(self._endpoint_updates.registry)
 
     def disabled_count(self) -> int:
-        """Return how many listed endpoints get no new work now: drained by operators, or ejected."""
-        return self._endpoints.drained_count() + self._balancer.ejected_count(self._loop.now())
+        """Return how many listed endpoints are currently drained by operators or ejected."""
+        drained_count = self._endpoint_updates.registry.drained_count()
+        return drained_count + self._balancer.ejected_count(self._loop.now())
 
     def request_counts(self) -> dict[str, int]:
-        """Return the requests by how they ended so far, and those in progress, by the keys of the status socket."""
-        metrics = self.metrics
-        return {
-            "in_progress": len(self._pending),
-            "served": sum(metrics.success),
-            "busy": sum(metrics.overload) - self._shed_count,
-            "failed": sum(metrics.error),
-            "left": self._disconnected_count,
-            "own_overload": self._shed_count,
-        }
+        """Return the requests in progress and the finished ones by result, keyed as on the status socket."""
+        return self.metrics.request_counts(len(self._pending))
 
     # ------------------------------------------------------------ the balancer
 
     def run_due_timers(self) -> int | None:
-        """Fire the balancer's timers that have come due; returns when the next one does, or ``None``."""
+        """Fire the balancer's timers that are due; return when the next one is due, or ``None``."""
         now_ns = self._loop.now()
         while (due := self._timers.pop_due(now_ns)) is not None:
             self._fire_timer(now_ns, due)
-        if self._endpoints_due_ns is not None and self._endpoints_due_ns <= now_ns:
-            self._tell_endpoints_again()
-        due_ns = self._timers.next_due_ns()
-        if self._endpoints_due_ns is None or due_ns is None:
-            return due_ns if self._endpoints_due_ns is None else self._endpoints_due_ns
-        return min(due_ns, self._endpoints_due_ns)
+        updates = self._endpoint_updates
+        if updates.resend_due_ns is not None and updates.resend_due_ns <= now_ns:
+            updates.resend()
+        timer_due_ns = self._timers.next_due_ns()
+        if updates.resend_due_ns is None:
+            return timer_due_ns
+        if timer_due_ns is None:
+            return updates.resend_due_ns
+        return min(timer_due_ns, updates.resend_due_ns)
 
     def _fire_timer(self, now_ns: int, due: BalancerTimer) -> None:
         request = self._pending.get(due.request_id)
@@ -254,30 +252,30 @@
             request.awaited_timer = None
         if self._handle_event(balancing.TimerFired(due.timer), request):
             if request is not None:
-                self._answer_if_stranded(request)
+                self._recovery.give_up_if_stranded(request)
             return
-        # The timer may be one of a chain, each of which sets the next: it must not be lost.
-        self._timers.add(now_ns + FAULT_RETRY_NS, due.timer)
+        # The timer may be one that sets itself again, as the poll timer does, so it must not be lost.
+        self._timers.add(now_ns + fault_recovery.FAULT_RETRY_NS, due.timer)
         for pending in list(self._pending.values()):
-            self._answer_if_stranded(pending)
+            self._recovery.give_up_if_stranded(pending)
 
     def _submit(self, request: PendingRequest) -> None:
         request.submitted = True
         self._last_id += 1
-        request.id = str(self._last_id)  # our own: a client that repeats an id in flight must not lose one
+        request.id = str(self._last_id)  # not the client's id, which another request in flight may have
         self._pending[request.id] = request
         time_left_ns = request.deadline_ns - self._loop.now()
         if time_left_ns <= 0:
-            self._finish(request, Rejected(0))  # it waited for too long before it came here
+            self._finish(request, Rejected(0))  # the deadline passed before the submission
             return
         event = balancing.Request(request.id, request.class_index, request.tenant_index, time_left_ns, request.is_retry)
         if self._handle_event(event, request):
-            self._answer_if_stranded(request)
+            self._recovery.give_up_if_stranded(request)
         else:
-            self._recover(request)
+            self._recovery.recover(request)
 
     def _finish(self, request: PendingRequest, decision: Decision) -> None:
-        """End the request: its last decision, and an end to the attempts that are still in flight."""
+        """Give the request its final decision and cancel its attempts in flight.  Does nothing if it has finished."""
         if request.finished:
             return
         request.finished = True
@@ -291,60 +289,15 @@
         for number in list(request.in_flight):
             request.cancel_attempt(number)
 
-    def _give_up(self, request: PendingRequest) -> None:
-        """End a request on which the balancer gives no decision: a repeat is safe where no attempt may have run."""
-        self._finish(request, Failed() if request.may_have_run else Rejected(0))
-        self._let_balancer_forget(request)
-
-    def _recover(self, request: PendingRequest) -> None:
-        """Go on without the balancer, which failed on an event of this request.
-
-        What it decided is lost, and its numbers of attempts may differ from ours by now: it decides nothing more for
-        the request.  Attempts that are written may still bring the answer; without one it is given at once.
-        """
-        self._let_balancer_forget(request)
-        request.awaited_timer = None
-        self._answer_if_stranded(request)
-
-    def _answer_if_stranded(self, request: PendingRequest) -> None:
-        """Answer a request for which nothing is under way, where a fault may have lost what was decided on it."""
-        if self._balancer.has_failed and request.is_stranded:
-            self._give_up(request)
-
-    def _let_balancer_forget(self, request: PendingRequest) -> None:
-        """Tell the balancer that nothing more comes of a request.
-
-        On the event that it failed on it may have recorded one attempt more, which it never ordered: left in its books,
-        that would take a place at an endpoint for good.
-        """
-        if self._balancer.has_failed:
-            never_ordered = len(request.attempts)
-            self._handle_event(
-                balancing.AttemptFinished(request.id, never_ordered, 0, balancing.AttemptResult.NEVER_SENT, True, 0)
-            )
-        self._handle_event(balancing.ClientDisconnected(request.id))
-
-    def _note_duration(self, class_index: int, duration_ns: int) -> None:
-        usual_ns = self._usual_duration_ns.setdefault(class_index, float(duration_ns))
-        self._usual_duration_ns[class_index] = usual_ns + USUAL_DURATION_WEIGHT * (duration_ns - usual_ns)
-
-    def _update_endpoint(self, endpoint: balancing.Endpoint | None) -> None:
-        if endpoint is not None:
-            self._tell_endpoints(balancing.EndpointUpdateKind.DELTA, [endpoint])
-
-    def _tell_endpoints(self, kind: balancing.EndpointUpdateKind, endpoints: list[balancing.Endpoint]) -> None:
-        if not self._handle_event(balancing.EndpointUpdate(kind, endpoints)):
-            self._endpoints_due_ns = self._loop.now() + FAULT_RETRY_NS
-
-    def _tell_endpoints_again(self) -> None:
-        """Tell the balancer the whole list, after it failed on a part; the watch may have been lost with it."""
-        self._endpoints_due_ns = None
+    def _restart_watch(self) -> None:
         if self._subscribes_to_endpoints:
             self._watch_endpoints()
-        self._tell_endpoints(balancing.EndpointUpdateKind.FULL, self._endpoints.all())
 
     def _handle_event(self, event: balancing.Event, request: PendingRequest | None = None) -> bool:
-        """Let the balancer decide on an event, of this request if any; return whether it did."""
+        """Send an event to the balancer and perform its actions; return false if the balancer failed on the event.
+
+        ``request`` is the request that the event belongs to, if any.
+        """
         now_ns = self._loop.now()
         actions = self._balancer.handle(now_ns, event)
         if actions is None:
@@ -353,13 +306,17 @@
             try:
                 self._perform(now_ns, action, request)
             except Exception:
-                # The other actions, and what the caller has still to do, must not be lost with it.
+                # A fault in one action must not prevent the others, nor the remaining work of the caller.
                 action_type = type(action).__name__
-                logger.exception("{action_type} failed", event="dispatch.action_failed", action_type=action_type)
+                logger.exception(
+                    "the action {action_type} raised an exception",
+                    event="dispatch.action_failed",
+                    action_type=action_type,
+                )
         return True
 
     def _perform(self, now_ns: int, action: balancing.Action, subject: PendingRequest | None = None) -> None:
-        """Take one action, decided on an event of the request ``subject``."""
+        """Perform one action, which the balancer returned for an event of the request ``subject``."""
         match action:
             case balancing.SendAttempt(request_id, endpoint_id, timeout_ns):
                 if (request := self._pending.get(request_id)) is not None:
@@ -381,7 +338,7 @@
         if subject is None or subject.finished or subject.in_flight:
             self._timers.add(due_ns, timer)
             return
-        subject.awaited_timer = timer  # nothing else is under way for it: this must be what it waits for
+        subject.awaited_timer = timer  # the request waits for nothing else
         self._timers.add(due_ns, timer, subject.id)
 
     def _start_attempt(self, request: PendingRequest, endpoint_id: int, now_ns: int, timeout_ns: int) -> None:
--- a/tests/discovery/test_watcher.py
+++ b/tests/discovery/test_watcher.py
@@ -1,4 +1,4 @@
-"""The endpoint watcher: what it converts, and what it retains of endpoints that left."""
+"""The endpoint watcher: start times, removed endpoints and unknown states."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     balancer: ScriptedBalancer,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A step of the wall clock used to look like a restart: a warm endpoint would have warmed up again."""
+    """A step of the wall clock used to look like a restart, after which the endpoint warmed up again."""
     started_ms = loop.wall_clock() // NS_PER_MS - 700
     raw = {
         "version": 1,
@@ -68,10 +68,10 @@
     assert lists[0][1].started_ns == 0
 
 
-def test_nothing_is_retained_of_removed_endpoints(
+def test_state_of_removed_endpoints_is_dropped(
     endpoint_watcher: EndpointWatcher, upstream: UpstreamPool, balancer: ScriptedBalancer
 ) -> None:
-    """On a long day thousands of ids come and go, and an address may return under a new one."""
+    """Thousands of endpoint ids may be listed in one day, and a new id may have the address of an old one."""
     real_balancer = Balancer(balancing.Settings(), 1)
     for version in range(1, 40):
         rows = [
@@ -84,3 +84,31 @@
     tables = (endpoint_watcher._endpoints, endpoint_watcher._start_times._converted, upstream._addresses)
     assert [len(table) for table in tables] == [1, 1, 1]
     assert len(real_balancer.endpoints.by_id) == 1
+
+
+def test_unknown_state_is_listed_but_removed_for_balancer(
+    endpoint_watcher: EndpointWatcher,
+    dispatcher: dispatch.Dispatcher,
+    upstream: UpstreamPool,
+    balancer: ScriptedBalancer,
+) -> None:
+    endpoint_id = endpoint_id_of("s-1")
+    row = {"id": "s-1", "addr": "127.0.0.1:1", "zone": "a", "state": "hibernating", "started_ms": 0}
+    update = parse_endpoint_list({"version": 1, "full": True, "servers": [row]}, "list")
+    endpoint_watcher._apply_update(update, balancing.EndpointUpdateKind.FULL)
+    dispatcher.start_drain(endpoint_id)
+    lists = [event.endpoints for event in balancer.events if isinstance(event, balancing.EndpointUpdate)]
+    assert [endpoint.state for endpoints in lists for endpoint in endpoints] == [
+        balancing.EndpointState.REMOVED,
+        balancing.EndpointState.DRAINING,
+    ]
+    assert dispatcher.endpoint_count == 1
+    assert endpoint_watcher.ready_count == 0
+    assert endpoint_id in upstream._addresses
+
+
+def test_address_is_optional_for_removed_state_only() -> None:
+    row = {"id": "s-1", "state": "gone"}
+    assert len(parse_endpoint_list({"version": 1, "servers": [row]}, "list").records) == 1
+    with pytest.raises(ValueError, match=r"list\.servers\[0\]\.addr"):
+        parse_endpoint_list({"version": 1, "servers": [{**row, "state": "hibernating"}]}, "list")
