--- a/lugtally/cli/daemon.py
+++ b/lugtally/cli/daemon.py
@@ -23,7 +23,7 @@
 def serve(log_level: str | None, log_format: Literal["text", "json"] | None, operator: str | None) -> int:
     """Run the sidecar in the foreground, as the PROXY_* variables say."""
     from lugtally.config import sidecar
-    from lugtally.daemon.own_overload import overload_limits
+    from lugtally.daemon.overload_protection import overload_limits
     from lugtally.daemon.sidecar import serve as run
 
     level: str = "INFO"
--- a/lugtally/daemon/__init__.py
+++ b/lugtally/daemon/__init__.py
@@ -1,5 +1,5 @@
-"""One running sidecar: built from its configuration, controlled by signals, stopped in order.
+"""One running sidecar: it is built from its configuration, controlled by signals and stopped gracefully.
 
-It owns what is built and in which order, the tasks that maintain it, drains by operators and the status socket.
-It must not parse a protocol or take a decision.
+It owns the components of the sidecar and the order in which they are built, the maintenance tasks, operators' drains
+and the status socket.  It must not parse a protocol or make a balancing decision.
 """
--- a/lugtally/daemon/errors.py
+++ b/lugtally/daemon/errors.py
@@ -1,4 +1,4 @@
-"""Why a sidecar cannot start; the text of each error is one line, and each has the exit status that it leads to."""
+"""Errors that prevent a sidecar from starting.  The text of each is one line, and each class has its exit status."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class InvalidConfigurationError(StartupError):
-    """A value that only the building of the sidecar could check is wrong."""
+    """The configuration has an invalid value that is only detected while the sidecar is built."""
 
 
 class StatusSocketError(StartupError):
@@ -18,6 +18,6 @@
 
 
 class ListenError(StartupError):
-    """An address cannot be listened on."""
+    """The sidecar cannot listen at a configured address."""
 
     exit_status = 1
--- a/lugtally/daemon/maintenance.py
+++ b/lugtally/daemon/maintenance.py
@@ -1,4 +1,4 @@
-"""Periodic work of a running sidecar: expired connections, readiness, timer lag."""
+"""Periodic tasks of a running sidecar: expired connections, readiness, timer lag."""
 
 from __future__ import annotations
 
@@ -12,15 +12,17 @@
 
 MAINTENANCE_INTERVAL_NS = 1000 * NS_PER_MS
 READINESS_CHECK_INTERVAL_NS = 10 * NS_PER_MS
+"""Maintenance interval until the sidecar is ready."""
 TIMER_LAG_WARNING_NS = 50 * NS_PER_MS
+"""Smallest delay of a timer that is logged."""
 
 
 def maintain_connections(
     loop: EventLoop, upstream: UpstreamPool, endpoint_watcher: EndpointWatcher, downstream: DownstreamServer
 ) -> None:
-    """Close expired connections, and report late timers, for as long as the loop runs.
+    """Periodically update the readiness, close expired connections and log late timers, while the loop runs.
 
-    The sidecar becomes ready once an endpoint is, and stays so.
+    The sidecar becomes ready with its first ready endpoint, and then remains ready.
     """
     while True:
         downstream.ready = downstream.ready or endpoint_watcher.ready_count > 0
@@ -30,12 +32,14 @@
 
 
 def _report_timer_lag(loop: EventLoop) -> None:
-    """Log how late timers ran since the last call: the machine or a garbage collection held the process up.
+    """Log the largest delay of a timer since the last call.
 
-    Whoever looks for the cause of a late response should look here before blaming a decision.
+    A delay is caused by the machine, a garbage collection or a long turn of the event loop, and delays responses too.
     """
     if loop.max_timer_lag_ns > TIMER_LAG_WARNING_NS:
         logger.warning(
-            "timers ran {lag_ms:.0f} ms late", event="sidecar.timer_lag", lag_ms=loop.max_timer_lag_ns / NS_PER_MS
+            "timers fired up to {lag_ms:.0f} ms late",
+            event="sidecar.timer_lag",
+            lag_ms=loop.max_timer_lag_ns / NS_PER_MS,
         )
     loop.max_timer_lag_ns = 0
--- a/lugtally/daemon/operator_drains.py
+++ b/lugtally/daemon/operator_drains.py
@@ -1,4 +1,4 @@
-"""Drains by operators: what the calls of the operators' address read and change."""
+"""Operators' drains: starts and ends them for admin calls, and stores them in the drain file."""
 
 from __future__ import annotations
 
@@ -12,69 +12,71 @@
 from lugtally.units import NS_PER_MS
 
 DRAIN_FILE_READ_INTERVAL_NS = 250 * NS_PER_MS
-"""How soon a drain that was ordered at another process of the same name takes effect at this one."""
+"""Interval after which a drain started in another process of the same name takes effect in this one."""
 
 
 class OperatorDrains:
-    """The servers that operators drain, with the file that keeps them; an :class:`~lugtally.admin.calls.AdminBackend`.
+    """The endpoints that operators drain.  Implements :class:`~lugtally.admin.calls.AdminBackend`.
 
-    A process replacement has two processes of one name for a while: the file carries a drain from one to the other.
+    While a process is being replaced, two processes of the same name run; they share drains through the drain file.
     """
 
     def __init__(self, dispatcher: Dispatcher, downstream: DownstreamServer, store: DrainStore) -> None:
         self._dispatcher = dispatcher
         self._downstream = downstream
         self._store = store
-        self._drained: set[str] = set()
+        self._drained: set[str] = set()  # endpoint names
 
     def is_ready(self) -> bool:
-        """Return whether this process is ready to serve; one that is shutting down is not."""
+        """Return whether this process accepts requests and is not shutting down."""
         return self._downstream.ready and not self._downstream.draining
 
     def counters(self) -> dict[str, object]:
-        """Return the request metrics, by the keys of the page."""
+        """Return the request metrics by their names in the response of the counters call."""
         dispatcher = self._dispatcher
         return dispatcher.metrics.snapshot(
             dispatcher.in_progress, dispatcher.endpoint_count, dispatcher.disabled_count()
         )
 
-    def start_drain(self, server: str) -> bool:
-        """Send the server no new work until :meth:`end_drain`; false where it was never listed."""
-        if server not in self._drained:
-            if not self._dispatcher.was_listed(endpoint_id_of(server)):
+    def start_drain(self, endpoint_name: str) -> bool:
+        """Send no new requests to the endpoint until :meth:`end_drain`; return whether it has ever been listed."""
+        if endpoint_name not in self._drained:
+            endpoint_id = endpoint_id_of(endpoint_name)
+            if not self._dispatcher.was_listed(endpoint_id):
                 return False
-            self._drained.add(server)
-            self._dispatcher.start_drain(endpoint_id_of(server))
-            logger.warning("pledge server {server} is drained by hand", event="drain.started", server=server)
+            self._drained.add(endpoint_name)
+            self._dispatcher.start_drain(endpoint_id)
+            logger.warning("operator's drain of {server} started", event="drain.started", server=endpoint_name)
         self._store.write(self._drained)
         return True
 
-    def end_drain(self, server: str) -> bool:
-        """Let the server come back, warming up; false where it was never listed nor drained."""
-        if server not in self._drained:
-            return self._dispatcher.was_listed(endpoint_id_of(server))
-        self._drained.discard(server)
-        self._dispatcher.end_drain(endpoint_id_of(server))
-        logger.warning("pledge server {server} is back from a drain by hand", event="drain.ended", server=server)
+    def end_drain(self, endpoint_name: str) -> bool:
+        """End the drain of the endpoint, which starts to warm up; return whether it has ever been listed or drained."""
+        endpoint_id = endpoint_id_of(endpoint_name)
+        if endpoint_name not in self._drained:
+            return self._dispatcher.was_listed(endpoint_id)
+        self._drained.discard(endpoint_name)
+        self._dispatcher.end_drain(endpoint_id)
+        logger.warning("operator's drain of {server} ended", event="drain.ended", server=endpoint_name)
         self._store.write(self._drained)
         return True
 
     def reload(self) -> None:
-        """Adopt the drains that another process of this name wrote, where it did since the last call."""
+        """Apply the drains in the drain file, if another process of this name changed it since the last call."""
         stored = self._store.read()
         if stored is None:
             return
-        for server in stored - self._drained:
-            self._dispatcher.start_drain(endpoint_id_of(server))
-        for server in self._drained - stored:
-            self._dispatcher.end_drain(endpoint_id_of(server))
+        for endpoint_name in stored - self._drained:
+            self._dispatcher.start_drain(endpoint_id_of(endpoint_name))
+        for endpoint_name in self._drained - stored:
+            self._dispatcher.end_drain(endpoint_id_of(endpoint_name))
         if stored != self._drained:
-            logger.info("drains by hand taken from the file: {banned}", event="drain.reloaded", banned=sorted(stored))
+            logger.info("operators' drains read from the file: {banned}", event="drain.reloaded", banned=sorted(stored))
         self._drained = stored
 
 
 def follow_drain_file(loop: EventLoop, drains: OperatorDrains) -> None:
-    """Adopt what other processes write to the file, for as long as the loop runs."""
+    """Periodically apply changes of the drain file by other processes, while the loop runs."""
     while True:
         loop.sleep(DRAIN_FILE_READ_INTERVAL_NS)
         drains.reload()
--- a/lugtally/daemon/own_overload.py
+++ b/lugtally/daemon/overload_protection.py
@@ -1,4 +1,4 @@
-"""The sidecar's own overload: its limits from the operator's file, and the resources that are read for them."""
+"""Overload protection of the sidecar itself: its limits from the operator's file, and periodic resource readings."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def overload_limits(overload: Overload, settings: balancing.Settings) -> OverloadLimits | None:
-    """Return the operator's ``[overload]`` as the admission controller takes it; ``None`` where it is off."""
+    """Convert the ``[overload]`` section to the limits of the admission controller; ``None`` if it is disabled."""
     if not overload.enabled:
         return None
     max_retry_after_ns = min(settings.max_retry_after_ns, MAX_RETRY_AFTER_NS) if settings.retry_after_allowed else 0
@@ -33,7 +33,7 @@
 
 
 def monitor_resources(loop: EventLoop, admission: AdmissionController, monitor: ResourceMonitor) -> None:
-    """Read the process's resources for as long as the loop runs; log when shedding begins and ends."""
+    """Periodically read the resources of the process, while the loop runs; log when load shedding starts or stops."""
     shedding = False
     while True:
         loop.sleep(RESOURCE_READ_INTERVAL_NS)
@@ -47,7 +47,7 @@
 def _log_shedding(admission: AdmissionController, shedding: bool) -> None:
     usage = admission.meter.usage
     logger.warning(
-        "{what} for own overload: {shed_fraction:.0%} of the requests, delay {delay_ms:.1f} ms, "
+        "{what}: {shed_fraction:.0%} of the requests, delay {delay_ms:.1f} ms, "
         "{cpu:.0%} of the cores, {memory:.0%} of the memory, {descriptors:.0%} of the descriptors",
         event="overload.shedding",
         what="shedding load" if shedding else "no longer shedding load",
--- a/lugtally/daemon/reload.py
+++ b/lugtally/daemon/reload.py
@@ -1,4 +1,4 @@
-"""Reload of the configuration at SIGHUP."""
+"""Reloading the configuration on SIGHUP."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 def reload_configuration(endpoint_watcher: EndpointWatcher) -> None:
-    """Watch the endpoint list where the configuration now says; everything else in it takes effect at a restart."""
+    """Reload the configuration and watch the endpoint list at its discovery address.  Other changes need a restart."""
     try:
         config = sidecar.load(os.environ, reloading=True)
     except sidecar.ConfigurationError as error:
-        # A mistake in the file must not end the service: the configuration in force stays in force.
-        logger.error("the new configuration is not used: {reason}", event="config.rejected", reason=str(error))
+        # An invalid file must not stop the sidecar; it continues with its current configuration.
+        logger.error("new configuration rejected: {reason}", event="config.rejected", reason=str(error))
         return
     logger.info(
-        "told to read the configuration again: discovery at {host}:{port}",
+        "configuration reloaded: discovery at {host}:{port}",
         event="config.reloaded",
         host=config.discovery.host,
         port=config.discovery.port,
--- a/lugtally/daemon/sidecar.py
+++ b/lugtally/daemon/sidecar.py
@@ -1,4 +1,4 @@
-"""One sidecar: built from its configuration, started, run until it is told to stop, and stopped."""
+"""One sidecar: building it from its configuration, starting, running and stopping it."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from lugtally.daemon.errors import InvalidConfigurationError, ListenError, StartupError
 from lugtally.daemon.maintenance import maintain_connections
 from lugtally.daemon.operator_drains import OperatorDrains, follow_drain_file
-from lugtally.daemon.own_overload import monitor_resources
+from lugtally.daemon.overload_protection import monitor_resources
 from lugtally.daemon.reload import reload_configuration
 from lugtally.daemon.signals import handle_signals
 from lugtally.daemon.status_socket import StatusSocket
@@ -37,6 +37,9 @@
     split_descriptors,
 )
 
+BYTES_PER_MB = 1024 * 1024
+"""The unit of the memory limit in the configuration."""
+
 
 def serve(
     config: SidecarConfig,
@@ -47,11 +50,15 @@
     status_path: str = "",
     policy_factory: BalancingPolicyFactory | None = None,
 ) -> int:
-    """Run a sidecar until it is told to stop; return the exit status.
-
-    ``overload`` has it shed load before it falls behind itself; without, only the balancer rejects requests.
-    ``status_path`` is the path of a Unix socket for ``lugtally status``.
-    ``policy_factory`` builds what decides in the place of the balancer: only for the testbed's comparisons.
+    """Run a sidecar until a signal stops it; return the exit status.
+
+    Args:
+        config: The configuration.
+        log_level: The lowest level that is logged.
+        log_format: The format of the log.
+        overload: Limits above which the sidecar sheds load; without them, only the balancer rejects requests.
+        status_path: The path of the Unix socket for ``lugtally status``; empty for none.
+        policy_factory: Builds the balancing policy that replaces the balancer, for the testbed's baselines.
     """
     logs.start(log_level, log_format)
     try:
@@ -66,7 +73,7 @@
 
 
 class Sidecar:
-    """The parts of one sidecar, and the order in which they start and stop."""
+    """The components of one sidecar.  It starts and stops them in order."""
 
     def __init__(
         self,
@@ -90,10 +97,10 @@
         self._admin_server: AdminServer | None = None
 
     def start(self, status_path: str = "") -> None:
-        """Open the sockets and spawn the tasks; nothing runs before :meth:`run`.
+        """Open the sockets and spawn the tasks, which do not run before :meth:`run`.
 
         Raises:
-            StartupError: an address, a path or a descriptor of the configuration cannot be used.
+            StartupError: An address, a path or a descriptor of the configuration cannot be used.
         """
         self._started_ns = self.loop.now()
         if self.admission is not None:
@@ -109,7 +116,7 @@
 
     def run(self) -> None:
         """Serve until a graceful shutdown is complete."""
-        # What has been built by now is never garbage: collections that skip it stay short.
+        # The objects built so far live as long as the process.  Excluding them keeps garbage collections short.
         gc.collect()
         gc.freeze()
         config = self.config
@@ -123,7 +130,7 @@
         self.loop.run(self.dispatcher.run_due_timers)
 
     def stop(self) -> None:
-        """Close what a graceful shutdown leaves open."""
+        """Close the sockets that remain open during a graceful shutdown."""
         if self._status_socket is not None:
             self._status_socket.close()
         if self._admin_server is not None:
@@ -131,7 +138,7 @@
         logger.info("{sidecar} has stopped", event="sidecar.stopped", sidecar=self.config.name)
 
     def snapshot(self) -> dict[str, Any]:
-        """Return the object that the status socket shows."""
+        """Return the object that the status socket sends, by its documented keys."""
         return {
             "sidecar": self.config.name,
             "version": __version__,
@@ -148,7 +155,11 @@
     def _resource_monitor(self) -> ResourceMonitor:
         config = self.config
         return ResourceMonitor(
-            ResourceLimits(config.cores, config.memory_limit_mb << 20, config.descriptor_limit),
+            ResourceLimits(
+                cores=config.cores,
+                memory_bytes=config.memory_limit_mb * BYTES_PER_MB,
+                descriptors=config.descriptor_limit,
+            ),
             lambda: self.downstream.open + self.upstream.open_connections,
         )
 
@@ -162,7 +173,7 @@
             raise ListenError(f"operator: {address}: {error.strerror}") from error
 
     def _open_downstream(self) -> None:
-        """Listen at the configured address, or on the socket that the platform passed."""
+        """Listen at the configured address, or on the inherited socket."""
         config = self.config
         try:
             if config.inherited_socket_fd is None:
@@ -197,7 +208,7 @@
     """Build a sidecar; see :func:`serve` for the arguments.
 
     Raises:
-        InvalidConfigurationError: ``overload`` names a class that the settings do not have.
+        InvalidConfigurationError: ``overload`` names a class that is not in the settings.
     """
     loop = EventLoop()
     settings = config.settings
@@ -215,9 +226,9 @@
 
 
 def _limit_poll_interval(settings: balancing.Settings) -> balancing.Settings:
-    """Return the settings with a poll interval that leaves time enough to learn of a change.
+    """Return the settings with the poll interval limited to ``MAX_BACKOFF_NS``.
 
-    Whatever they allow, the balancer's pauses after a failed call must fit the term in which a change takes effect.
+    A longer backoff after a failed call could delay an endpoint update beyond the time in which it must take effect.
     """
     interval_ns = min(settings.max_poll_interval_ns or MAX_BACKOFF_NS, MAX_BACKOFF_NS)
     return replace(settings, max_poll_interval_ns=interval_ns)
@@ -225,10 +236,10 @@
 
 def _connection_limits(config: SidecarConfig, max_connections: int) -> ConnectionLimits:
     return ConnectionLimits(
-        config.connect_timeout_ns,
-        safe_idle_timeout_ns(config.idle_timeout_ns),
-        max_connections,
-        max_response_body_bytes(config.memory_limit_mb),
+        connect_timeout_ns=config.connect_timeout_ns,
+        idle_timeout_ns=safe_idle_timeout_ns(config.idle_timeout_ns),
+        max_connections=max_connections,
+        max_response_body_bytes=max_response_body_bytes(config.memory_limit_mb),
     )
 
 
--- a/lugtally/daemon/signals.py
+++ b/lugtally/daemon/signals.py
@@ -1,4 +1,4 @@
-"""Signals, handled between two turns of the event loop."""
+"""Handling of signals by the event loop."""
 
 from __future__ import annotations
 
@@ -9,14 +9,15 @@
 from lugtally.eventloop import READABLE, EventLoop
 
 MAX_SIGNALS_READ = 64
+"""Signals that are read from the socket at a time; each is one byte."""
 SignalHandlers = Mapping[signal.Signals, Callable[[], None]]
 
 
 def handle_signals(loop: EventLoop, handlers: SignalHandlers) -> None:
-    """Call a handler from the event loop for each of these signals.
+    """Call the handler of each of these signals from the event loop.
 
-    They wake the loop through a socket: Python resumes a blocked poll after a signal handler returns.  Several
-    signals of one kind that came before the loop got to them count as one.
+    A signal wakes the loop through a socket, because Python restarts an interrupted poll.  Signals of the same kind
+    that arrive before the loop handles them count as one.
     """
     reader, writer = socket.socketpair()
     reader.setblocking(False)
@@ -26,7 +27,7 @@
         signal.signal(number, lambda *_: None)
 
     def dispatch(_: int) -> None:
-        writer.fileno()  # the reference keeps the writing end open
+        writer.fileno()  # this reference keeps the writing end open
         for number in dict.fromkeys(reader.recv(MAX_SIGNALS_READ)):
             handlers[signal.Signals(number)]()
 
--- a/lugtally/daemon/status_socket.py
+++ b/lugtally/daemon/status_socket.py
@@ -1,6 +1,6 @@
-"""The status socket: a Unix socket that gives whoever connects the state of the sidecar, as one JSON object.
+"""The status socket: a Unix socket that sends each client the state of the sidecar as one JSON object.
 
-It takes no commands: what can be read there changes nothing.  Only the sidecar's own user may open it.
+It accepts no commands.  Only the user of the sidecar process may connect.
 """
 
 from __future__ import annotations
@@ -20,18 +20,19 @@
 
 CLIENT_WRITE_TIMEOUT_NS = 1000 * NS_PER_MS
 ACCEPT_ERROR_PAUSE_NS = 50 * NS_PER_MS
+"""Pause after an error of ``accept``.  Without it, a backlog that remains readable would keep the loop busy."""
 LISTEN_BACKLOG = 4
 Snapshot = Callable[[], dict[str, Any]]
 
 
 class StatusSocket:
-    """One listening socket; each client gets a snapshot, then the end of the connection."""
+    """The listening socket.  Each client receives one snapshot, then the connection is closed."""
 
     def __init__(self, loop: EventLoop, path: str, snapshot: Snapshot) -> None:
-        """Listen at the path.
+        """Listen at ``path``, and call ``snapshot`` for each client.
 
         Raises:
-            StatusSocketError: it cannot be listened on, or holds a file that is no socket.
+            StatusSocketError: The path cannot be used, or a file that is not a socket exists there.
         """
         self._loop = loop
         self._path = path
@@ -50,10 +51,10 @@
         try:
             os.unlink(self._path)
         except OSError:
-            pass  # somebody removed it before
+            pass  # the file has already been removed
 
     def _serve_clients(self) -> None:
-        # One at a time: a client that does not read must not pile up others, and this is for people.
+        """Serve one client at a time, which limits the descriptors that slow clients can use."""
         while self._listener.fileno() >= 0:
             if self._loop.wait(self._listener.fileno(), READABLE) is WakeReason.READY:
                 self._serve_client()
@@ -62,7 +63,7 @@
         try:
             client, _ = self._listener.accept()
         except OSError:
-            # Most likely no descriptor is free: the backlog stays readable, so without a pause this would spin.
+            # Most likely no descriptor is free.
             self._loop.sleep(ACCEPT_ERROR_PAUSE_NS)
             return
         with client:
@@ -71,10 +72,13 @@
                 self._write_snapshot(client)
             except OSError as error:
                 logger.debug(
-                    "a reader of the status went away: {reason}", event="status.client_disconnected", reason=str(error)
+                    "a client of the status socket disconnected: {reason}",
+                    event="status.client_disconnected",
+                    reason=str(error),
                 )
 
     def _write_snapshot(self, client: socket.socket) -> None:
+        """Write a snapshot, or a part of it if the client does not read within ``CLIENT_WRITE_TIMEOUT_NS``."""
         view = memoryview(ujson.dumps(self._snapshot(), escape_forward_slashes=False).encode() + b"\n")
         deadline_ns = self._loop.now() + CLIENT_WRITE_TIMEOUT_NS
         while view:
@@ -86,6 +90,7 @@
 
 
 def _listen(path: str) -> socket.socket:
+    """Return a listening socket that only the user of this process may connect to."""
     listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
     previous_umask = os.umask(0o177)
     try:
@@ -97,11 +102,11 @@
 
 
 def _remove_stale_socket(path: str) -> None:
-    """Remove the socket that an earlier process left; anything else at the path is somebody's file."""
+    """Remove the socket of an earlier process; raise ``OSError`` if any other file exists at the path."""
     try:
         mode = os.lstat(path).st_mode
     except FileNotFoundError:
         return
     if not stat.S_ISSOCK(mode):
-        raise OSError(f"{path} is there and is no socket")
+        raise OSError("the file exists and is not a socket")
     os.unlink(path)
--- a/tests/config/test_operator.py
+++ b/tests/config/test_operator.py
@@ -15,7 +15,7 @@
 
 from lugtally import balancing
 from lugtally.config import operator
-from lugtally.daemon.own_overload import overload_limits
+from lugtally.daemon.overload_protection import overload_limits
 from lugtally.overload.admission import OverloadLimits
 from tests.integration.player import ROOT, Player
 
