--- a/lugtally/admin/__init__.py
+++ b/lugtally/admin/__init__.py
@@ -1,5 +1,5 @@
-"""The operators' address: its listener, the calls that it takes, and the file of drains by operators.
+"""The admin address of operators: its server, the admin calls, and the file of operators' drains.
 
-It owns the paths of the calls, their responses and the file's format.  It must not know how an endpoint is picked,
-nor any downstream connection: the daemon's :class:`~lugtally.admin.calls.AdminBackend` answers the calls.
+It owns the paths of the calls, their responses and the format of the file.  It must not know how an endpoint is picked,
+nor any downstream connection: the daemon executes the calls as an :class:`~lugtally.admin.calls.AdminBackend`.
 """
--- a/lugtally/admin/calls.py
+++ b/lugtally/admin/calls.py
@@ -1,6 +1,6 @@
-"""The calls of the operators' address: from a method and a path to a typed call, and from there to a response.
+"""Admin calls: parses a method and a path to a typed call, and executes it.  Free of I/O.
 
-Free of I/O.  One call a connection; 2xx says yes, 4xx and 5xx say no.
+The status of the response is 2xx if the call succeeded, and 4xx or 5xx otherwise.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class AdminOperation(Enum):
-    """What a call wants; the value is the last segment of its path."""
+    """The operation of a call.  Its value is the last segment of the path."""
 
     READY = "ready"
     COUNTERS = "counters"
@@ -28,15 +28,16 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminCall:
-    """One call that is understood; ``server`` is the server's id in the endpoint list, where the call names one."""
+    """One valid call."""
 
     operation: AdminOperation
-    server: str = ""
+    endpoint_name: str = ""
+    """The ``id`` of an endpoint in the endpoint list; empty if the operation concerns no endpoint."""
 
 
 @dataclass(frozen=True, slots=True)
 class AdminResponse:
-    """What a caller gets."""
+    """The response to a call."""
 
     status: int
     body: bytes
@@ -44,44 +45,46 @@
 
 
 class AdminBackend(Protocol):
-    """What the calls read and change; the daemon implements it."""
+    """Executes the operations; implemented by the daemon."""
 
     def is_ready(self) -> bool:
-        """Return whether this process is ready to serve."""
+        """Return whether this process accepts requests and is not shutting down."""
 
     def counters(self) -> dict[str, object]:
-        """Return the counters, by the keys of the page."""
+        """Return the counters by their documented keys."""
 
-    def start_drain(self, server: str) -> bool:
-        """Drain the server until :meth:`end_drain`; false where it was never listed."""
+    def start_drain(self, endpoint_name: str) -> bool:
+        """Drain the endpoint until :meth:`end_drain`; return whether it has ever been listed."""
 
-    def end_drain(self, server: str) -> bool:
-        """End the server's drain; false where it was never listed nor drained."""
+    def end_drain(self, endpoint_name: str) -> bool:
+        """End the drain of the endpoint; return whether it has ever been listed or drained."""
 
 
 def parse_call(method: str, target: str) -> AdminCall | AdminResponse:
-    """Return the call, or the response to one that cannot be taken (404 unknown, 405 wrong method)."""
+    """Return the call, or an error response: 404 for an unknown path, 405 for a wrong method."""
     path = target.partition("?")[0]
     if (operation := _READ_PATHS.get(path)) is not None:
         return AdminCall(operation) if method in ("GET", "HEAD") else _error(405, "GET is wanted")
     if (match := _SERVER_PATH.fullmatch(path)) is not None:
-        server, name = match.groups()
-        return AdminCall(AdminOperation(name), server) if method == "POST" else _error(405, "POST is wanted")
+        endpoint_name, operation_name = match.groups()
+        if method != "POST":
+            return _error(405, "POST is wanted")
+        return AdminCall(AdminOperation(operation_name), endpoint_name)
     return _error(404, "no such call")
 
 
 def execute_call(call: AdminCall, backend: AdminBackend) -> AdminResponse:
-    """Carry a call out and return how it went."""
+    """Execute a call and return its response."""
     match call.operation:
         case AdminOperation.READY:
             return AdminResponse(200, b"ready\n") if backend.is_ready() else _error(503, "not ready")
         case AdminOperation.COUNTERS:
             return AdminResponse(200, ujson.dumps(backend.counters()).encode(), "application/json")
         case AdminOperation.OFFLINE:
-            known = backend.start_drain(call.server)
+            is_known = backend.start_drain(call.endpoint_name)
         case AdminOperation.ONLINE:
-            known = backend.end_drain(call.server)
-    if not known:
+            is_known = backend.end_drain(call.endpoint_name)
+    if not is_known:
         return _error(404, "that pledge server was never listed")
     return AdminResponse(200, f"{call.operation.value}\n".encode())
 
--- a/lugtally/admin/server.py
+++ b/lugtally/admin/server.py
@@ -1,8 +1,7 @@
-"""The listener of the operators' address: one call a connection, answered and closed.
+"""The server of the admin address.  Each connection carries one call and is closed after the response.
 
-A caller that connects and sends nothing holds a slot for ``CALL_TIMEOUT_NS`` at most; when all slots are taken, the
-one that has gone longest without sending a complete call is disconnected.  Nothing here waits for the downstream
-connections.
+A connection whose call is incomplete occupies a slot for ``CALL_TIMEOUT_NS`` at most.  While all slots are occupied,
+the oldest connection without a complete call is closed.  Admin calls do not depend on downstream connections.
 """
 
 from __future__ import annotations
@@ -18,47 +17,48 @@
 from lugtally.units import NS_PER_MS
 
 CALL_TIMEOUT_NS = 2000 * NS_PER_MS
-"""From connecting to the end of the call."""
+"""From accepting the connection until the call is complete."""
 RESPONSE_WRITE_TIMEOUT_NS = 1000 * NS_PER_MS
 FREE_SLOT_RETRY_NS = 50 * NS_PER_MS
-"""How often another caller is disconnected while all slots are taken."""
+"""Interval between two evictions while all slots are occupied."""
 ACCEPT_ERROR_PAUSE_NS = 20 * NS_PER_MS
-"""Without it a backlog that stays readable, as where no descriptor is free, would keep the loop busy."""
+"""Pause after an error of ``accept``.  Without it, a backlog that remains readable would keep the loop busy."""
 LISTEN_BACKLOG = 64
 MAX_CALLERS = 32
+"""Slots: connections that are open at the same time."""
 MAX_BODY_BYTES = 1024
 READ_BYTES = 4096
 
 
 class _CallerDisconnected(Exception):
-    """The caller went away, or was disconnected, before its call was complete."""
+    """The caller disconnected or was evicted before its call was complete."""
 
 
 class _CallTimeout(Exception):
-    """The call was not complete in time."""
+    """The call was not complete within ``CALL_TIMEOUT_NS``."""
 
 
 class _Caller:
-    """One connection."""
+    """The connection of one caller."""
 
     __slots__ = ("sock", "connected_ns", "wake", "call_complete", "evicted")
 
     def __init__(self, sock: socket.socket, loop: EventLoop) -> None:
         self.sock = sock
         self.connected_ns = loop.now()
-        self.wake = Event(loop)
+        self.wake = Event(loop)  # set when data is received or the caller is evicted
         self.call_complete = False
         self.evicted = False
 
 
 class AdminServer:
-    """The listening socket of the operators' address, and its callers."""
+    """The listening socket of the admin address, and its connections."""
 
     def __init__(self, loop: EventLoop, address: Address, backend: AdminBackend) -> None:
-        """Listen at the address.
+        """Listen at ``address``, and execute calls with ``backend``.
 
         Raises:
-            OSError: the address cannot be listened on.
+            OSError: The socket cannot be opened or bound to the address.
         """
         self._loop = loop
         self._backend = backend
@@ -68,7 +68,7 @@
         loop.spawn(self._accept_callers)
 
     def close(self) -> None:
-        """Take no more calls."""
+        """Stop accepting connections."""
         self._loop.unregister(self._listener.fileno())
         self._listener.close()
 
@@ -90,7 +90,9 @@
             return
         except OSError as error:
             logger.warning(
-                "the operators' address cannot accept: {reason}", event="admin.accept_failed", reason=error.strerror
+                "the admin address cannot accept a connection: {reason}",
+                event="admin.accept_failed",
+                reason=error.strerror,
             )
             self._loop.sleep(ACCEPT_ERROR_PAUSE_NS)
             return
@@ -100,7 +102,7 @@
         self._loop.spawn(self._handle_caller, caller)
 
     def _evict_oldest_caller(self) -> None:
-        """Disconnect whoever has gone longest without sending a complete call, if there is one."""
+        """Disconnect the caller that has been connected longest without a complete call, if there is one."""
         candidates = [caller for caller in self._callers if not caller.call_complete and not caller.evicted]
         if candidates:
             oldest = min(candidates, key=lambda caller: caller.connected_ns)
@@ -115,7 +117,9 @@
         except _CallerDisconnected:
             pass
         except OSError as error:
-            logger.debug("an operator's call broke: {reason}", event="admin.connection_failed", reason=str(error))
+            logger.debug(
+                "the connection of an admin call failed: {reason}", event="admin.connection_failed", reason=str(error)
+            )
         finally:
             self._loop.unregister(caller.sock.fileno())
             caller.sock.close()
@@ -123,6 +127,7 @@
             self._slot_freed.set()
 
     def _respond(self, caller: _Caller) -> AdminResponse:
+        """Read and execute the call; return its response."""
         try:
             message = self._read_message(caller)
         except ProtocolError as error:
@@ -134,6 +139,13 @@
         return execute_call(call, self._backend) if isinstance(call, AdminCall) else call
 
     def _read_message(self, caller: _Caller) -> Message:
+        """Read the request of the call.
+
+        Raises:
+            _CallerDisconnected, _CallTimeout: The request was not completed.
+            ProtocolError: The request is malformed.
+            OSError: The connection failed.
+        """
         parser = MessageParser(responses=False, max_body_bytes=MAX_BODY_BYTES)
         while True:
             try:
@@ -158,6 +170,10 @@
             raise _CallTimeout
 
     def _write(self, caller: _Caller, response: AdminResponse) -> None:
+        """Write the response and close the sending side.
+
+        A caller that does not read within ``RESPONSE_WRITE_TIMEOUT_NS`` receives a truncated response.
+        """
         headers = [("Content-Type", response.content_type)]
         view = memoryview(serialize_response(response.status, response.body, headers, close=True))
         deadline_ns = self._loop.now() + RESPONSE_WRITE_TIMEOUT_NS
@@ -170,7 +186,7 @@
         try:
             caller.sock.shutdown(socket.SHUT_WR)
         except OSError:
-            pass  # the caller reset the connection; it is closed in any case
+            pass  # the caller has reset the connection
 
 
 def _listen(address: Address) -> socket.socket:
--- a/tests/admin/test_calls.py
+++ b/tests/admin/test_calls.py
@@ -1,4 +1,4 @@
-"""The admin calls and the counters' JSON object, without sockets."""
+"""Admin calls and the JSON object of the counters, without sockets."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class FakeBackend:
-    """A backend that lists two servers."""
+    """A backend with two listed endpoints."""
 
     def __init__(self) -> None:
         self.drained: set[str] = set()
@@ -23,17 +23,17 @@
     def counters(self) -> dict[str, object]:
         return {"concurrent": 3}
 
-    def start_drain(self, server: str) -> bool:
-        if server in self.listed:
-            self.drained.add(server)
-        return server in self.listed
+    def start_drain(self, endpoint_name: str) -> bool:
+        if endpoint_name in self.listed:
+            self.drained.add(endpoint_name)
+        return endpoint_name in self.listed
 
-    def end_drain(self, server: str) -> bool:
-        self.drained.discard(server)
-        return server in self.listed
+    def end_drain(self, endpoint_name: str) -> bool:
+        self.drained.discard(endpoint_name)
+        return endpoint_name in self.listed
 
 
-def test_each_call_is_parsed_and_the_rest_rejected() -> None:
+def test_valid_calls_are_parsed_and_others_rejected() -> None:
     assert parse_call("GET", "/control/ready") == AdminCall(AdminOperation.READY)
     assert parse_call("GET", "/control/counters?x=1") == AdminCall(AdminOperation.COUNTERS)
     assert parse_call("POST", "/control/pledge-servers/s-1/offline") == AdminCall(AdminOperation.OFFLINE, "s-1")
--- a/tests/admin/test_drain_store.py
+++ b/tests/admin/test_drain_store.py
@@ -1,4 +1,4 @@
-"""The drain file: it outlives the process, and is read again when another process changed it."""
+"""The drain file: round trip, invalid files, and changes by another process."""
 
 from __future__ import annotations
 
@@ -12,6 +12,11 @@
 from lugtally.admin.drain_store import DrainStore, decode, encode
 
 
+@pytest.fixture
+def store(tmp_path: Path) -> DrainStore:
+    return DrainStore(str(tmp_path), "n1")
+
+
 @given(st.sets(st.text(min_size=1, max_size=40), max_size=50))
 def test_the_file_returns_what_was_written(drained: set[str]) -> None:
     assert decode(encode(drained)) == drained
@@ -20,29 +25,27 @@
 @pytest.mark.parametrize(
     "data", [b"", b"{", b"[]", b'{"format":2,"banned":[]}', b'{"format":1,"banned":[1]}', b'{"format":1}']
 )
-def test_an_unreadable_file_is_renamed_and_not_used(data: bytes, tmp_path: Path) -> None:
-    store = DrainStore(str(tmp_path), "n1")
+def test_invalid_file_is_renamed_and_not_used(data: bytes, store: DrainStore) -> None:
     store.path.write_bytes(data)
     assert store.read() is None
     assert not store.path.exists()
     assert store.path.with_suffix(".bad").read_bytes() == data
 
 
-def test_the_file_is_read_again_only_when_another_process_changed_it(tmp_path: Path) -> None:
-    mine, other = DrainStore(str(tmp_path), "n1"), DrainStore(str(tmp_path), "n1")
-    assert mine.read() is None
-    assert mine.write({"s-1"})
-    assert mine.read() is None  # its own write is no change
+def test_file_is_read_only_after_another_process_changed_it(store: DrainStore, tmp_path: Path) -> None:
+    other = DrainStore(str(tmp_path), "n1")
+    assert store.read() is None
+    assert store.write({"s-1"})
+    assert store.read() is None  # its own write does not count as a change
     assert other.read() == {"s-1"}
     assert other.write({"s-1", "s-2"})
-    assert mine.read() == {"s-1", "s-2"}
-    assert [path.name for path in tmp_path.iterdir()] == [mine.path.name]  # nothing half written is left
+    assert store.read() == {"s-1", "s-2"}
+    assert [path.name for path in tmp_path.iterdir()] == [store.path.name]  # no temporary file is left
 
 
-def test_a_file_that_cannot_be_written_keeps_the_old_one(tmp_path: Path) -> None:
-    store = DrainStore(str(tmp_path), "n1")
+def test_failed_write_keeps_the_previous_file(store: DrainStore, tmp_path: Path) -> None:
     assert store.write({"s-1"})
-    store.path.with_suffix(f".{os.getpid()}.new").mkdir()  # in the way of the new file
+    store.path.with_suffix(f".{os.getpid()}.new").mkdir()  # blocks the path of the temporary file
     assert not store.write({"s-2"})
     assert DrainStore(str(tmp_path), "n1").read() == {"s-1"}
     assert not DrainStore(str(tmp_path / "vanished"), "n1").write({"s-1"})
--- a/tests/admin/test_operator_drains.py
+++ b/tests/admin/test_operator_drains.py
@@ -1,7 +1,9 @@
-"""Drains ordered by an operator: what the dispatcher tells the balancing policy of them."""
+"""Operators' drains: the endpoint updates that the dispatcher sends to the balancing policy."""
 
 from __future__ import annotations
 
+import pytest
+
 from lugtally import balancing
 from lugtally.balancing.balancer import Balancer
 from lugtally.config.balancing_settings import read_settings
@@ -23,24 +25,36 @@
         return []
 
 
-def states(policy: RecordingPolicy) -> list[dict[int, balancing.EndpointState]]:
-    """Return the state of each endpoint, by id, update by update."""
+@pytest.fixture
+def policy() -> RecordingPolicy:
+    return RecordingPolicy()
+
+
+@pytest.fixture
+def loop() -> EventLoop:
+    return EventLoop()
+
+
+@pytest.fixture
+def dispatcher(policy: RecordingPolicy, loop: EventLoop) -> Dispatcher:
+    return Dispatcher(balancing.Settings(), 1, loop, lambda *_: policy)
+
+
+def recorded_states(policy: RecordingPolicy) -> list[dict[int, balancing.EndpointState]]:
+    """Return the endpoint states of each update by endpoint id."""
     return [{endpoint.id: endpoint.state for endpoint in update.endpoints} for update in policy.updates]
 
 
-def listed(number: int, started_ns: int = 0) -> ListedEndpoint:
-    """Return a ready endpoint as the list has it."""
-    return ListedEndpoint(number, 0, 0, "ready", started_ns)
+def ready_endpoint(endpoint_id: int, started_ns: int = 0) -> ListedEndpoint:
+    return ListedEndpoint(endpoint_id, 0, 0, "ready", started_ns)
 
 
-def test_a_server_drained_by_an_operator_drains_whatever_the_list_says() -> None:
-    policy = RecordingPolicy()
-    dispatcher = Dispatcher(balancing.Settings(), 1, EventLoop(), lambda *_: policy)
-    dispatcher.update_endpoints(balancing.EndpointUpdateKind.FULL, [listed(1), listed(2)])
+def test_operator_drain_overrides_the_listed_state(policy: RecordingPolicy, dispatcher: Dispatcher) -> None:
+    dispatcher.update_endpoints(balancing.EndpointUpdateKind.FULL, [ready_endpoint(1), ready_endpoint(2)])
     dispatcher.start_drain(1)
-    dispatcher.update_endpoints(balancing.EndpointUpdateKind.FULL, [listed(1), listed(2)])
-    dispatcher.update_endpoints(balancing.EndpointUpdateKind.DELTA, [listed(1)])
-    assert states(policy)[1:] == [
+    dispatcher.update_endpoints(balancing.EndpointUpdateKind.FULL, [ready_endpoint(1), ready_endpoint(2)])
+    dispatcher.update_endpoints(balancing.EndpointUpdateKind.DELTA, [ready_endpoint(1)])
+    assert recorded_states(policy)[1:] == [
         {1: balancing.EndpointState.DRAINING},
         {1: balancing.EndpointState.DRAINING, 2: balancing.EndpointState.READY},
         {1: balancing.EndpointState.DRAINING},
@@ -49,37 +63,34 @@
     assert dispatcher.endpoint_count == 2
 
 
-def test_a_server_whose_drain_ended_is_cold_from_then_on_whatever_the_list_says() -> None:
-    policy, loop = RecordingPolicy(), EventLoop()
-    dispatcher = Dispatcher(balancing.Settings(), 1, loop, lambda *_: policy)
-    dispatcher.update_endpoints(balancing.EndpointUpdateKind.FULL, [listed(1, started_ns=5)])
+def test_endpoint_warms_up_from_the_end_of_its_operator_drain(
+    policy: RecordingPolicy, loop: EventLoop, dispatcher: Dispatcher
+) -> None:
+    dispatcher.update_endpoints(balancing.EndpointUpdateKind.FULL, [ready_endpoint(1, started_ns=5)])
     dispatcher.start_drain(1)
     before = loop.now()
     dispatcher.end_drain(1)
-    dispatcher.update_endpoints(balancing.EndpointUpdateKind.FULL, [listed(1, started_ns=5)])
+    dispatcher.update_endpoints(balancing.EndpointUpdateKind.FULL, [ready_endpoint(1, started_ns=5)])
     restored, later = policy.updates[-2].endpoints[0], policy.updates[-1].endpoints[0]
     assert restored.state is later.state is balancing.EndpointState.READY
     assert before <= restored.started_ns == later.started_ns <= loop.now()
     assert dispatcher.disabled_count() == 0
 
 
-def test_a_drain_before_the_first_list_binds_when_the_server_is_listed() -> None:
-    policy = RecordingPolicy()
-    dispatcher = Dispatcher(balancing.Settings(), 1, EventLoop(), lambda *_: policy)
-    dispatcher.start_drain(3)  # read from the file of the previous process
+def test_operator_drain_applies_once_the_endpoint_is_listed(policy: RecordingPolicy, dispatcher: Dispatcher) -> None:
+    dispatcher.start_drain(3)  # as read from the drain file before the first list
     assert not policy.updates
     assert not dispatcher.was_listed(3)
-    dispatcher.update_endpoints(balancing.EndpointUpdateKind.CACHED, [listed(3)])
-    assert states(policy) == [{3: balancing.EndpointState.DRAINING}]
+    dispatcher.update_endpoints(balancing.EndpointUpdateKind.CACHED, [ready_endpoint(3)])
+    assert recorded_states(policy) == [{3: balancing.EndpointState.DRAINING}]
     assert dispatcher.was_listed(3)
 
 
-def test_the_balancer_sends_nothing_new_to_a_drained_server() -> None:
-    loop = EventLoop()
+def test_balancer_sends_no_request_to_a_drained_endpoint(loop: EventLoop) -> None:
     dispatcher = Dispatcher(read_settings(SETTINGS), 1, loop)
     balancer = dispatcher._policy
     assert isinstance(balancer, Balancer)
-    dispatcher.update_endpoints(balancing.EndpointUpdateKind.FULL, [listed(1), listed(2)])
+    dispatcher.update_endpoints(balancing.EndpointUpdateKind.FULL, [ready_endpoint(1), ready_endpoint(2)])
     dispatcher.start_drain(1)
     sends = []
     for number in range(200):
