--- a/lugtally/daemon/overload_protection.py
+++ b/lugtally/daemon/overload_protection.py
@@ -37,7 +37,7 @@
     shedding = False
     while True:
         loop.sleep(RESOURCE_READ_INTERVAL_NS)
-        admission.read(monitor.read())
+        admission.record_usage(monitor.read())
         admission.update_when_idle(loop.now())
         if shedding != admission.is_shedding:
             shedding = admission.is_shedding
--- a/lugtally/overload/__init__.py
+++ b/lugtally/overload/__init__.py
@@ -1,6 +1,6 @@
-"""The sidecar's own overload: what it measures of itself, and which requests it sheds before it falls behind.
+"""Overload protection of the sidecar itself: it measures its own delay and sheds requests before that delay grows.
 
-It owns the measurements, the fraction to shed and the order in which classes are shed; all of it is free of I/O and
-clocks, and ``resource_monitor.py`` alone reads the machine.  It must not know protocols, endpoints or retries: a
-request that has been handed to the balancer is none of its business, so nothing that was sent is ever shed.
+It owns the measurements, the shed fraction and the order in which classes are shed.  It is free of clocks and I/O,
+except for ``resource_monitor.py``, which reads the resources of the process.  It must not know protocols, endpoints or
+retries: a request is admitted or shed before the balancer receives it, so a request that was sent is never shed.
 """
--- a/lugtally/overload/admission.py
+++ b/lugtally/overload/admission.py
@@ -1,7 +1,7 @@
-"""Admission control: which requests are shed, by a fraction that follows the sidecar's own delay.
+"""Admission control: sheds a fraction of the requests that follows the sidecar's own delay.
 
-The rule that won in ``benchmarks/gates.py`` (docs/overload-design.md has the table of all five).  The controller sees
-a request's head before anything is done for it, and never again.
+The rule is the best of the five that ``benchmarks/gates.py`` compares (docs/overload-design.md has the results).  The
+controller decides on a request once, after its head has been parsed and before any other work.
 """
 
 from __future__ import annotations
@@ -16,82 +16,87 @@
 from lugtally.units import NS_PER_MS
 
 MIN_RETRY_AFTER_NS = 100 * NS_PER_MS
+"""``Retry-After`` while nothing is shed, before jitter."""
 MAX_RETRY_AFTER_NS = 2000 * NS_PER_MS
+"""Upper limit of :attr:`OverloadLimits.max_retry_after_ns`."""
 DELAY_GAIN = 1.25
-"""How much the shed fraction moves in a period, for each second of delay beyond the target (RFC 8033's alpha)."""
+"""Change of the shed fraction per period, for each second of delay above the target (alpha in RFC 8033)."""
 DELAY_GROWTH_GAIN = 6.25
-"""How much the shed fraction moves in a period, for each second by which the delay grew (RFC 8033's beta)."""
+"""Change of the shed fraction per period, for each second by which the delay grew (beta in RFC 8033)."""
 MAX_INCREASE = 0.1
-"""The most that the shed fraction rises in one period."""
+"""Largest increase of the shed fraction in one period."""
 MAX_IDLE_PERIODS = 200
-"""Of 20 ms; after that many without a request nothing is shed any more."""
+"""Largest number of empty periods that are processed at once; after these, the shed fraction is 0."""
 DECAY = 0.98
-"""Of the shed fraction in each period in which the delay is well below the target."""
+"""Factor on the shed fraction in each period whose delay is less than half of the target."""
 MIN_SHED_FRACTION = 0.001
-"""A fraction that has decayed below this is 0."""
+"""A smaller fraction becomes 0 when it decays."""
 
 
 @dataclass(frozen=True, slots=True)
 class OverloadLimits:
-    """What the operator may set; fractions are of what the configuration grants the sidecar."""
+    """The limits that the operator can set.  Fractions of resources refer to the configured resource limits."""
 
     target_ns: int = 10 * NS_PER_MS
-    """Own delay that is no overload."""
+    """Own delay above which the shed fraction increases."""
     period_ns: int = 20 * NS_PER_MS
-    """Between two adjustments of the shed fraction."""
+    """Interval between two adjustments of the shed fraction."""
     memory_fraction: float = 0.9
-    """Resident memory from which on every request is shed."""
+    """Resident memory at which every request is shed."""
     descriptors_fraction: float = 0.9
-    """Open descriptors from which on every request is shed."""
+    """Open descriptors at which every request is shed."""
     max_shed_fraction: float = 0.97
-    """The most that is shed for delay: some must come in to show that it is over."""
+    """Upper limit of the shed fraction.  Some requests must be admitted to measure whether the overload has ended."""
     min_time_left_fraction: float = 0.5
-    """A request is admitted only with this part of the typical response time left."""
+    """A request is shed if less than this fraction of the typical response time remains until its deadline."""
     shed_first: tuple[str, ...] = ()
-    """Names of the classes that are shed before the others, in that order."""
+    """Names of the classes that are shed before all others, in this order."""
     max_retry_after_ns: int = 0
-    """The longest ``Retry-After``; 0: clients get none."""
+    """Upper limit of ``Retry-After``; 0 if responses have no such header."""
 
 
 class ShedReason(Enum):
     """Why a request was shed."""
 
     DELAY = "own delay"
-    HOPELESS = "it cannot be answered in time any more"
+    HOPELESS = "too little time left until the deadline"
     MEMORY = "memory"
     DESCRIPTORS = "descriptors"
 
 
 class AdmissionController:
-    """The admission of one sidecar."""
+    """Admits or sheds the requests of one sidecar."""
 
     def __init__(
         self, classes: tuple[balancing.RequestClass, ...], limits: OverloadLimits, seed: int, now_ns: int
     ) -> None:
-        """Start with nothing shed.
+        """Start with a shed fraction of 0.
 
         Raises:
-            ValueError: ``limits.shed_first`` names a class that there is not.
+            ValueError: ``limits.shed_first`` names an unknown class.
         """
         self.limits = limits
         self.meter = DelayMeter(limits.period_ns, now_ns)
         self.order = SheddingOrder(classes, limits.shed_first)
         self.shed_fraction = 0.0
-        """The fraction of all requests to shed for delay."""
+        """The fraction of all requests that is shed because of delay."""
         self.rejected: dict[ShedReason, int] = dict.fromkeys(ShedReason, 0)
         self.admitted = 0
         self._random = Random(seed)
-        self._last_standing_ns = 0.0  # standing delay of the period before
-        self._last_mean_ns = 0.0  # mean delay of the period before
+        self._last_standing_ns = 0.0  # standing delay of the previous period
+        self._last_mean_ns = 0.0  # mean delay of the previous period
 
     def check(
         self, now_ns: int, class_index: int, time_left_ns: int, delay_ns: int, typical_duration_ns: float
     ) -> ShedReason | None:
-        """Return ``None`` where the request may come in, else why not.
-
-        ``time_left_ns`` is what remains until the deadline that the request states, counted from its last byte;
-        ``delay_ns`` bounds how long it has waited for this process since; ``typical_duration_ns`` is how long a
-        response typically takes.
+        """Return ``None`` if the request is admitted, otherwise the reason why it is shed.
+
+        Args:
+            now_ns: The current time.
+            class_index: The class of the request.
+            time_left_ns: Time from the last byte of the request until its deadline.
+            delay_ns: Upper bound of the time for which the request has waited for this process.
+            typical_duration_ns: Typical duration of a response; 0 if unknown.
         """
         meter = self.meter
         meter.record(delay_ns)
@@ -108,6 +113,7 @@
     def _reason_to_shed(
         self, class_index: int, time_left_ns: int, delay_ns: int, typical_duration_ns: float
     ) -> ShedReason | None:
+        """Return the first reason to shed the request, or ``None``."""
         usage = self.meter.usage
         if usage.memory_fraction >= self.limits.memory_fraction:
             return ShedReason.MEMORY
@@ -122,7 +128,7 @@
         return None
 
     def snapshot(self) -> dict[str, object]:
-        """Return the state for people, by the keys of the status socket."""
+        """Return the state by the keys of the status socket."""
         usage = self.meter.usage
         return {
             "refusing": self.is_shedding,
@@ -138,7 +144,7 @@
 
     @property
     def is_shedding(self) -> bool:
-        """Whether requests are shed for delay, or for want of memory or descriptors."""
+        """Whether requests are shed because of delay, memory or descriptors."""
         usage = self.meter.usage
         return (
             self.shed_fraction > 0.0
@@ -147,9 +153,9 @@
         )
 
     def retry_after_ns(self) -> int:
-        """Return when a shed client may come back: the longer, the more is shed.
+        """Return the ``Retry-After`` of a shed request, which grows with the shed fraction; 0 if there is none.
 
-        It is spread at random, so that not all come back at once.
+        It has random jitter, so that clients do not retry at the same time.
         """
         max_ns = self.limits.max_retry_after_ns
         if not max_ns:
@@ -158,26 +164,27 @@
         return int(min(max_ns, retry_after_ns * self._random.uniform(0.5, 1.5)))
 
     def update_when_idle(self, now_ns: int) -> None:
-        """Adjust the shed fraction where no request comes, so that an overload does not outlive its cause.
+        """Adjust the shed fraction while no requests arrive, so that it decays after an overload.
 
-        To be called periodically.
+        Call this periodically.
         """
         elapsed = self.meter.elapsed_periods(now_ns)
         if (period := self.meter.end_period(now_ns)) is None:
             return
         self._adjust(period)
         if not period.count:
-            for _ in range(min(elapsed, MAX_IDLE_PERIODS) - 1):  # each empty period counts, as if it had been seen
+            for _ in range(min(elapsed, MAX_IDLE_PERIODS) - 1):  # one for each empty period
                 self._adjust(period)
 
-    def read(self, usage: ResourceUsage) -> None:
-        """Take a reading of the process's resources."""
-        self.meter.read(usage)
+    def record_usage(self, usage: ResourceUsage) -> None:
+        """Record a reading of the resources of the process."""
+        self.meter.record_usage(usage)
 
     def _adjust(self, period: DelayPeriod) -> None:
-        """Move the shed fraction by PIE's law (RFC 8033, 4.2) on the standing delay: the lesser of two periods' means.
+        """Adjust the shed fraction to the standing delay, with the control law of PIE (RFC 8033, 4.2).
 
-        One long turn, of a garbage collection or of the machine, is over before anything could be done about it.
+        The standing delay is the smaller mean of the last two periods.  It ignores a single long turn, such as one with
+        a garbage collection, because shedding cannot prevent it.
         """
         standing_ns = min(period.mean_ns, self._last_mean_ns)
         self._last_mean_ns = period.mean_ns
@@ -188,20 +195,21 @@
         self._last_standing_ns = standing_ns
 
     def _raw_change(self, standing_ns: float) -> float:
-        """Return the change by PIE's law, before it is scaled."""
+        """Return the change of the shed fraction by the control law of PIE, before scaling."""
         target_ns = self.limits.target_ns
         growth_ns = standing_ns - self._last_standing_ns
         if standing_ns < target_ns:
-            growth_ns = min(0.0, growth_ns)  # growth below the target is no overload yet
+            growth_ns = min(0.0, growth_ns)  # growth below the target does not indicate an overload
         return 1e-9 * (DELAY_GAIN * (standing_ns - target_ns) + DELAY_GROWTH_GAIN * growth_ns)
 
     def _scale(self) -> float:
-        """Return the factor of a change: smaller steps while little is shed, as RFC 8033 has it."""
+        """Return the scale of a change, which is smaller for a small shed fraction (RFC 8033, 4.2)."""
         if self.shed_fraction < 0.01:
             return 0.25
         return 0.5 if self.shed_fraction < 0.1 else 1.0
 
     def _decay(self) -> None:
+        """Decrease the shed fraction by one step."""
         self.shed_fraction *= DECAY
         if self.shed_fraction < MIN_SHED_FRACTION:
             self.shed_fraction = 0.0
--- a/lugtally/overload/delay_meter.py
+++ b/lugtally/overload/delay_meter.py
@@ -1,40 +1,44 @@
-"""What the sidecar measures of itself, smoothed over stated periods.  Free of I/O: readings are handed in."""
+"""Measurements of the sidecar itself, aggregated by period.  Free of clocks and I/O: the caller passes the values."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 SMOOTHING_WEIGHT = 0.3
-"""The weight of a new value in a moving average that is shown to people."""
+"""Weight of a new value in the moving averages that the status shows."""
+
+MAX_DELAY_NS = 1 << 62
+"""Larger than any delay."""
 
 
 @dataclass(slots=True)
 class DelayPeriod:
-    """Own delays of one period: from when something may have been ready until it was handled."""
+    """The sidecar's own delays in one period: from when an item may have been ready until it was handled."""
 
     mean_ns: float
     min_ns: int
     max_ns: int
     count: int
+    """Number of items; if 0, all delays are 0."""
 
 
 @dataclass(slots=True)
 class ResourceUsage:
-    """The process's share of what the configuration grants it."""
+    """The fraction of each configured resource limit that the process uses."""
 
     cpu_fraction: float
-    """Of the granted cores, since the last reading."""
+    """Of the processor time of the configured cores, since the last reading."""
     memory_fraction: float
-    """Resident memory, at the time of the reading."""
+    """Of the memory limit, at the time of the reading."""
     descriptors_fraction: float
-    """Open descriptors, at the time of the reading."""
+    """Of the descriptor limit, at the time of the reading."""
 
 
 class DelayMeter:
-    """Collects own delays and hands them out a period at a time.
+    """Collects the sidecar's own delays and summarizes them by period.
 
-    An item that is handled now may have been ready since the last poll but one: the length of the turn before and the
-    time since this poll bound its delay from above.  That costs two subtractions an item and no system call.
+    The delay of an item is measured from the poll before the last one, after which it may have become ready.  This
+    upper bound costs two subtractions per item and no system call.
     """
 
     __slots__ = (
@@ -53,16 +57,16 @@
         self._period_ns = period_ns
         self._period_start_ns = now_ns
         self._clear()
-        self.mean_delay_ns = 0.0  # moving average of the periods' means, for people
-        self.max_delay_ns = 0  # of all periods
+        self.mean_delay_ns = 0.0  # moving average of the means of all periods, for the status
+        self.max_delay_ns = 0  # of all periods, for the status
         self.usage = ResourceUsage(0.0, 0.0, 0.0)
 
     def _clear(self) -> None:
         self._sum_ns = self._count = self._max_ns = 0
-        self._min_ns = 1 << 62
+        self._min_ns = MAX_DELAY_NS
 
     def record(self, delay_ns: int) -> None:
-        """Take it that one item was handled that long after it may have been ready."""
+        """Record that an item was handled ``delay_ns`` after it may have become ready."""
         self._sum_ns += delay_ns
         self._count += 1
         if delay_ns < self._min_ns:
@@ -71,14 +75,11 @@
             self._max_ns = delay_ns
 
     def elapsed_periods(self, now_ns: int) -> int:
-        """Return how many full periods have passed since the last one was handed out."""
+        """Return the number of complete periods since the last period ended."""
         return (now_ns - self._period_start_ns) // self._period_ns
 
     def end_period(self, now_ns: int) -> DelayPeriod | None:
-        """Return the period that is over and begin the next, or ``None`` while it lasts.
-
-        A period without an item had no delay.
-        """
+        """End the current period and return it, or return ``None`` if it is not complete."""
         if now_ns - self._period_start_ns < self._period_ns:
             return None
         count = self._count
@@ -92,7 +93,7 @@
         self.max_delay_ns = max(self.max_delay_ns, period.max_ns)
         return period
 
-    def read(self, usage: ResourceUsage) -> None:
-        """Take a reading of the process's resources; the fraction of the cores is smoothed, the rest is not."""
+    def record_usage(self, usage: ResourceUsage) -> None:
+        """Record a reading of the resources.  Only the processor time is smoothed."""
         cpu_fraction = self.usage.cpu_fraction + SMOOTHING_WEIGHT * (usage.cpu_fraction - self.usage.cpu_fraction)
         self.usage = ResourceUsage(cpu_fraction, usage.memory_fraction, usage.descriptors_fraction)
--- a/lugtally/overload/resource_monitor.py
+++ b/lugtally/overload/resource_monitor.py
@@ -1,4 +1,4 @@
-"""Reads the process's resources: processor time, resident memory, descriptors.  The package's only I/O."""
+"""Reads the resources of the process: processor time, resident memory, descriptors.  The only I/O of the package."""
 
 from __future__ import annotations
 
@@ -10,11 +10,12 @@
 from lugtally.overload.delay_meter import ResourceUsage
 
 STATM_READ_BYTES = 128
+"""The file has seven numbers on one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class ResourceLimits:
-    """What the configuration grants the sidecar."""
+    """The configured resource limits of the sidecar."""
 
     cores: float
     memory_bytes: int
@@ -24,7 +25,7 @@
 class ResourceMonitor:
     """Reads the resources of this process.
 
-    ``open_descriptors`` returns how many are open: to list them costs more, the more there are.
+    ``open_descriptors`` returns the number of open descriptors.  Listing them would cost time in proportion to it.
     """
 
     def __init__(
@@ -36,16 +37,16 @@
         try:
             self._statm_fd: int | None = os.open(statm_path, os.O_RDONLY | os.O_CLOEXEC)
         except OSError:
-            self._statm_fd = None  # no such file system: memory then counts as free
+            self._statm_fd = None  # without procfs, the resident memory counts as 0
         self._last_wall_ns, self._last_cpu_ns = time.monotonic_ns(), time.process_time_ns()
 
     def read(self) -> ResourceUsage:
-        """Return the fraction of each resource that is used now; of the cores, since the last call."""
+        """Return the current usage of each resource; of the processor time, the usage since the last call."""
         limits = self._limits
         return ResourceUsage(
-            self._cpu_fraction(),
-            self.resident_bytes() / limits.memory_bytes,
-            self._open_descriptors() / limits.descriptors,
+            cpu_fraction=self._cpu_fraction(),
+            memory_fraction=self.resident_bytes() / limits.memory_bytes,
+            descriptors_fraction=self._open_descriptors() / limits.descriptors,
         )
 
     def _cpu_fraction(self) -> float:
@@ -55,14 +56,14 @@
         return used_cores / self._limits.cores
 
     def resident_bytes(self) -> int:
-        """Return the resident memory; 0 where it cannot be read."""
+        """Return the resident memory, or 0 if it cannot be read."""
         if self._statm_fd is None:
             return 0
         _, resident_pages, *_ = os.pread(self._statm_fd, STATM_READ_BYTES, 0).split()
         return int(resident_pages) * self._page_bytes
 
     def close(self) -> None:
-        """Close the descriptor that the memory is read from."""
+        """Close the descriptor of the memory file."""
         if self._statm_fd is not None:
             os.close(self._statm_fd)
             self._statm_fd = None
--- a/lugtally/overload/shedding_order.py
+++ b/lugtally/overload/shedding_order.py
@@ -1,73 +1,86 @@
-"""In which order classes are shed, and how much of each: what may be repeated first, non-idempotent requests last.
+"""The order in which classes are shed, and the fraction of each: idempotent requests first, non-idempotent ones last.
 
-The fraction of all requests to shed is laid over the classes' shares of the traffic in that order: a class that lies
-below it is shed completely, one above it not at all, and the one in which it ends in part.
+The classes' shares of the traffic are placed in this order on the range from 0 to 1.  The shed fraction is a point on
+this range: classes below it are shed completely, classes above it are admitted, and the class that contains it is shed
+in part.
 """
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from lugtally import balancing
 from lugtally.balancing import Idempotency
 from lugtally.units import NS_PER_S
 
 IDEMPOTENCY_RANK = {Idempotency.IDEMPOTENT: 0, Idempotency.IDEMPOTENCY_KEY: 1, Idempotency.NON_IDEMPOTENT: 2}
+"""Classes with a lower rank are shed first."""
 TRAFFIC_HALVING_INTERVAL_NS = 2 * NS_PER_S
-"""How often the counts of requests are halved, so that old traffic fades."""
+"""Interval after which the request counts are halved, so that the weight of old traffic decays."""
+
+
+class TrafficRange(NamedTuple):
+    """The part of the range from 0 to 1 that a class occupies."""
+
+    low: float
+    high: float
 
 
 class SheddingOrder:
     """The classes in the order in which they are shed, with their shares of the traffic."""
 
     def __init__(self, classes: tuple[balancing.RequestClass, ...], shed_first: tuple[str, ...] = ()) -> None:
-        """Put the classes that ``shed_first`` names before the others, in that order.
+        """Determine the order; the classes that ``shed_first`` names come first, in its order.
 
         Raises:
-            ValueError: it names a class that there is not.
+            ValueError: ``shed_first`` names an unknown class.
         """
         self.order = _shedding_order(classes, shed_first)
-        """Positions of the classes, first shed to last."""
+        """Class indices; the first is shed first."""
         self._request_counts = [1.0] * len(classes)
         self._total_count = float(len(classes))
         self._last_halving_ns = 0
-        self._bounds = [(0.0, 1.0)] * len(classes)
-        self._update_bounds()
+        self._ranges = [TrafficRange(0.0, 1.0)] * len(classes)  # by class index
+        self._update_ranges()
 
     def record_request(self, now_ns: int, class_index: int) -> None:
-        """Count a request of that class."""
+        """Count a request of the class."""
         self._request_counts[class_index] += 1
         self._total_count += 1
         if now_ns - self._last_halving_ns > TRAFFIC_HALVING_INTERVAL_NS:
-            # Halving, not sliding: two list operations an interval, and the old half fades.
+            # Halving is cheaper than a sliding window: it costs two list operations per interval.
             self._last_halving_ns = now_ns
             self._request_counts = [count / 2 for count in self._request_counts]
             self._total_count /= 2
-            self._update_bounds()
+            self._update_ranges()
 
-    def _update_bounds(self) -> None:
-        """Lay the classes' shares of the traffic, in order, over the range from 0 to 1."""
+    def _update_ranges(self) -> None:
+        """Place the classes' shares of the traffic on the range from 0 to 1, in the shedding order."""
         low = 0.0
         for class_index in self.order:
             high = low + self._request_counts[class_index] / self._total_count
-            self._bounds[class_index] = (low, high)
+            self._ranges[class_index] = TrafficRange(low, high)
             low = high
 
     def class_shed_fraction(self, class_index: int, shed_fraction: float) -> float:
-        """Return the fraction of that class to shed where ``shed_fraction`` of all requests is shed."""
-        low, high = self._bounds[class_index]
+        """Return the fraction of the class to shed if ``shed_fraction`` of all requests is shed."""
+        low, high = self._ranges[class_index]
         if shed_fraction <= low:
             return 0.0
         return 1.0 if shed_fraction >= high else (shed_fraction - low) / (high - low)
 
 
 def _shedding_order(classes: tuple[balancing.RequestClass, ...], shed_first: tuple[str, ...]) -> list[int]:
-    positions = {request_class.name: position for position, request_class in enumerate(classes)}
+    """Return the class indices in the order of ``shed_first``, then by idempotency, priority weight and index."""
+    class_indices = {request_class.name: index for index, request_class in enumerate(classes)}
     for name in shed_first:
-        if name not in positions:
-            raise ValueError(f"{name!r} is no class")
+        if name not in class_indices:
+            raise ValueError(f"{name!r} is an unknown class")
 
-    def rank(position: int) -> tuple[int, float, int]:
-        request_class = classes[position]
-        return IDEMPOTENCY_RANK[request_class.idempotency], request_class.priority_weight, position
+    def sort_key(class_index: int) -> tuple[int, float, int]:
+        request_class = classes[class_index]
+        return IDEMPOTENCY_RANK[request_class.idempotency], request_class.priority_weight, class_index
 
-    first = [positions[name] for name in shed_first]
-    return first + sorted((position for position in range(len(classes)) if position not in first), key=rank)
+    first = [class_indices[name] for name in shed_first]
+    others = [class_index for class_index in range(len(classes)) if class_index not in first]
+    return first + sorted(others, key=sort_key)
--- a/tests/overload/test_admission.py
+++ b/tests/overload/test_admission.py
@@ -1,4 +1,4 @@
-"""The admission controller by itself: who is shed first, what starts it, what ends it, and what it must not shed."""
+"""The admission controller: shedding order, start and end of shedding, and the measurements."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import pytest
 from hypothesis import given, settings
-from hypothesis import seed as draws_from
+from hypothesis import seed as hypothesis_seed
 from hypothesis import strategies as st
 
 from lugtally.balancing import Idempotency, RequestClass
@@ -16,7 +16,7 @@
 from lugtally.overload.shedding_order import SheddingOrder
 from lugtally.units import NS_PER_MS
 
-DRAWS = 1  # the examples must not change with the text of a test, as they would by its digest
+HYPOTHESIS_SEED = 1  # fixed: by default the examples change whenever the source of a test does
 
 READ, PLEDGE, RECEIPT = range(3)
 CLASSES = (
@@ -27,10 +27,16 @@
 TIME_LEFT_NS = 500 * NS_PER_MS
 
 
+@pytest.fixture
+def admission() -> AdmissionController:
+    """Return a controller with the default limits."""
+    return AdmissionController(CLASSES, OverloadLimits(), 1, 0)
+
+
 def send_requests(
     admission: AdmissionController, start_ns: int, duration_ns: int, delay_ns: int, interval_ns: int = NS_PER_MS
 ) -> tuple[int, list[list[bool]]]:
-    """Check each class in turn for a while under a steady delay; return the end, and what was admitted by class."""
+    """Check requests of all classes under a constant delay; return the end time, and by class what was admitted."""
     admitted: list[list[bool]] = [[], [], []]
     now = start_ns
     while now < start_ns + duration_ns:
@@ -40,11 +46,10 @@
     return now, admitted
 
 
-def test_short_delays_shed_nothing() -> None:
-    """A burst that the sidecar can carry is no overload."""
-    admission = AdmissionController(CLASSES, OverloadLimits(), 1, 0)
+def test_short_delays_shed_nothing(admission: AdmissionController) -> None:
+    """A burst that the sidecar can process is not an overload."""
     now, seen = send_requests(admission, 0, 2000 * NS_PER_MS, 4 * NS_PER_MS)
-    for _ in range(20):  # single long turns, as garbage collection or the machine causes them
+    for _ in range(20):  # single long turns, such as those with a garbage collection
         admission.check(now, READ, TIME_LEFT_NS, 40 * NS_PER_MS, 0.0)
         now, more = send_requests(admission, now, 100 * NS_PER_MS, 2 * NS_PER_MS)
         seen = [earlier + later for earlier, later in zip(seen, more, strict=True)]
@@ -52,8 +57,7 @@
     assert not admission.is_shedding
 
 
-def test_a_standing_delay_sheds_reads_first_and_receipts_last() -> None:
-    admission = AdmissionController(CLASSES, OverloadLimits(), 1, 0)
+def test_standing_delay_sheds_reads_first_and_receipts_last(admission: AdmissionController) -> None:
     now, _ = send_requests(admission, 0, 100 * NS_PER_MS, 2 * NS_PER_MS)
     now, seen = send_requests(admission, now, 600 * NS_PER_MS, 60 * NS_PER_MS)
     shares = [sum(admitted) / len(admitted) for admitted in seen]
@@ -63,48 +67,45 @@
     now, late = send_requests(admission, now, 1500 * NS_PER_MS, 60 * NS_PER_MS)
     assert sum(late[READ][-200:]) == 0
     assert admission.shed_fraction <= OverloadLimits().max_shed_fraction
-    # When the delay has ended, all are admitted again within a second.
+    # All requests are admitted again within a second after the delay has ended.
     now, after = send_requests(admission, now, 1000 * NS_PER_MS, 0)
     now, after = send_requests(admission, now, 100 * NS_PER_MS, 0)
     assert all(all(admitted) for admitted in after)
     assert not admission.is_shedding
 
 
-def test_what_cannot_be_answered_in_time_any_more_is_shed_immediately() -> None:
+def test_request_with_too_little_time_left_is_shed() -> None:
     admission = AdmissionController(CLASSES, OverloadLimits(min_time_left_fraction=0.5), 1, 0)
     assert admission.check(0, RECEIPT, 50 * NS_PER_MS, 5 * NS_PER_MS, 40.0 * NS_PER_MS) is None
     assert admission.check(0, RECEIPT, 50 * NS_PER_MS, 31 * NS_PER_MS, 40.0 * NS_PER_MS) is ShedReason.HOPELESS
-    assert admission.check(0, READ, 0, 0, 0.0) is None, "nothing is known yet of how long a response takes"
+    assert admission.check(0, READ, 0, 0, 0.0) is None, "the typical duration is unknown"
 
 
-def test_memory_and_descriptors_close_to_their_limits_shed_everything() -> None:
-    admission = AdmissionController(CLASSES, OverloadLimits(), 1, 0)
-    admission.read(ResourceUsage(0.1, 0.91, 0.1))
+def test_memory_or_descriptors_near_limit_shed_every_request(admission: AdmissionController) -> None:
+    admission.record_usage(ResourceUsage(0.1, 0.91, 0.1))
     assert admission.check(0, RECEIPT, TIME_LEFT_NS, 0, 0.0) is ShedReason.MEMORY
     assert admission.is_shedding
-    admission.read(ResourceUsage(0.1, 0.5, 0.95))
+    admission.record_usage(ResourceUsage(0.1, 0.5, 0.95))
     assert admission.check(0, RECEIPT, TIME_LEFT_NS, 0, 0.0) is ShedReason.DESCRIPTORS
-    admission.read(ResourceUsage(0.1, 0.5, 0.5))
+    admission.record_usage(ResourceUsage(0.1, 0.5, 0.5))
     assert admission.check(0, READ, TIME_LEFT_NS, 0, 0.0) is None
 
 
-def test_the_order_can_be_configured_and_an_unknown_class_is_an_error() -> None:
+def test_shedding_order_is_configurable() -> None:
     assert SheddingOrder(CLASSES).order == [READ, PLEDGE, RECEIPT]
     assert SheddingOrder(CLASSES, ("pledge-record",)).order == [PLEDGE, READ, RECEIPT]
-    with pytest.raises(ValueError, match="'pledges' is no class"):
+    with pytest.raises(ValueError, match="'pledges' is an unknown class"):
         SheddingOrder(CLASSES, ("pledges",))
 
 
-@draws_from(DRAWS)
+@hypothesis_seed(HYPOTHESIS_SEED)
 @settings(max_examples=80, deadline=None, derandomize=True)
 @given(st.lists(st.integers(0, 2), min_size=1, max_size=300), st.floats(0, 1))
-def test_the_shed_fractions_of_the_classes_add_up_to_the_whole_shed_fraction(
-    stream: list[int], shed_fraction: float
-) -> None:
+def test_class_shed_fractions_add_up_to_the_shed_fraction(stream: list[int], shed_fraction: float) -> None:
     order = SheddingOrder(CLASSES)
     for number, class_index in enumerate(stream):
         order.record_request(number * 50 * NS_PER_MS, class_index)
-    shares = [order._bounds[class_index][1] - order._bounds[class_index][0] for class_index in range(3)]
+    shares = [order._ranges[class_index].high - order._ranges[class_index].low for class_index in range(3)]
     assert sum(shares) == pytest.approx(1.0)
     fractions = [order.class_shed_fraction(class_index, shed_fraction) for class_index in range(3)]
     shed = sum(share * fraction for share, fraction in zip(shares, fractions, strict=True))
@@ -113,7 +114,7 @@
     assert in_order == sorted(in_order, reverse=True)
 
 
-def test_retry_after_is_spread_and_grows_with_the_shed_fraction() -> None:
+def test_retry_after_has_jitter_and_grows_with_shed_fraction() -> None:
     admission = AdmissionController(CLASSES, OverloadLimits(max_retry_after_ns=2000 * NS_PER_MS), 1, 0)
     quiet = [admission.retry_after_ns() for _ in range(200)]
     admission.shed_fraction = 0.9
@@ -123,12 +124,11 @@
     assert len(set(quiet)) > 150
     assert min(busy) > 5 * max(quiet)
     assert max(busy) <= 2000 * NS_PER_MS
-    assert AdmissionController(CLASSES, OverloadLimits(), 1, 0).retry_after_ns() == 0, "clients that are given none"
+    assert AdmissionController(CLASSES, OverloadLimits(), 1, 0).retry_after_ns() == 0, "responses without Retry-After"
 
 
-def test_an_old_overload_does_not_outlast_an_idle_time() -> None:
-    """Updated four times a second, an idle controller dropped one period an update, and shed whoever came first."""
-    admission = AdmissionController(CLASSES, OverloadLimits(), 1, 0)
+def test_shed_fraction_decays_while_idle(admission: AdmissionController) -> None:
+    """Regression: each update of an idle controller counted one empty period, so that the next requests were shed."""
     now, _ = send_requests(admission, 0, 2500 * NS_PER_MS, 60 * NS_PER_MS)
     assert admission.shed_fraction > 0.9
     for tick in range(1, 11):
@@ -137,7 +137,7 @@
     assert admission.check(now + 2600 * NS_PER_MS, READ, TIME_LEFT_NS, 0, 0.0) is None
 
 
-def test_a_period_without_an_item_had_no_delay() -> None:
+def test_empty_period_has_no_delay() -> None:
     meter = DelayMeter(20 * NS_PER_MS, 0)
     meter.record(5 * NS_PER_MS)
     meter.record(15 * NS_PER_MS)
@@ -156,7 +156,7 @@
     assert meter.max_delay_ns == 15 * NS_PER_MS
 
 
-def test_the_resource_monitor_reads_this_process() -> None:
+def test_resource_monitor_reads_this_process() -> None:
     monitor = ResourceMonitor(ResourceLimits(1.0, 1 << 30, 100), lambda: 25)
     first = monitor.resident_bytes()
     block = bytearray(os.urandom(1 << 20) * 20)
--- a/tests/overload/test_sockets.py
+++ b/tests/overload/test_sockets.py
@@ -1,4 +1,4 @@
-"""Overload protection over sockets: the real sidecar on a starved core, flooded, and health-checked in a tight loop."""
+"""Overload protection of a real sidecar: a flood on a starved core, and health checks in a tight loop."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 FLOOD = """
 name = "flood"
-about = "More than a starved core can carry, from clients that ask again at once."
+about = "More load than a starved core can process, from clients that retry immediately."
 length_s = 6
 memory_mb = 64
 sockets = 512
@@ -72,8 +72,8 @@
     return report, event_log.read_records([folder / "run" / name for name in ("load.jsonl", "world.jsonl")])
 
 
-def test_a_flood_on_a_starved_core_breaks_no_rule_on_effects(flooded: tuple[Report, list[Record]]) -> None:
-    """Whether responses came late depends on the machine here; that nothing ran twice does not."""
+def test_flood_on_starved_core_violates_no_rule_on_effects(flooded: tuple[Report, list[Record]]) -> None:
+    """Late responses depend on the machine; requests that run twice do not."""
     report, records = flooded
     wrong = {violation.name for violation in report.findings.violations if violation.rule != 1}
     assert not wrong, report.reasons
@@ -83,7 +83,7 @@
     assert len({receipt.request_id for receipt in receipts}) == len(receipts)
 
 
-def test_each_shed_request_got_one_answer_and_was_never_sent(flooded: tuple[Report, list[Record]]) -> None:
+def test_shed_request_has_one_response_and_was_never_sent(flooded: tuple[Report, list[Record]]) -> None:
     report, records = flooded
     attempts = [record for record in records if isinstance(record, ClientAttempt)]
     assert not [attempt for attempt in attempts if attempt.duplicate_response or attempt.outcome == "foreign"]
@@ -97,7 +97,7 @@
     assert not [attempt for attempt in shed if attempt.request_id in sent and attempt.class_index == receipt_index]
 
 
-def test_a_tight_loop_of_health_calls_is_paced_and_answered(tmp_path: Path) -> None:
+def test_health_checks_in_a_tight_loop_are_rate_limited(tmp_path: Path) -> None:
     player = Player(tmp_path)
     counts = [0] * 4
     try:
@@ -118,5 +118,5 @@
             thread.join()
     finally:
         player.end()
-    assert min(counts) >= 10, "answered nevertheless"
-    assert sum(counts) <= 3 * 200 + 4 * 1.5 * 25, "4 connections in a tight loop would make thousands"
+    assert min(counts) >= 10, "each connection must get responses"
+    assert sum(counts) <= 3 * 200 + 4 * 1.5 * 25, "without a limit, 4 connections complete thousands"
