--- a/lugtally/config/__init__.py
+++ b/lugtally/config/__init__.py
@@ -1,5 +1,5 @@
-"""The program's configuration, decoded at the border from JSON or TOML into plain values.
+"""Decodes and validates the configuration, from JSON or TOML to typed values.
 
-It owns the formats, the wire's keys, and the checks; each fault is named by its key.  It must not know what is done
-with a value: no socket, no decision.
+It owns the formats, the external keys and the validation; each error names the invalid key.  It must not know how a
+value is used: it opens no socket and makes no balancing decision.
 """
--- a/lugtally/config/balancing_settings.py
+++ b/lugtally/config/balancing_settings.py
@@ -1,7 +1,7 @@
-"""Raw settings, as the simulator and the sidecar's configuration give them, to ``balancing.Settings``.
+"""Decodes the settings of the simulator and of the sidecar's configuration to ``balancing.Settings``.
 
-The tables here are the one place where the wire's keys stand beside the names of the fields.  A ``ValueError`` names
-the key that holds a value which cannot be used.
+The tables of this module map the external keys to the names of the fields; no other module knows these keys.  A
+``ValueError`` names the key of the invalid value.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from lugtally import balancing
 
-Raw = dict[str, Any]
+JsonObject = dict[str, Any]
 Value = TypeVar("Value")
 Member = TypeVar("Member", bound=Enum)
 
@@ -54,11 +54,11 @@
 }
 
 
-def read_settings(raw: Raw) -> balancing.Settings:
-    """Decode the settings; unknown keys are skipped, and missing ones keep the fields' defaults.
+def read_settings(raw: JsonObject) -> balancing.Settings:
+    """Decode the settings.  Unknown keys are ignored, and missing keys have the default of their field.
 
     Raises:
-        ValueError: a value cannot be used; the text names its key.
+        ValueError: A value is invalid; the text names its key.
     """
     contract = raw.get("contract") or {}
     values = _build_values(_merge_groups(raw), SETTINGS_FIELDS)
@@ -70,11 +70,11 @@
     return _build(balancing.Settings, values, SETTINGS_FIELDS)
 
 
-def read_class(raw: Raw) -> balancing.RequestClass:
-    """Decode one of the settings' classes.
+def read_class(raw: JsonObject) -> balancing.RequestClass:
+    """Decode one request class of the settings.
 
     Raises:
-        ValueError: a value cannot be used; the text names its key.
+        ValueError: A value is invalid; the text names its key.
     """
     values = _build_values(raw, CLASS_FIELDS)
     if raw.get("effect") is not None:
@@ -84,36 +84,38 @@
     return _build(balancing.RequestClass, values, CLASS_FIELDS)
 
 
-def _read_tenant(raw: Raw) -> balancing.Tenant:
+def _read_tenant(raw: JsonObject) -> balancing.Tenant:
     return _build(balancing.Tenant, _build_values(raw, TENANT_FIELDS), TENANT_FIELDS)
 
 
-def _merge_groups(raw: Raw) -> Raw:
-    """Return the settings with the members of their groups beside them, as their keys differ."""
+def _merge_groups(raw: JsonObject) -> JsonObject:
+    """Return the settings with the members of their groups at the top level; no key occurs in two groups."""
     ceilings, contract, prices = raw.get("ceilings") or {}, raw.get("contract") or {}, raw.get("prices") or {}
     return {**raw, **ceilings, **contract, "cross_zone": prices.get("cross_zone")}
 
 
-def _rows(raw: Raw, key: str) -> list[Raw]:
+def _rows(raw: JsonObject, key: str) -> list[JsonObject]:
+    """Return the list of objects at ``key``; empty if the key is missing."""
     rows = raw.get(key) or []
     if not isinstance(rows, list) or not all(isinstance(row, dict) for row in rows):
-        raise ValueError(f"{key}: a list of objects is wanted")
+        raise ValueError(f"{key}: must be a list of objects")
     return rows
 
 
 def _member(members: Mapping[str, Member], value: Any, key: str) -> Member:
+    """Return the enum member with the external name ``value``."""
     if not isinstance(value, str) or value not in members:
-        raise ValueError(f"{key}: {value!r} is unknown")
+        raise ValueError(f"{key}: must be one of {', '.join(members)}, not {value!r}")
     return members[value]
 
 
-def _build_values(raw: Raw, fields: Mapping[str, str]) -> Raw:
-    """Return the values by field, for those keys of the table that are present."""
+def _build_values(raw: JsonObject, fields: Mapping[str, str]) -> dict[str, Any]:
+    """Return the values by field name, for the keys of ``fields`` that are present."""
     return {field: raw[key] for key, field in fields.items() if raw.get(key) is not None}
 
 
-def _build(record_type: type[Value], values: Raw, fields: Mapping[str, str]) -> Value:
-    """Build a record, whose own defaults stand in for missing values, and name a faulty one by its key."""
+def _build(record_type: type[Value], values: dict[str, Any], fields: Mapping[str, str]) -> Value:
+    """Construct a record; its errors name the external key instead of the field."""
     try:
         return record_type(**values)
     except TypeError as error:
@@ -123,7 +125,7 @@
 
 
 def _name_by_key(text: str, fields: Mapping[str, str]) -> str:
-    """Put the wire's key in the place of the field's name that the text begins with."""
+    """Replace the field name at the start of an error text by its external key."""
     field, separator, reason = text.partition(": ")
     key = next((key for key, name in fields.items() if name == field), field)
     return f"{key}{separator}{reason}"
--- a/lugtally/config/operator.py
+++ b/lugtally/config/operator.py
@@ -1,7 +1,6 @@
-"""The operator's own file, in TOML: what the platform's configuration has no key for.  Each section is off by default.
+"""The operator's file, in TOML: settings that ``config.json`` has no key for.  All features are off by default.
 
-Without the file the daemon is as the platform's pages describe it.  Only ``serve --operator`` and ``check-config``
-import this module, as its decoder takes 1.2 MB of memory.
+Only ``serve --operator`` and ``check-config --operator`` import this module, because its decoder uses 1.2 MB of memory.
 """
 
 from __future__ import annotations
@@ -15,34 +14,39 @@
 
 
 class OperatorFileError(ValueError):
-    """The file cannot be used; the text is one line that names the field."""
+    """The file cannot be read or is invalid; the text is one line that names the field."""
 
 
 class Log(Struct, frozen=True, forbid_unknown_fields=True):
-    """``[log]``: what is written to standard error."""
+    """``[log]``: the log on standard error."""
 
     format: Literal["text", "json"] = "text"
     level: Literal["DEBUG", "INFO", "WARNING", "ERROR"] = "INFO"
 
 
 class Overload(Struct, frozen=True, forbid_unknown_fields=True):
-    """``[overload]``: shed load by priority before this sidecar itself falls behind."""
+    """``[overload]``: shed load by priority when the sidecar itself is overloaded."""
 
     enabled: bool = False
     target_ms: Annotated[float, Meta(gt=0, le=1000)] = 10.0
+    """Delay of the sidecar itself above which it sheds load."""
     memory: Annotated[float, Meta(gt=0, le=1)] = 0.9
+    """Fraction of the memory limit at which every request is shed."""
     descriptors: Annotated[float, Meta(gt=0, le=1)] = 0.9
+    """Fraction of the descriptor limit at which every request is shed."""
     refuse_first: tuple[str, ...] = ()
+    """Names of the classes that are shed before all others."""
 
 
 class Control(Struct, frozen=True, forbid_unknown_fields=True):
-    """``[control]``: a Unix socket that shows the state of the sidecar."""
+    """``[control]``: the status socket."""
 
-    socket: str = ""  # its path; empty: none
+    socket: str = ""
+    """Path of the Unix socket; empty for none."""
 
 
 class Operator(Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole file."""
+    """The operator's file."""
 
     log: Log = Log()
     overload: Overload = Overload()
@@ -50,17 +54,17 @@
 
 
 def load(path: str) -> Operator:
-    """Read and check the file at ``path``.
+    """Read and validate the file at ``path``.
 
     Raises:
-        OperatorFileError: it cannot be read, or a value in it cannot be used.
+        OperatorFileError: The file cannot be read, or a value in it is invalid.
     """
     try:
         raw = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as error:
         raise OperatorFileError(f"operator file: {path}: {error.strerror}") from error
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise OperatorFileError(f"operator file: {path}: no TOML: {error}") from error
+        raise OperatorFileError(f"operator file: {path}: invalid TOML: {error}") from error
     try:
         return msgspec.convert(raw, Operator)
     except msgspec.ValidationError as error:
--- a/lugtally/config/sidecar.py
+++ b/lugtally/config/sidecar.py
@@ -1,20 +1,17 @@
-"""The sidecar's configuration: the environment and config.json, decoded once and checked.
-
-A :class:`ConfigurationError` names the key at fault in one plain line.
-"""
+"""The configuration of the sidecar: decodes and validates the environment variables and ``config.json``."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 import ujson
 
 from lugtally import balancing
 from lugtally.address import Address
-from lugtally.config.balancing_settings import read_settings
+from lugtally.config.balancing_settings import JsonObject, read_settings
 from lugtally.config.endpoint_list import EndpointList, parse_address, parse_endpoint_list
 from lugtally.units import NS_PER_MS, NS_PER_S
 
@@ -26,49 +23,55 @@
 MIN_DESCRIPTOR_LIMIT = 64
 MAX_CORES = 4096
 MAX_INTEGER = 2**62
+"""Upper limit of all numbers, exclusive; far above any useful duration in nanoseconds."""
 MAX_DESCRIPTOR = 2**20
+"""Above the usual limit of descriptors per process."""
 NO_ENDPOINTS = {"version": 0, "full": True, "servers": []}
+JSON_TYPE_NAMES = {dict: "an object", list: "a list"}
 
-Raw = dict[str, Any]
 Environment = Mapping[str, str]
 
 
 class ConfigurationError(ValueError):
-    """The configuration cannot be used; the text is one line that names the key."""
+    """The configuration is invalid; the text is one line that names the key."""
 
 
 @dataclass(slots=True)
 class SidecarConfig:
-    """The values that the sidecar uses."""
+    """The decoded configuration of one sidecar."""
 
     name: str
     listen: Address
     discovery: Address
     seed: int
+    """Seed of all random decisions."""
     descriptor_limit: int
     memory_limit_mb: int
     cores: float
+    """Processor cores that the sidecar may use."""
     cached_endpoints: EndpointList
-    """The endpoint list of the time before a restart."""
+    """The endpoint list before the restart; in force until discovery responds."""
     settings: balancing.Settings
     zones: tuple[str, ...]
     idle_timeout_ns: int
-    """How long servers keep an idle connection open."""
+    """Time after which endpoints close an idle connection."""
     connect_timeout_ns: int
     load_reports_in_responses: bool
+    """Whether responses of endpoints have load report headers."""
     inherited_socket_fd: int | None = None
-    """The descriptor of the listening socket, where the platform holds it."""
+    """Descriptor of the listening socket if the platform opened it."""
     admin_address: Address | None = None
-    """The operators' address; ``None``: off."""
+    """Address of the admin server; ``None`` to disable it."""
 
 
 def load(environment: Environment, path: str | None = None, *, reloading: bool = False) -> SidecarConfig:
-    """Read the file at ``path``, or that ``PROXY_CONFIG`` names; the other variables override what it says.
+    """Load the file at ``path`` or, without one, at ``$PROXY_CONFIG``; the other variables override its values.
 
-    Where a running sidecar is ``reloading``, the file's ``discovery`` overrides the variable, which cannot change.
+    If ``reloading``, ``discovery`` in the file overrides ``$PROXY_DISCOVERY``, because the environment of a running
+    process cannot change.
 
     Raises:
-        ConfigurationError: the file cannot be read, or a value in it cannot be used.
+        ConfigurationError: The file cannot be read, or a value is invalid.
     """
     path = path or environment.get("PROXY_CONFIG")
     if not path:
@@ -82,83 +85,97 @@
         raise ConfigurationError(str(error)) from error
 
 
-def _read_file(path: str) -> Raw:
+def _read_file(path: str) -> JsonObject:
     try:
         raw = ujson.loads(Path(path).read_bytes())
     except OSError as error:
         raise ConfigurationError(f"PROXY_CONFIG: {path}: {error.strerror}") from error
     except ValueError as error:
-        raise ConfigurationError(f"PROXY_CONFIG: {path}: no JSON: {error}") from error
+        raise ConfigurationError(f"PROXY_CONFIG: {path}: invalid JSON: {error}") from error
     if not isinstance(raw, dict):
-        raise ConfigurationError(f"PROXY_CONFIG: {path}: an object is wanted")
+        raise ConfigurationError(f"PROXY_CONFIG: {path}: must be an object")
     return raw
 
 
-def _decode(raw: Raw, environment: Environment) -> SidecarConfig:
-    raw_settings, limits = _typed(raw, "settings", dict), _typed(raw, "limits", dict)
-    ceilings, report = _typed(raw_settings, "ceilings", dict), _typed(raw_settings, "report", dict)
-    if not isinstance(raw_settings.get("grades"), list) or not raw_settings["grades"]:
-        raise ValueError("settings.grades: a list of classes is wanted")
-    try:
-        idle_timeout_ns = _positive(ceilings, "keepalive_ns", DEFAULT_IDLE_TIMEOUT_NS)
-        connect_timeout_ns = _positive(ceilings, "connect_timeout_ns", DEFAULT_CONNECT_TIMEOUT_NS)
-        settings = _settings(raw_settings, connect_timeout_ns)
-    except (ValueError, TypeError, AttributeError) as error:
-        raise ValueError(f"settings: {error}") from error
-    descriptor_limit = _descriptor_limit(limits)
+def _decode(raw: JsonObject, environment: Environment) -> SidecarConfig:
+    raw_settings = _typed(raw, "settings", dict)
+    limits = _typed(raw, "limits", dict)
+    report = _typed(raw_settings, "report", dict)
+    decoded = _decode_settings(raw_settings)
     return SidecarConfig(
         name=str(environment.get("PROXY_NAME") or raw.get("name") or DEFAULT_NAME),
         listen=parse_address(environment.get("PROXY_LISTEN") or raw.get("listen"), "listen"),
         discovery=parse_address(environment.get("PROXY_DISCOVERY") or raw.get("discovery"), "discovery"),
         seed=_seed(raw.get("seed")),
-        descriptor_limit=descriptor_limit,
+        descriptor_limit=_descriptor_limit(limits),
         memory_limit_mb=_positive(limits, "memory_mb", DEFAULT_MEMORY_LIMIT_MB),
         cores=_cores(limits.get("cores")),
         cached_endpoints=parse_endpoint_list(raw.get("known") or NO_ENDPOINTS, "known"),
-        settings=settings,
+        settings=decoded.settings,
         zones=tuple(str(zone) for zone in _typed(raw_settings, "zones", list)),
-        idle_timeout_ns=idle_timeout_ns,
-        connect_timeout_ns=connect_timeout_ns,
+        idle_timeout_ns=decoded.idle_timeout_ns,
+        connect_timeout_ns=decoded.connect_timeout_ns,
         load_reports_in_responses=report.get("how") == "answers",
         inherited_socket_fd=_inherited_socket_fd(environment.get("PROXY_SOCKET_FD")),
         admin_address=_admin_address(environment.get("PROXY_OPERATOR") or raw.get("operator")),
     )
 
 
-def _settings(raw_settings: Raw, connect_timeout_ns: int) -> balancing.Settings:
-    """Return the balancer's settings, for a real sidecar.
+class _DecodedSettings(NamedTuple):
+    """The values of the ``settings`` object."""
+
+    settings: balancing.Settings
+    idle_timeout_ns: int
+    connect_timeout_ns: int
+
+
+def _decode_settings(raw_settings: JsonObject) -> _DecodedSettings:
+    ceilings = _typed(raw_settings, "ceilings", dict)
+    if not isinstance(raw_settings.get("grades"), list) or not raw_settings["grades"]:
+        raise ValueError("settings.grades: must be a non-empty list of classes")
+    try:
+        idle_timeout_ns = _positive(ceilings, "keepalive_ns", DEFAULT_IDLE_TIMEOUT_NS)
+        connect_timeout_ns = _positive(ceilings, "connect_timeout_ns", DEFAULT_CONNECT_TIMEOUT_NS)
+        settings = _sidecar_settings(raw_settings, connect_timeout_ns)
+    except (ValueError, TypeError, AttributeError) as error:
+        raise ValueError(f"settings: {error}") from error
+    return _DecodedSettings(settings, idle_timeout_ns, connect_timeout_ns)
+
+
+def _sidecar_settings(raw_settings: JsonObject, connect_timeout_ns: int) -> balancing.Settings:
+    """Return the balancer's settings with the values that differ between a sidecar and the simulator.
 
-    Whatever they say of the simulator, a sidecar learns of changes only by watching the endpoint list, and a retry is
-    sent as late after its decision as a connection may take to come up: without that margin a retry with an
-    idempotency key could reach a server after the window in which duplicates are dropped.
+    A sidecar always watches the endpoint list.  It sends a retry up to the connect timeout after the decision.  With
+    this margin as the timer resolution, no retry with an idempotency key arrives after the deduplication window.
     """
     settings = read_settings(raw_settings)
     resolution_ns = max(settings.timer_resolution_ns, connect_timeout_ns)
     return replace(settings, subscribe_to_endpoints=True, timer_resolution_ns=resolution_ns)
 
 
-def _typed(raw: Raw, key: str, value_type: type) -> Any:
+def _typed(raw: JsonObject, key: str, value_type: type[dict[str, Any]] | type[list[Any]]) -> Any:
+    """Return the object or list at ``key``; empty if the key is missing."""
     value = raw.get(key)
     if value is None:
         return value_type()
     if not isinstance(value, value_type):
-        raise ValueError(f"{key}: {value!r} is no {value_type.__name__}")
+        raise ValueError(f"{key}: must be {JSON_TYPE_NAMES[value_type]}, not {value!r}")
     return value
 
 
-def _positive(raw: Raw, key: str, default: int) -> int:
+def _positive(raw: JsonObject, key: str, default: int) -> int:
     value = raw.get(key)
     if value is None:
         return default
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 < value < MAX_INTEGER:
-        raise ValueError(f"{key}: {value!r} is no positive number")
+        raise ValueError(f"{key}: must be a positive number, not {value!r}")
     return int(value)
 
 
-def _descriptor_limit(limits: Raw) -> int:
+def _descriptor_limit(limits: JsonObject) -> int:
     limit = _positive(limits, "sockets", DEFAULT_DESCRIPTOR_LIMIT)
     if limit < MIN_DESCRIPTOR_LIMIT:
-        raise ValueError(f"limits.sockets: {limit} is under {MIN_DESCRIPTOR_LIMIT}")
+        raise ValueError(f"limits.sockets: must be at least {MIN_DESCRIPTOR_LIMIT}, not {limit}")
     return limit
 
 
@@ -166,26 +183,26 @@
     try:
         return int(text, 16) if isinstance(text, str) else int(text or 0)
     except (TypeError, ValueError) as error:
-        raise ValueError(f"seed: {text!r} is no hexadecimal number") from error
+        raise ValueError(f"seed: must be a hexadecimal number, not {text!r}") from error
 
 
 def _cores(value: Any) -> float:
     if value is None:
         return 1.0
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 < value < MAX_CORES:
-        raise ValueError(f"limits.cores: {value!r} is no positive number")
+        raise ValueError(f"limits.cores: must be a positive number, not {value!r}")
     return float(value)
 
 
 def _admin_address(text: Any) -> Address | None:
-    """Decode the operators' address, where ``operator`` or ``$PROXY_OPERATOR`` is set."""
+    """Decode the admin address from ``operator`` or ``$PROXY_OPERATOR``; ``None`` if it is not set."""
     return None if text is None or text == "" else parse_address(text, "operator")
 
 
 def _inherited_socket_fd(text: str | None) -> int | None:
-    """Decode ``$PROXY_SOCKET_FD``; whether it is a listening socket is checked where it is adopted."""
+    """Decode ``$PROXY_SOCKET_FD``.  Whether it is a listening socket is checked when the server starts."""
     if text is None or text == "":
         return None
     if not text.isdigit() or int(text) > MAX_DESCRIPTOR:
-        raise ValueError(f"PROXY_SOCKET_FD: {text!r} is no descriptor")
+        raise ValueError(f"PROXY_SOCKET_FD: must be a descriptor, not {text!r}")
     return int(text)
