--- a/lugtally/testbed/emulator/discovery.py
+++ b/lugtally/testbed/emulator/discovery.py
@@ -1,4 +1,8 @@
-"""The emulated discovery service: the endpoint list, whole or as a watch, from one service of bounded capacity."""
+"""The emulated discovery service.
+
+It answers with the full endpoint list or holds a call until the list changes.  A limited number of calls is processed
+at the same time, for all sidecars together.
+"""
 
 from __future__ import annotations
 
@@ -18,18 +22,18 @@
 
 PATH = "/catalog/members"
 MAX_HOLD_MS = 60_000
-ENTRIES_PER_CALL_COST = 100  # entries that cost as much as a call
+ENTRIES_PER_CALL_COST = 100  # entries that take as long as the call itself
 
 
 class _Poll(NamedTuple):
-    """What a call asks for."""
+    """Parameters of a call."""
 
-    version: int | None  # none: the whole list
+    version: int | None  # of the list that the caller has; None for the full list
     hold_s: float  # how long to wait for a change
 
 
 class DiscoveryService:
-    """One service for all sidecars."""
+    """Discovery service that all sidecars share."""
 
     def __init__(
         self,
@@ -40,9 +44,12 @@
         address_of: Callable[[str, int], str],
         settings: Discovery,
     ) -> None:
-        """``hosts`` are the addresses to listen at, by sidecar; ``address_of`` takes a server and a sidecar."""
+        """Serve ``registry`` at ``hosts``, one address for each sidecar.
+
+        ``address_of`` returns the address at which a sidecar reaches a server.
+        """
         self.clock = clock
-        self.extra_call_s = 0.0  # by which a fault slows each call
+        self.extra_call_s = 0.0  # added to the duration of each call by a fault
         self._hosts = hosts
         self._registry = registry
         self._record = record
@@ -68,30 +75,30 @@
             self._listeners.append(listener)
 
     def update(self, entry: EndpointEntry) -> None:
-        """Put a change into the list and end the watches that wait for one."""
+        """Apply a change to the list and answer the calls that wait for one."""
         if self._registry.update(entry):
             self._record(EndpointChanged(self.clock(), entry.server, entry.state, _started_at(entry)))
             self._changed.set()
             self._changed = asyncio.Event()
 
     def set_down(self, is_down: bool) -> None:
-        """Go down, which ends every watch, or come up again."""
+        """Stop or resume the service.  Stopping resets all connections."""
         self._is_down = is_down
         if is_down:
             for connection in list(self._connections):
                 connection.reset()
 
     def connection_opened(self, connection: DiscoveryConnection) -> bool:
-        """Count a connection; false where the service is down."""
+        """Register a connection; return False if the service is down."""
         if self._is_down:
-            # The sidecar did poll: one that tries does not count as notified of what it could not hear.
+            # A failed call is evidence that the sidecar polls: the verifier does not count it as notified.
             self.record_failed_call(connection.sidecar, self.clock())
             return False
         self._connections.add(connection)
         return True
 
     def connection_closed(self, connection: DiscoveryConnection) -> None:
-        """Forget a connection."""
+        """Unregister a connection."""
         self._connections.discard(connection)
 
     def record_failed_call(self, sidecar: int, began_at: float) -> None:
@@ -99,7 +106,7 @@
         self._record(DiscoveryCall(sidecar, began_at, self.clock(), False))
 
     async def handle_call(self, connection: DiscoveryConnection, target: str) -> None:
-        """Work on a call in its turn and respond to it."""
+        """Process a call and respond to it."""
         began_at = self.clock()
         path, _, query = target.partition("?")
         if path != PATH:
@@ -111,15 +118,13 @@
             connection.respond(400, b"{}")
             return
         await self._wait_for_change(poll, began_at + poll.hold_s)
-        try:
-            await asyncio.wait_for(self._slots.acquire(), self._max_wait_s)
-        except TimeoutError:
+        if not await self._acquire_slot():
             self.record_failed_call(connection.sidecar, began_at)
             connection.respond(503, b"{}")
             return
         try:
             version, changes = self._registry.version, self._registry.changes_since(poll.version)
-            await asyncio.sleep(self._call_s * (1 + len(changes.entries) / ENTRIES_PER_CALL_COST) + self.extra_call_s)
+            await asyncio.sleep(self._processing_s(changes))
         finally:
             self._slots.release()
         if self._is_down or not connection.is_open:
@@ -129,8 +134,20 @@
         connection.respond(200, self._serialize(version, changes, connection.sidecar))
         self._record_notifications(changes, connection.sidecar, began_at)
 
+    async def _acquire_slot(self) -> bool:
+        """Wait until the service has capacity for a call; return False if that takes too long."""
+        try:
+            await asyncio.wait_for(self._slots.acquire(), self._max_wait_s)
+        except TimeoutError:
+            return False
+        return True
+
+    def _processing_s(self, changes: EndpointChanges) -> float:
+        """Return how many seconds a call takes that returns these entries."""
+        return self._call_s * (1 + len(changes.entries) / ENTRIES_PER_CALL_COST) + self.extra_call_s
+
     async def _wait_for_change(self, poll: _Poll, until: float) -> None:
-        """Wait while the caller is up to date, and no longer than it said."""
+        """Wait until the list is newer than the caller's version, at most for the hold time of the call."""
         if poll.version is None or poll.hold_s <= 0:
             return
         while poll.version >= self._registry.version and (left := until - self.clock()) > 0:
@@ -140,6 +157,7 @@
                 return
 
     def _serialize(self, version: int, changes: EndpointChanges, sidecar: int) -> bytes:
+        """Encode the list as JSON, with the addresses that this sidecar uses."""
         entries = [
             {
                 "id": entry.server,
@@ -156,6 +174,7 @@
         return msgspec.json.encode({"version": version, "full": changes.is_full, "servers": entries})
 
     def _record_notifications(self, changes: EndpointChanges, sidecar: int, began_at: float) -> None:
+        """Record that a sidecar was sent these entries."""
         now = self.clock()
         for entry in changes.entries:
             self._record(EndpointNotified(now, sidecar, entry.server, entry.state, _started_at(entry)))
@@ -170,5 +189,5 @@
 
 
 def _started_at(entry: EndpointEntry) -> float | None:
-    """The time of a restart in seconds."""
+    """Return the time of the last restart in seconds, None if the server has never restarted."""
     return entry.started_ms / 1000 or None
--- a/lugtally/testbed/emulator/discovery_connection.py
+++ b/lugtally/testbed/emulator/discovery_connection.py
@@ -1,23 +1,39 @@
-"""One connection of a sidecar to the emulated discovery service: one call at a time."""
+"""Connection of a sidecar to the emulated discovery service; it carries one call at a time."""
 
 from __future__ import annotations
 
 import asyncio
-from typing import TYPE_CHECKING, Any
+from typing import Any, Protocol
 
 import httptools
 
-if TYPE_CHECKING:
-    from lugtally.testbed.emulator.discovery import DiscoveryService
+
+class CallHandler(Protocol):
+    """The part of the discovery service that a connection uses."""
+
+    def clock(self) -> float:
+        """Return the seconds since the base of the run."""
+
+    def connection_opened(self, connection: DiscoveryConnection) -> bool:
+        """Register a connection; return whether it is accepted."""
+
+    def connection_closed(self, connection: DiscoveryConnection) -> None:
+        """Unregister a connection."""
+
+    def record_failed_call(self, sidecar: int, began_at: float) -> None:
+        """Record a call that got no list."""
+
+    async def handle_call(self, connection: DiscoveryConnection, target: str) -> None:
+        """Process a call and respond to it."""
 
 
 class DiscoveryConnection(asyncio.Protocol):
-    """The bytes of a sidecar's calls."""
+    """Parser of a sidecar's calls and writer of the responses."""
 
-    def __init__(self, service: DiscoveryService, sidecar: int) -> None:
+    def __init__(self, handler: CallHandler, sidecar: int) -> None:
         self.sidecar = sidecar
         self.is_open = False
-        self._service = service
+        self._handler = handler
         self._transport: Any = None
         self._parser = httptools.HttpRequestParser(self)
         self._target = b""
@@ -25,42 +41,42 @@
         self._call_began_at = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Report the connection; the service may refuse it."""
+        """Register the connection.  Reset it if the service rejects it."""
         self._transport, self.is_open = transport, True
-        if not self._service.connection_opened(self):
+        if not self._handler.connection_opened(self):
             self.reset()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Report the end, and cancel a call that waits."""
+        """Unregister the connection and cancel the call in progress."""
         self.is_open = False
-        self._service.connection_closed(self)
+        self._handler.connection_closed(self)
         if self._call is not None and not self._call.done():
             self._call.cancel()
-            self._service.record_failed_call(self.sidecar, self._call_began_at)
+            self._handler.record_failed_call(self.sidecar, self._call_began_at)
 
     def data_received(self, data: bytes) -> None:
-        """Parse bytes of a call."""
+        """Parse bytes of a call.  Reset the connection if they are malformed."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
             self.reset()
 
     def on_message_begin(self) -> None:
-        """Begin a call."""
+        """Start a new request head."""
         self._target = b""
 
     def on_url(self, url: bytes) -> None:
-        """Collect a piece of the target."""
+        """Append a piece of the request target."""
         self._target += url
 
     def on_message_complete(self) -> None:
-        """Start work on a complete call."""
-        self._call_began_at = self._service.clock()
-        call = self._service.handle_call(self, self._target.decode("latin-1"))
+        """Start a task that handles the complete call."""
+        self._call_began_at = self._handler.clock()
+        call = self._handler.handle_call(self, self._target.decode("latin-1"))
         self._call = asyncio.get_running_loop().create_task(call)
 
     def respond(self, status: int, body: bytes) -> None:
-        """Write the response to the call."""
+        """Write a complete response."""
         if self.is_open:
             head = f"HTTP/1.1 {status} X\r\nContent-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n"
             self._transport.write(head.encode() + body)
--- a/lugtally/testbed/emulator/endpoint_registry.py
+++ b/lugtally/testbed/emulator/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The endpoint list as the emulated discovery service holds it: entries, versions and changes.  Free of I/O."""
+"""The endpoint list of the emulated discovery service: entries, versions and changes.  Does no I/O."""
 
 from __future__ import annotations
 
@@ -6,37 +6,44 @@
 from typing import NamedTuple
 
 READY, DRAINING, REMOVED = "ready", "draining", "gone"  # states, as on the wire
-MAX_CHANGES = 512  # remembered; a caller that is further behind gets the whole list
+MAX_CHANGES = 512  # in the history; a caller with an older version gets the full list
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """One server of the list.  Its address differs by sidecar and is added when the entry is written."""
+    """A server of the list.  Its address differs by sidecar and is added when the entry is serialized."""
 
     server: str
     zone: str
     cell: int
     state: str
-    started_ms: int  # of a restart, in milliseconds since the epoch; 0 where it has always run
+    started_ms: int  # of the last restart, in milliseconds since the epoch; 0 if it has never restarted
 
 
 class EndpointChanges(NamedTuple):
-    """What a caller needs to be up to date: the whole list, or the last entry of each server that changed."""
+    """The full list, or the latest entry of each server that changed after the caller's version."""
 
     is_full: bool
     entries: list[EndpointEntry]
 
 
+class _Change(NamedTuple):
+    """An entry and the version of the list that it made."""
+
+    version: int
+    entry: EndpointEntry
+
+
 class EndpointRegistry:
-    """The list and its history."""
+    """The list and the history of its changes."""
 
     def __init__(self, entries: list[EndpointEntry]) -> None:
         self.version = 1
         self._entries = {entry.server: entry for entry in entries}
-        self._changes: list[tuple[int, EndpointEntry]] = []  # version, and the entry that made it
+        self._changes: list[_Change] = []
 
     def update(self, entry: EndpointEntry) -> bool:
-        """Take over an entry; one of a removed server leaves the list.  False where nothing changed."""
+        """Add or replace an entry, or delete that of a removed server.  Return whether the list changed."""
         is_removed = entry.state == REMOVED
         if self._entries.get(entry.server) == entry or (is_removed and entry.server not in self._entries):
             return False
@@ -45,17 +52,18 @@
             del self._entries[entry.server]
         else:
             self._entries[entry.server] = entry
-        self._changes = [*self._changes[-MAX_CHANGES:], (self.version, entry)]
+        self._changes = [*self._changes[-MAX_CHANGES:], _Change(self.version, entry)]
         return True
 
     def changes_since(self, version: int | None) -> EndpointChanges:
-        """Return what changed after a version; all where the history does not reach back to it."""
+        """Return the changes after a version, or the full list if the history does not cover them."""
         if version is None or not self._remembers(version):
             return EndpointChanges(True, list(self._entries.values()))
-        changed = {entry.server: entry for at, entry in self._changes if at > version}
+        changed = {change.entry.server: change.entry for change in self._changes if change.version > version}
         return EndpointChanges(False, list(changed.values()))
 
     def _remembers(self, version: int) -> bool:
+        """Return whether the history has all changes after a version."""
         if version >= self.version:
             return version == self.version
-        return bool(self._changes) and self._changes[0][0] <= version + 1
+        return bool(self._changes) and self._changes[0].version <= version + 1
