--- a/lugtally/testbed/loadgen/attempt.py
+++ b/lugtally/testbed/loadgen/attempt.py
@@ -1,4 +1,7 @@
-"""One attempt of a client: sent once, and once more only where the connection was closed while it was being sent."""
+"""One attempt of a client.
+
+It is sent once, and once more if an idle connection was closed while the request was being written to it.
+"""
 
 from __future__ import annotations
 
@@ -8,18 +11,22 @@
 import msgspec
 
 from lugtally.testbed.emulator.response_body import is_genuine
-from lugtally.testbed.loadgen.connection import STATUS_OK, ClientConnection, ResponseHandlers
+from lugtally.testbed.loadgen.connection import STATUS_OK, ClientConnection, Response
+from lugtally.testbed.loadgen.connection_pool import ConnectionPool
 from lugtally.testbed.loadgen.load_run import LoadRun
 from lugtally.testbed.scenario.random_streams import unit
 from lugtally.testbed.verification.records import ClientAttempt, ClientOutcome
 
-OBSERVED_S = 0.4  # beyond a client's deadline, to see whether a response comes late or never
+OBSERVATION_S = 0.4  # after the client's deadline, to distinguish a late response from none
 REJECTION_STATUSES = (429, 503)
-OnEnd = Callable[[ClientAttempt, bool], None]  # and whether the client stopped waiting
+OnEnd = Callable[[ClientAttempt, bool], None]  # the bool says whether the client stopped waiting
 
 
 class OutgoingAttempt:
-    """An attempt in flight; ``on_end`` is called once, as it ends or as the client stops waiting for it."""
+    """An attempt in flight, and the handler of its response.
+
+    ``on_end`` is called once, when the attempt ends or the client stops waiting for it.
+    """
 
     __slots__ = ("_run", "_record", "_data", "_on_end", "_connection", "_timer", "_is_abandoned", "_is_recorded")
 
@@ -33,17 +40,21 @@
         self._is_abandoned = False  # the client has stopped waiting
         self._is_recorded = False
 
+    @property
+    def _pool(self) -> ConnectionPool:
+        return self._run.pools[self._record.sidecar]
+
     def start(self) -> None:
-        """Send it over an idle connection, or a new one."""
+        """Send the request over an idle or a new connection."""
         self._run.pending += 1
-        self._run.pools[self._record.sidecar].acquire(self._send_over)
+        self._pool.acquire(self._send_over)
         wait = max(0.0, self._record.deadline_at - self._run.clock())
         self._timer = asyncio.get_running_loop().call_later(wait, self._on_deadline)
 
     def _send_over(self, connection: ClientConnection | None) -> None:
         if self._is_recorded or self._is_abandoned:
             if connection is not None:
-                self._run.pools[self._record.sidecar].release(connection)
+                self._pool.release(connection)
             self._finish(ClientOutcome.UNREACHABLE)
             return
         if connection is None:
@@ -51,35 +62,37 @@
             return
         self._connection = connection
         self._record.sent_at = self._run.clock()
-        connection.send(
-            self._data,
-            ResponseHandlers(self._on_response, self._on_disconnect, self._on_duplicate, self._is_own_body),
-        )
-
-    def _on_response(self, status: int, body: bytes, retry_after_s: float) -> None:
-        record = self._record
-        record.status, record.retry_after_s = status, retry_after_s
+        connection.send(self._data, self)
+
+    def on_response(self, response: Response) -> None:
+        """Record the response and release the connection."""
+        self._record.status = response.status
+        self._record.retry_after_s = response.retry_after_s
         connection, self._connection = self._connection, None
         assert connection is not None
-        outcome = ClientOutcome.FAILED
-        if status == STATUS_OK:
-            outcome = ClientOutcome.SERVED if self._is_own_body(body) else ClientOutcome.FOREIGN
-        elif status in REJECTION_STATUSES:
-            outcome = ClientOutcome.REJECTED
-        self._finish(outcome)
-        self._run.pools[record.sidecar].release(connection)
-
-    def _on_disconnect(self, received_bytes: bool) -> None:
+        self._finish(self._outcome_of(response))
+        self._pool.release(connection)
+
+    def _outcome_of(self, response: Response) -> ClientOutcome:
+        if response.status == STATUS_OK:
+            return ClientOutcome.SERVED if self.is_own_body(response.body) else ClientOutcome.FOREIGN
+        if response.status in REJECTION_STATUSES:
+            return ClientOutcome.REJECTED
+        return ClientOutcome.FAILED
+
+    def on_disconnect(self, received_bytes: bool) -> None:
+        """Send the request again if the connection was an idle one that closed; else record that it was dropped."""
         connection, self._connection = self._connection, None
         assert connection is not None
         if not received_bytes and connection.was_used and not self._record.resent and not self._is_abandoned:
-            # An idle connection was closed as this request was written to it: it goes once more, over a new one.
+            # The sidecar closed an idle connection while the request was written to it.
             self._record.resent = True
-            self._run.pools[self._record.sidecar].acquire_new(self._send_over)
+            self._pool.acquire_new(self._send_over)
             return
         self._finish(ClientOutcome.DROPPED)
 
-    def _on_duplicate(self) -> None:
+    def on_duplicate(self) -> None:
+        """Mark the record as duplicate, or add a record if this attempt is already in the event log."""
         self._record.duplicate_response = True
         if self._is_recorded:
             self._run.event_log.write(
@@ -93,24 +106,25 @@
                 )
             )
 
-    def _is_own_body(self, body: bytes) -> bool:
+    def is_own_body(self, body: bytes) -> bool:
+        """Return whether a server made this body for this request."""
         return is_genuine(body, self._run.seed, self._record.request_id)
 
     def _on_deadline(self) -> None:
-        """The client stops waiting.  Most connections are watched a little longer, for the verifier."""
+        """Stop waiting.  Impatient clients disconnect; others stay connected so that a late response is recorded."""
         self._is_abandoned = True
         if unit(self._run.seed, "impatient", self._record.request_id) < self._run.client_behaviour.impatient_share:
             self._close_connection()
             self._finish(ClientOutcome.CLIENT_LEFT)
         else:
-            self._timer = asyncio.get_running_loop().call_later(OBSERVED_S, self._on_observation_end)
+            self._timer = asyncio.get_running_loop().call_later(OBSERVATION_S, self._on_observation_end)
         self._on_end(self._record, True)
 
     def _on_observation_end(self) -> None:
         self._finish(ClientOutcome.PENDING if self._close_connection() else ClientOutcome.UNREACHABLE)
 
     def _close_connection(self) -> bool:
-        """Close the connection that it was sent over; false where there is none."""
+        """Close the connection of this attempt; return False if it has none."""
         connection, self._connection = self._connection, None
         if connection is None:
             return False
@@ -118,7 +132,7 @@
         return True
 
     def _finish(self, outcome: ClientOutcome) -> None:
-        """Write the one record of this attempt."""
+        """Record the outcome, once."""
         if self._is_recorded:
             return
         self._is_recorded = True
--- a/lugtally/testbed/loadgen/client.py
+++ b/lugtally/testbed/loadgen/client.py
@@ -1,4 +1,4 @@
-"""One request of a client, with the retries that the application makes of it."""
+"""One request of a client and the retries that the application makes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from lugtally.testbed.verification.records import ClientAttempt, ClientOutcome
 
 POST_BODY = b"v" * 200
-MIN_TIME_LEFT_S = 0.005  # for a retry
+MIN_TIME_LEFT_S = 0.005  # before the deadline, for a retry to start
 
 
 class Client:
@@ -48,10 +48,11 @@
         OutgoingAttempt(self._run, record, self._serialize(record), self._on_attempt_end).start()
 
     def _deadline_at(self) -> float:
+        """Return when the client's patience for the whole request ends."""
         return self._run.start + self._arrival.at + self._class.deadline_ms / 1000
 
     def _serialize(self, record: ClientAttempt) -> bytes:
-        """The attempt as HTTP/1.1."""
+        """Encode the attempt as HTTP/1.1."""
         method = METHODS[self._class.effect]
         body = b"" if method == "GET" else POST_BODY
         lines = [
@@ -70,27 +71,28 @@
         return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
     def _on_attempt_end(self, record: ClientAttempt, gave_up: bool) -> None:
-        """Retry where that is allowed, as an attempt ends or the client stops waiting for it."""
+        """Schedule a retry, if allowed, after an attempt ended or the client stopped waiting for it."""
         if self._is_served:
             return
         if record.outcome == ClientOutcome.SERVED and not gave_up:
             self._is_served = True
             return
-        wait = self._backoff(record)
-        retry_at = self._run.clock() + wait
+        backoff_s = self._backoff_s(record)
+        retry_at = self._run.clock() + backoff_s
         if not self._may_retry(record, gave_up) or retry_at >= self._deadline_at() - MIN_TIME_LEFT_S:
             return
         self._run.pending += 1
-        asyncio.get_running_loop().call_later(wait, self._retry, retry_at)
+        asyncio.get_running_loop().call_later(backoff_s, self._retry, retry_at)
 
     def _may_retry(self, record: ClientAttempt, gave_up: bool) -> bool:
+        """Return whether the application retries after this attempt."""
         if self._attempts > self._run.client_behaviour.retries:
             return False
         rejected = record.outcome in (ClientOutcome.REJECTED, ClientOutcome.UNREACHABLE) and not gave_up
-        return rejected or self._is_repeatable_anywhere()
+        return rejected or self._is_safe_to_repeat()
 
-    def _is_repeatable_anywhere(self) -> bool:
-        """Whether a repeat is harmless whatever became of the attempts before, and wherever it goes."""
+    def _is_safe_to_repeat(self) -> bool:
+        """Return whether a repeat at any server is harmless even if an earlier attempt ran."""
         if self._class.effect == "safe":
             return True
         elapsed = self._run.clock() - self._run.start - self._arrival.at
@@ -100,13 +102,13 @@
             and elapsed < self._class.deduplication_window_ms / 1000
         )
 
-    def _backoff(self, record: ClientAttempt) -> float:
-        """Seconds to wait; some clients follow Retry-After."""
+    def _backoff_s(self, record: ClientAttempt) -> float:
+        """Return the seconds to wait before a retry.  Some clients follow Retry-After."""
         behaviour = self._run.client_behaviour
-        wait = behaviour.backoff_ms / 1000
+        backoff_s = behaviour.backoff_ms / 1000
         if record.retry_after_s >= 0 and unit(self._run.seed, "honour", self._first_id) < behaviour.retry_after_share:
-            wait = max(wait, record.retry_after_s)
-        return wait
+            return max(backoff_s, record.retry_after_s)
+        return backoff_s
 
     def _retry(self, intended_at: float) -> None:
         self._run.pending -= 1
--- a/lugtally/testbed/loadgen/connection.py
+++ b/lugtally/testbed/loadgen/connection.py
@@ -1,11 +1,15 @@
-"""A client's connection to its sidecar: one request at a time, and whatever else comes over it."""
+"""Connection of a client to its sidecar.
+
+It carries one request at a time and attributes each response to its request, also a duplicate that arrives late.
+"""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any, NamedTuple
+from enum import Enum, auto
+from typing import Any, NamedTuple, Protocol
 
 import httptools
 
@@ -13,97 +17,131 @@
 STATUS_OK = 200
 
 
-class ResponseHandlers(NamedTuple):
-    """Whom to call for a request; ``on_response`` or ``on_disconnect`` is called once."""
+class Response(NamedTuple):
+    """A complete final response."""
+
+    status: int
+    body: bytes
+    retry_after_s: float  # NO_RETRY_AFTER if the header is missing or malformed
+
+
+class ResponseHandler(Protocol):
+    """Receiver of what happens to a request; ``on_response`` or ``on_disconnect`` is called once."""
+
+    def on_response(self, response: Response) -> None:
+        """Handle the response."""
+
+    def on_disconnect(self, received_bytes: bool) -> None:
+        """Handle the end of the connection; ``received_bytes`` says whether a part of a response arrived."""
+
+    def on_duplicate(self) -> None:
+        """Handle bytes that follow the response.  Called at most once."""
+
+    def is_own_body(self, body: bytes) -> bool:
+        """Return whether a body was made for this request."""
+
 
-    on_response: Callable[[int, bytes, float], None]  # status, body, Retry-After in seconds
-    on_disconnect: Callable[[bool], None]  # whether any byte of a response had come
-    on_duplicate: Callable[[], None]  # for bytes that follow the response; called once at most
-    is_own_body: Callable[[bytes], bool]  # whether a body was made for this request
+class ConnectionState(Enum):
+    """State of a connection, and of the request on it."""
+
+    CONNECTING = auto()
+    UNUSED = auto()  # open, no request sent yet
+    AWAITING_RESPONSE = auto()  # request sent, no byte of its response received
+    READING_RESPONSE = auto()  # a part of the response received
+    RESPONSE_COMPLETE = auto()
+    ABANDONED = auto()  # closed by the client before the response was complete
+    CLOSED = auto()
+
+
+IN_PROGRESS = (ConnectionState.AWAITING_RESPONSE, ConnectionState.READING_RESPONSE)
+NO_RESPONSE_EXPECTED = (ConnectionState.UNUSED, ConnectionState.RESPONSE_COMPLETE)
 
 
 @dataclass(slots=True)
 class _Exchange:
-    """A request that was sent, and what has been reported of it."""
+    """A request that was sent."""
 
-    handlers: ResponseHandlers
-    is_waiting: bool = True
+    handler: ResponseHandler
     duplicate_reported: bool = False
 
     def report_duplicate(self) -> None:
         if not self.duplicate_reported:
             self.duplicate_reported = True
-            self.handlers.on_duplicate()
+            self.handler.on_duplicate()
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection to a sidecar."""
+    """A connection to a sidecar."""
 
     def __init__(self, on_closed: Callable[[ClientConnection], None]) -> None:
-        self._on_closed = on_closed
-        self.is_open = False
-        self.was_used = False
         self.is_reusable = True
+        self.was_used = False  # a response was received
+        self._on_closed = on_closed
+        self._state = ConnectionState.CONNECTING
         self._exchange: _Exchange | None = None
-        # A second response to the request before may come while another request is in flight.
+        # A duplicate response to the previous request may arrive while another request is in flight.
         self._previous_exchange: _Exchange | None = None
         self._transport: Any = None
         self._parser: Any = None
         self._body = b""
         self._retry_after_s = NO_RETRY_AFTER
-        self._received_bytes = False
-        self._is_complete = False
+
+    @property
+    def is_open(self) -> bool:
+        """Whether the connection is established and has not ended."""
+        return self._state not in (ConnectionState.CONNECTING, ConnectionState.CLOSED)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Note that the connection is up."""
-        self._transport, self.is_open = transport, True
+        """Mark the connection as open."""
+        self._transport = transport
+        self._state = ConnectionState.UNUSED
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Report the end to the request in flight: it got no complete response."""
-        self.is_open = False
+        """Report the end of the connection to its owner and to the request in flight."""
+        state, self._state = self._state, ConnectionState.CLOSED
         self._on_closed(self)
-        exchange = self._exchange
-        if exchange is not None and exchange.is_waiting:
-            exchange.is_waiting = False
-            exchange.handlers.on_disconnect(self._received_bytes)
+        if state in IN_PROGRESS:
+            assert self._exchange is not None
+            self._exchange.handler.on_disconnect(state is ConnectionState.READING_RESPONSE)
 
-    def send(self, data: bytes, handlers: ResponseHandlers) -> None:
+    def send(self, data: bytes, handler: ResponseHandler) -> None:
         """Write a request."""
         self._previous_exchange = self._exchange
-        self._exchange = _Exchange(handlers)
+        self._exchange = _Exchange(handler)
         self._parser = httptools.HttpResponseParser(self)
-        self._is_complete, self.is_reusable = False, True
-        self._forget_response()
+        self.is_reusable = True
+        self._await_response()
         self._transport.write(data)
 
     def close(self) -> None:
-        """Reset the connection; the request in flight is given up without a report."""
-        if self._exchange is not None:
-            self._exchange.is_waiting = False
+        """Reset the connection.  A request in flight gets no further report."""
+        if self._state in IN_PROGRESS:
+            self._state = ConnectionState.ABANDONED
         if self._transport is not None:
             self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Parse bytes of a response, or report what belongs to none."""
-        if self._is_complete or self._parser is None:
+        """Parse bytes of a response.  Reset the connection if they are malformed or none are expected."""
+        if self._state in NO_RESPONSE_EXPECTED:
             self._reject_extra_bytes()
             return
-        self._received_bytes = True
+        if self._state is ConnectionState.AWAITING_RESPONSE:
+            self._state = ConnectionState.READING_RESPONSE
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
-            if self._is_complete:
+            if self._state is ConnectionState.RESPONSE_COMPLETE:
                 self._reject_extra_bytes()
             else:
                 self._transport.abort()
 
     def on_message_begin(self) -> None:
-        """Report a second head that comes behind a complete response, in the same segment."""
-        if self._is_complete:
+        """Report a second response that follows a complete one in the same segment."""
+        if self._state is ConnectionState.RESPONSE_COMPLETE:
             self._reject_extra_bytes()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take note of the headers that a client acts on."""
+        """Apply Connection and Retry-After."""
         lower = name.lower()
         if lower == b"connection" and value.lower() == b"close":
             self.is_reusable = False
@@ -114,40 +152,41 @@
                 self._retry_after_s = NO_RETRY_AFTER
 
     def on_body(self, body: bytes) -> None:
-        """Collect a piece of the body."""
+        """Append a piece of the body."""
         self._body += body
 
     def on_message_complete(self) -> None:
-        """Report the complete response to the request that it belongs to."""
+        """Report the complete response to its request.  Ignore interim responses."""
         status = self._parser.get_status_code()
-        exchange = self._exchange
-        if self._is_complete or exchange is None or not exchange.is_waiting or status < STATUS_OK:
+        if self._state not in IN_PROGRESS or status < STATUS_OK:
             return
         if status == STATUS_OK and self._is_duplicate_of_previous():
             return
-        self._is_complete, self.was_used = True, True
-        exchange.is_waiting = False
-        exchange.handlers.on_response(status, self._body, self._retry_after_s)
+        self._state = ConnectionState.RESPONSE_COMPLETE
+        self.was_used = True
+        assert self._exchange is not None
+        self._exchange.handler.on_response(Response(status, self._body, self._retry_after_s))
 
     def _is_duplicate_of_previous(self) -> bool:
-        """Whether the response at hand belongs to the request before, whose own response came earlier.
+        """Return whether this is a second response to the previous request, and report it there if so.
 
-        A second response may come after this request was written.  It is reported to the request that it was made
-        for; this one goes on waiting for its own, and the connection is not used again after that.
+        The request in flight then still awaits its own response, and the connection is not used again after that.
         """
         previous = self._previous_exchange
-        if previous is None or not previous.handlers.is_own_body(self._body):
+        if previous is None or not previous.handler.is_own_body(self._body):
             return False
         self.is_reusable = False
-        self._forget_response()
+        self._await_response()
         previous.report_duplicate()
         return True
 
-    def _forget_response(self) -> None:
-        self._body, self._retry_after_s, self._received_bytes = b"", NO_RETRY_AFTER, False
+    def _await_response(self) -> None:
+        """Start a new response."""
+        self._state = ConnectionState.AWAITING_RESPONSE
+        self._body, self._retry_after_s = b"", NO_RETRY_AFTER
 
     def _reject_extra_bytes(self) -> None:
-        """Report bytes that belong to no request, and reset the connection."""
+        """Report bytes that follow a complete response, and reset the connection."""
         self.is_reusable = False
         if self._exchange is not None:
             self._exchange.report_duplicate()
--- a/lugtally/testbed/loadgen/connection_pool.py
+++ b/lugtally/testbed/loadgen/connection_pool.py
@@ -1,4 +1,4 @@
-"""The connections of the clients beside one sidecar, most recently used first."""
+"""Connections of the clients of one sidecar.  The most recently used idle one is reused first."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from lugtally.testbed.loadgen.connection import ClientConnection
 
 CONNECT_TIMEOUT_S = 2.0
-UseConnection = Callable[[ClientConnection | None], None]  # none where the sidecar cannot be reached
+UseConnection = Callable[[ClientConnection | None], None]  # None if the sidecar cannot be reached
 
 
 class ConnectionPool:
-    """A bounded pool; who finds no connection waits in turn."""
+    """A bounded pool.  Requests beyond the bound wait in a FIFO queue."""
 
     def __init__(self, host: str, max_connections: int) -> None:
         self._host = host
@@ -25,7 +25,7 @@
         self._waiting: deque[UseConnection] = deque()
 
     def acquire(self, use: UseConnection) -> None:
-        """Give an idle connection to ``use``, or a new one."""
+        """Call ``use`` with an idle connection, or with a new one."""
         while self._idle:
             connection = self._idle.pop()
             if connection.is_open:
@@ -34,15 +34,15 @@
         self.acquire_new(use)
 
     def acquire_new(self, use: UseConnection) -> None:
-        """Give a new connection to ``use``."""
+        """Call ``use`` with a new connection as soon as the bound allows one."""
         if self._open >= self._max_connections:
-            self._waiting.append(use)  # its latency counts from its intended time all the same
+            self._waiting.append(use)  # the wait is part of the measured latency
             return
         self._open += 1
         asyncio.get_running_loop().create_task(self._connect(use))
 
     def release(self, connection: ClientConnection) -> None:
-        """Take a connection back after a complete response: another request may use it."""
+        """Return a connection after a complete response, so that another request can use it."""
         if not connection.is_reusable or not connection.is_open:
             connection.close()
         elif self._waiting:
@@ -51,7 +51,7 @@
             self._idle.append(connection)
 
     def close(self) -> None:
-        """Close the idle connections, at the end of the run."""
+        """Close the idle connections."""
         for connection in list(self._idle):
             connection.close()
 
--- a/lugtally/testbed/loadgen/generator.py
+++ b/lugtally/testbed/loadgen/generator.py
@@ -1,11 +1,12 @@
-"""The load generator's process: an open loop of clients beside each sidecar.
+"""Process of the load generator: open-loop clients beside each sidecar.
 
-Arrivals are drawn ahead and never wait for responses: a latency counts from the time at which its request was to be
-sent, so a stall shows in full (no coordinated omission; G. Tene, "How not to measure latency", 2013).  A client's own
-retries belong to its first attempt.  Each late sending is recorded: a run whose load generator was late is void.
+Arrivals are drawn before the run and do not wait for responses.  Latency counts from the time at which a request was
+to be sent, so that a stall shows in full (no coordinated omission; G. Tene, "How not to measure latency", 2013).
+Retries of a client belong to its first attempt.  The lag of each send is recorded: a run with a late load generator
+is void.
 
-It is started with the path of a specification, prints ``ready``, is sent ``go SECONDS`` on standard input and prints
-``done``; it ends early with ``stop`` or the end of standard input.
+The process is started with the path of a specification and prints ``ready``.  It begins on ``go SECONDS`` from
+standard input and prints ``done`` at its end.  It ends early on ``stop`` or at the end of standard input.
 """
 
 from __future__ import annotations
@@ -21,9 +22,9 @@
 from lugtally.testbed.scenario.schedule import Schedule, make_schedule
 from lugtally.testbed.scenario.specification import ProcessSpecification, read_specification
 
-TAIL_S = 0.3  # after the last response, for bytes that follow it
-ON_TIME_S = 0.0005
-BEHIND_S = 0.01
+TAIL_S = 0.3  # after the last response, to receive duplicates of it
+MIN_WAIT_S = 0.0005  # shorter waits are left out
+MAX_LAG_S = 0.01  # from which the loop yields between arrivals
 FLUSH_INTERVAL_S = 1.0
 PENDING_POLL_S = 0.05
 
@@ -36,11 +37,11 @@
         self._run = LoadRun(specification)
 
     async def run(self) -> None:
-        """Play all arrivals, then wait until the last client has stopped waiting."""
+        """Send all arrivals, then wait until the last attempt has ended."""
         loop = asyncio.get_running_loop()
         commands = asyncio.StreamReader()
         await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(commands), sys.stdin)
-        # The schedule is large and lives to the end: collections then stay short.
+        # Exclude the schedule from garbage collection: it is large and lives to the end.
         gc.collect()
         gc.freeze()
         print("ready", flush=True)
@@ -48,7 +49,7 @@
         if not command or command[0] != "go":
             return
         self._run.start = float(command[1])
-        stopped = loop.create_task(commands.readline())  # ``stop``, or the end of the runner
+        stopped = loop.create_task(commands.readline())  # ``stop``, or the end of standard input
         playing = loop.create_task(self._play())
         await asyncio.wait((stopped, playing), return_when=asyncio.FIRST_COMPLETED)
         playing.cancel()
@@ -57,25 +58,26 @@
 
     async def _play(self) -> None:
         await self._send_arrivals()
-        while self._run.pending:  # each has an end of its own: its client's deadline and the observation after it
+        while self._run.pending:  # ends: each attempt has a deadline and an observation time
             await asyncio.sleep(PENDING_POLL_S)
         await asyncio.sleep(TAIL_S)
         for pool in self._run.pools:
             pool.close()
 
     async def _send_arrivals(self) -> None:
+        """Send each request at its time, and flush the event log each second."""
         run, flushed_at = self._run, 0.0
         for serial, arrival in enumerate(self._schedule.arrivals):
             due = run.start + arrival.at
-            while (wait := due - run.clock()) > ON_TIME_S:
+            while (wait := due - run.clock()) > MIN_WAIT_S:
                 await asyncio.sleep(wait)
             run.timer_lag.add(run.clock() - due)
             Client(run, serial, arrival).start_attempt(due)
             if due > flushed_at + FLUSH_INTERVAL_S:
                 flushed_at = due
                 run.event_log.flush()
-            elif wait < -BEHIND_S:
-                await asyncio.sleep(0)  # behind: responses must be read all the same
+            elif wait < -MAX_LAG_S:
+                await asyncio.sleep(0)  # behind schedule: let responses be read
 
 
 async def _main(path: str) -> None:
--- a/lugtally/testbed/loadgen/load_run.py
+++ b/lugtally/testbed/loadgen/load_run.py
@@ -1,4 +1,4 @@
-"""What all clients of a run share."""
+"""State that all clients of a run share."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
             )
             for sidecar in range(scenario.fleet.sidecars)
         ]
-        self.start = 0.0  # seconds since the base at which the first second of the scenario begins
-        self.pending = 0  # attempts in flight or watched, and retries to come
+        self.start = 0.0  # seconds since the base at which the scenario begins
+        self.pending = 0  # attempts in flight or observed, and scheduled retries
         self._base = specification.base
 
     def clock(self) -> float:
--- a/tests/testbed/test_load_generator.py
+++ b/tests/testbed/test_load_generator.py
@@ -13,7 +13,7 @@
 
 from lugtally.testbed.emulator import loopback
 from lugtally.testbed.emulator.response_body import build_body
-from lugtally.testbed.loadgen.connection import ClientConnection, ResponseHandlers
+from lugtally.testbed.loadgen.connection import ClientConnection, Response
 from lugtally.testbed.reporting import report
 from lugtally.testbed.scenario import scenario_file, schedule
 from lugtally.testbed.scenario.specification import ProcessSpecification
@@ -129,15 +129,19 @@
         self.events: list[tuple[str, bytes]] = []
 
     def send(self, connection: ClientConnection) -> None:
-        connection.send(
-            b"GET / HTTP/1.1\r\n\r\n",
-            ResponseHandlers(
-                lambda status, body, retry_after_s: self.events.append(("response", body)),
-                lambda received: self.events.append(("broken", b"partial" if received else b"")),
-                lambda: self.events.append(("extra", b"")),
-                lambda body: body == self.body,
-            ),
-        )
+        connection.send(b"GET / HTTP/1.1\r\n\r\n", self)
+
+    def on_response(self, response: Response) -> None:
+        self.events.append(("response", response.body))
+
+    def on_disconnect(self, received_bytes: bool) -> None:
+        self.events.append(("broken", b"partial" if received_bytes else b""))
+
+    def on_duplicate(self) -> None:
+        self.events.append(("extra", b""))
+
+    def is_own_body(self, body: bytes) -> bool:
+        return body == self.body
 
 
 @pytest.mark.parametrize("pieces", [1, 2, 150], ids=["at once", "in two", "byte by byte"])
