--- a/tests/balancing/congested_fleet.py
+++ b/tests/balancing/congested_fleet.py
@@ -1,8 +1,8 @@
 """A fleet of servers with one core each, few slots, a choke under congestion, and late load reports.
 
-``python -m tests.balancing.congested_fleet`` prints, a second at a time, what the servers truly have in flight beside
-the outcome of the requests; ``python -m tests.balancing.congested_fleet plays`` plays the twelve runs that judge a
-change; the tests use :func:`congested_fleet` to check the decisions against chokes that only the whole fleet can cause.
+``python -m tests.balancing.congested_fleet`` prints, for each second, the requests in flight at each server and the
+outcomes of the requests; ``python -m tests.balancing.congested_fleet plays`` runs the twelve simulations by which a
+change is compared; the tests use :func:`congested_fleet` for congestion that no single sidecar causes.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from tests.balancing.fleet_records import FleetSettings, LoadReportTiming, RequestOutcome
 from tests.balancing.world import settings
 
-# Three classes as such a site has them: short reads, saves of twice their weight, submits of long work with a key.
+# Three typical classes: short reads, saves of twice their weight, and long submits with an idempotency key.
 CLASSES = (
     balancing.RequestClass(
         "status",
@@ -68,14 +68,14 @@
 
 
 def capacity(servers: int, server_traits: tuple[ServerTraits, ...] = SERVER_TRAITS) -> float:
-    """Return the requests a second that the servers can do, with the classes mixed as they come."""
+    """Return the requests a second that the servers can process with the mix of classes in ``CLASS_SHARES``."""
     kinds = [server_traits[number % len(server_traits)] for number in range(1, servers + 1)]
     speed = sum(traits.speed * traits.cores for traits in kinds)
     return speed / sum(work * share for work, share in zip(WORK_S, CLASS_SHARES, strict=True))
 
 
 class TenantTraffic(NamedTuple):
-    """What one tenant sends as a part of all traffic, and its quota as a part of what the fleet can do."""
+    """One tenant's share of all traffic, and its quota as a share of the fleet's capacity."""
 
     share: float
     quota: float
@@ -89,7 +89,7 @@
     server_traits: tuple[ServerTraits, ...] = SERVER_TRAITS,
     tenants: tuple[TenantTraffic, ...] = (TenantTraffic(1.0, 1.0),),
 ) -> Fleet:
-    """Return such a fleet, loaded to ``load`` of its capacity; reports refreshed every 0.7 s, seen 0.2 s late."""
+    """Return a fleet at ``load`` times its capacity; load reports are refreshed every 0.7 s, published 0.2 s late."""
     total = capacity(servers, server_traits)
     configured = settings(
         *CLASSES,
@@ -120,7 +120,7 @@
 
 
 def served_share(counts: Counter[tuple[RequestOutcome, int]]) -> float:
-    """Return the share of the requests served in time, each weighed by its priority weight."""
+    """Return the share of requests served within their objective, weighted by priority."""
     arrived = sum(
         request_class.priority_weight * counts[RequestOutcome.ARRIVED, index]
         for index, request_class in enumerate(CLASSES)
@@ -133,7 +133,7 @@
 
 
 class PlayResult(NamedTuple):
-    """How far a run went wrong."""
+    """How many servers choked in a run, and how many requests were served."""
 
     max_choked: int  # servers at once
     choked_server_seconds: int
@@ -141,7 +141,7 @@
 
 
 def play(seed: int, start_s: int, seconds: int = 60) -> PlayResult:
-    """Run a fleet through a 2.2-fold slowing of all servers for 10 s from ``start_s``."""
+    """Run a fleet whose servers are all 2.2 times slower for 10 s from ``start_s``."""
     fleet = congested_fleet(seed=seed)
     max_choked = choked_server_seconds = 0
     for second in range(seconds):
@@ -154,7 +154,7 @@
 
 
 def print_plays(seeds: range = range(1, 7)) -> None:
-    """Play and print the runs that judge a change here: each seed with the slowing from 20 s and from 30 s."""
+    """Run and print the twelve comparisons: each seed with the slowdown from 20 s and from 30 s."""
     results = []
     print("seed  from  max choked  server-seconds  served share")
     for seed in seeds:
@@ -173,7 +173,7 @@
 
 
 def print_seconds() -> None:
-    """Play one run and print it second by second."""
+    """Run one simulation and print each second."""
     fleet = congested_fleet()
     before: Counter[tuple[RequestOutcome, int]] = Counter()
     print(" s  served  rejected  choked  in flight at each server")
--- a/tests/balancing/fleet.py
+++ b/tests/balancing/fleet.py
@@ -51,7 +51,7 @@
             self._schedule(self._draw_gap_ns(sidecar), lambda sidecar=sidecar: self._arrive(sidecar))  # type: ignore[misc]
 
     def run(self, duration_ns: int) -> None:
-        """Let time go by."""
+        """Advance the clock and run the events that are due."""
         until = self.now + duration_ns
         while self._events and self._events[0][0] <= until:
             self.now, _, event = heappop(self._events)
@@ -59,7 +59,7 @@
         self.now = until
 
     def replace(self, old: list[int], new: list[int]) -> None:
-        """Replace servers by ones that start now; every sidecar gets the new list at once."""
+        """Replace servers by cold ones that start now; every sidecar gets the new list immediately."""
         for number in old:
             del self.servers[number]
         for number in new:
@@ -70,7 +70,7 @@
             self.send_endpoint_list(sidecar, balancing.EndpointUpdateKind.FULL)
 
     def restart(self, share: float) -> None:
-        """Restart that share of the sidecars, the busiest first, with the cached list and nothing learnt."""
+        """Restart that share of the sidecars, the busiest first, with the cached list and no learned state."""
         busiest_first = sorted(range(len(self.balancers)), key=lambda sidecar: -self.request_rates[sidecar])
         for sidecar in busiest_first[: round(share * len(busiest_first))]:
             self._sequence += 1
@@ -80,13 +80,13 @@
             self.send_endpoint_list(sidecar, balancing.EndpointUpdateKind.CACHED)
 
     def in_flight(self) -> list[int]:
-        """Return the requests that each server truly has in flight now, by ascending server id."""
+        """Return the number of requests in flight at each server now, by ascending server id."""
         for server in self.servers.values():
             self._advance(server)
         return [self.servers[number].model.in_flight for number in sorted(self.servers)]
 
     def slow_down_all(self, factor: float) -> None:
-        """Make each server slower by ``factor`` (1: not at all), as a shared dependency would."""
+        """Make each server slower by ``factor`` (1: not at all), as a slow shared dependency does."""
         for server in self.servers.values():
             self._advance(server)
             server.model.slowdown = factor
@@ -105,7 +105,7 @@
         return FleetServer(endpoint, ServerModel(traits, self.now / NS_PER_S, cold=started_ns > 0))
 
     def _refresh_load_report(self, server: FleetServer) -> None:
-        """Read a server's load now, let it be seen after the delay, and schedule the next refresh."""
+        """Read a server's load now, publish it after the delay, and schedule the next refresh."""
         timing = self.settings.load_reports
         assert timing is not None
         self._advance(server)
@@ -188,13 +188,13 @@
         self._schedule_wake(server)
 
     def _advance(self, server: FleetServer) -> None:
-        """Let a server work until now, and answer what has ended."""
+        """Advance a server's model to the present time and deliver the responses of finished jobs."""
         for job in server.model.advance(self.now / NS_PER_S):
-            if job in server.attempts:  # else it was cancelled in the same moment
+            if job in server.attempts:  # else it was cancelled at the same time
                 self._finish_attempt(server.attempts.pop(job), balancing.AttemptResult.OK)
 
     def _schedule_wake(self, server: FleetServer) -> None:
-        """Come back when something ends at a server."""
+        """Schedule the next advance of a server's model for when its next job finishes."""
         due_s = server.model.next_due()
         if due_s == inf or server.next_wake_s <= due_s:
             return
--- a/tests/balancing/fleet_records.py
+++ b/tests/balancing/fleet_records.py
@@ -1,4 +1,4 @@
-"""The settings of a simulated fleet, and the records that it keeps of its servers, requests and attempts."""
+"""The settings of a simulated fleet, and its records of servers, requests and attempts."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class RequestOutcome(Enum):
-    """What became of a request; ARRIVED counts each of them."""
+    """The outcome of a request; ARRIVED counts every request."""
 
     ARRIVED = "arrived"
     SERVED = "served"
@@ -48,7 +48,7 @@
 
 
 class AttemptKey(NamedTuple):
-    """Names one attempt: the sidecar that sent it, the request, the attempt's number."""
+    """Identifies one attempt by its sidecar, request and number."""
 
     sidecar: int
     request_id: str
@@ -64,7 +64,7 @@
 
 @dataclass
 class FleetServer:
-    """One server, and when something was sent to it."""
+    """One server, and when attempts were sent to it."""
 
     endpoint: balancing.Endpoint
     model: ServerModel
--- a/tests/balancing/test_admission.py
+++ b/tests/balancing/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission, concurrency limit and priority: one test for each failure that earned a rule."""
+"""Tests of admission, the concurrency limit and class priority."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from tests.balancing.world import IDEMPOTENT, make_endpoints, serve_requests, settings, start_world
 
 
-def test_the_latency_baseline_does_not_follow_congestion() -> None:
-    """It rose from 60 to 400 ms with the congestion and hid it."""
+def test_latency_baseline_stays_through_congestion() -> None:
+    """The baseline rises by less than 30% while responses take ten times as long."""
     world = start_world(settings(), make_endpoints(10))
     serve_requests(world, 100, duration_ns=40 * NS_PER_MS)
     before = world.balancer.state.latency.baseline_ns[0]
@@ -18,12 +18,12 @@
     assert before <= world.balancer.state.latency.baseline_ns[0] < 1.3 * before
 
 
-def test_the_concurrency_limit_stops_congestion_from_feeding_itself() -> None:
-    """With 54 servers and 6 balancers, limits by server acted too late: one request each was already too many."""
+def test_concurrency_limit_rejects_when_no_attempt_finishes() -> None:
+    """The limit holds for the balancer as a whole: at most four requests for each server in its share of the fleet."""
     world = start_world(settings(max_attempts=1, fleet_size=6), make_endpoints(54))
     serve_requests(world, 150)
     sends = len(world.sends)
-    for number in range(400):  # nothing is answered any more
+    for number in range(400):  # no attempt finishes any more
         world.send_request(f"queued{number}", time_left_ns=20 * NS_PER_S)
         world.pass_time(5 * NS_PER_MS)
     assert len(world.sends) - sends <= 4 * 54 / 6
@@ -32,8 +32,8 @@
     assert all(action.retry_after_ns > 0 for action in rejected)
 
 
-def test_lost_responses_are_no_load() -> None:
-    """Servers that lost some responses but gave the others soon were taken for congested and left unused."""
+def test_lost_responses_do_not_lower_admission() -> None:
+    """Servers that lose one response in four and answer the others quickly are not treated as congested."""
     world = start_world(settings(max_attempts=1, fleet_size=2), make_endpoints(10))
     serve_requests(world, 100)
     for number in range(60):
@@ -50,8 +50,8 @@
     assert not any(endpoint.lost_responses for endpoint in world.balancer.state.subset.members)
 
 
-def test_as_many_may_be_in_flight_as_the_latency_objectives_allow() -> None:
-    """Requests that take 2 of 300 ms were rejected for the few in flight that keep such servers busy."""
+def test_concurrency_limit_follows_the_latency_objective() -> None:
+    """Responses of 2 ms under an objective of 300 ms raise the limit above its floor."""
     world = start_world(settings(max_attempts=1, fleet_size=2), make_endpoints(10))
     for number in range(600):
         world.send_request(f"x{number}")
@@ -60,8 +60,8 @@
     assert world.balancer.state.concurrency.limit > 30, "the floor is 20"
 
 
-def test_late_responses_shed_classes_of_low_priority_first() -> None:
-    """A hundred quiet sidecars never filled a concurrency limit of four: together they kept the fleet congested."""
+def test_late_responses_shed_low_priority_classes_first() -> None:
+    """In a large fleet no sidecar reaches its concurrency limit, so that late responses must lower admission."""
     valuable = replace(IDEMPOTENT, name="valuable", priority_weight=20.0)
     world = start_world(settings(IDEMPOTENT, valuable, max_attempts=1, fleet_size=100), make_endpoints(12))
     admitted = [0, 0]
@@ -81,16 +81,16 @@
     assert admitted[1] > 60
     serve_requests(world, 60)
     assert all(world.requests[f"warm{len(world.requests) - 1 - number}"].attempts for number in range(5)), (
-        "and it recovers"
+        "admission does not recover"
     )
 
 
-def test_several_times_the_baseline_is_no_congestion_under_a_long_latency_objective() -> None:
-    """A busy sidecar's own delay of some ms on responses of 1 ms passed for congestion: it rejected most."""
+def test_latency_far_below_the_objective_is_not_congestion() -> None:
+    """Responses at eight times the baseline are accepted while they take a thirtieth of the objective."""
     relaxed = replace(IDEMPOTENT, latency_objective_ns=500 * NS_PER_MS, deadline_ns=2 * NS_PER_S)
     world = start_world(settings(relaxed, max_attempts=1), make_endpoints(10))
     serve_requests(world, 100, duration_ns=2 * NS_PER_MS)
-    for turn in range(200):  # it gets busy by degrees
+    for turn in range(200):  # the number in flight grows slowly
         names = [f"busy{turn}.{number}" for number in range(min(24, 2 + turn // 5))]
         for name in names:
             world.send_request(name)
@@ -100,19 +100,19 @@
                 if not world.requests[name].finished:
                     world.end(name, index, balancing.AttemptResult.OK)
     rejected = sum(isinstance(action, balancing.RejectRequest) for action in world.actions)
-    assert rejected <= 10, f"{rejected} of {len(world.requests)} rejected though every response was soon"
+    assert rejected <= 10, f"{rejected} of {len(world.requests)} rejected though every response met its objective"
     assert all(endpoint.ejected_until_ns <= world.now for endpoint in world.balancer.state.subset.members)
 
 
-def test_the_demand_of_each_class_outlasts_a_long_idle_time() -> None:
-    """The demand had decayed to nothing, and the first request after the idle time divided by it."""
+def test_class_demand_stays_positive_after_a_long_idle_time() -> None:
+    """The demand is a divisor: it must not decay to zero."""
     world = start_world(
         settings(IDEMPOTENT, tenants=(balancing.Tenant("a", 10.0),), load_report_fields=("inflight",)),
         make_endpoints(4),
     )
     serve_requests(world, 20)
     world.balancer.state.concurrency.own_load = world.balancer.state.concurrency.fleet_load = (
-        1.0  # as reports would have it
+        1.0  # as set by load reports
     )
     world.now += 100 * 3600 * NS_PER_S
     serve_requests(world, 5)
--- a/tests/balancing/test_endpoint_list.py
+++ b/tests/balancing/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: no usable endpoint in it, and how it is watched while discovery fails."""
+"""Tests of the endpoint list: without a usable endpoint, and while discovery fails."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from tests.balancing.world import make_endpoints, settings, start_world
 
 
-def test_no_usable_server_is_answered_immediately() -> None:
+def test_request_without_usable_endpoint_is_rejected_at_once() -> None:
     for servers in ([], make_endpoints(3, state=balancing.EndpointState.DRAINING)):
         world = start_world(settings(), servers)
         assert [type(action) for action in world.send_request("a")] == [balancing.RejectRequest]
 
 
-def test_list_failure_is_followed_by_a_new_subscription() -> None:
+def test_failed_endpoint_update_is_followed_by_a_new_watch() -> None:
     world = start_world(settings(subscribe_to_endpoints=True), make_endpoints(4))
     assert balancing.WatchEndpoints() in world.actions
     world.actions.clear()
@@ -22,8 +22,8 @@
     assert balancing.WatchEndpoints() in world.actions
 
 
-def test_in_an_outage_the_list_is_polled_as_often_as_the_settings_want() -> None:
-    """Between two failed calls up to 8 s went by: where a second is configured, a drain was overlooked."""
+def test_failed_discovery_is_polled_at_the_configured_interval() -> None:
+    """The backoff between failed calls is jittered and never exceeds ``max_poll_interval_ns``."""
     for max_poll_interval_ns, max_backoff_ns in (
         (NS_PER_S, NS_PER_S),
         (0, 8 * NS_PER_S),
--- a/tests/balancing/test_fleet.py
+++ b/tests/balancing/test_fleet.py
@@ -1,4 +1,4 @@
-"""Many balancers together: what one of them may do and 4, 40 or 200 at once may not."""
+"""Tests of many balancers that share servers: slow start, congestion, priority and quotas of a fleet."""
 
 from __future__ import annotations
 
@@ -32,9 +32,8 @@
 
 
 @pytest.mark.parametrize(("sidecars", "servers"), [(4, 12), (40, 60), (200, 60)])
-def test_cold_servers_are_used_and_not_overloaded_by_all_together(sidecars: int, servers: int) -> None:
-    """Each sidecar admitted its share of the whole fleet at one of its own ten members: on a join day servers that had
-    just started got 3 to 5 requests a second where they have got 7 to 12 since, and warm ones carried the rest."""
+def test_cold_servers_get_a_slow_start_share_from_all_sidecars(sidecars: int, servers: int) -> None:
+    """The rate at cold servers is between 50% and 85% of what the slow-start ramp allows, and none collapses."""
     fleet = make_fleet(sidecars, servers)
     fleet.run(10 * NS_PER_S)
     warm_rate = mean(len(server.send_times_ns) for server in fleet.servers.values()) / 10  # a second, at a warm one
@@ -47,15 +46,16 @@
     ramp = (
         TRAITS.initial_capacity + (1 - TRAITS.initial_capacity) * 2 / TRAITS.warm_up_s
     )  # on average over these seconds
-    assert cold_rate > 0.5 * ramp * warm_rate, "cold servers stand idle while the warm ones are swamped"
+    assert cold_rate > 0.5 * ramp * warm_rate, "cold servers get too little while warm ones get too much"
     assert cold_rate < 0.85 * ramp * warm_rate, "slow start admits more than the configured part"
-    assert not any(server.model.collapsed for server in cold), "all together overloaded a cold server"
+    assert not any(server.model.collapsed for server in cold), "the sidecars together overloaded a cold server"
 
 
 def excess_over_budget(server: FleetServer, started_ns: int, window_ns: int) -> float:
-    """Return by how many requests the fullest window is over the budget and the allowance for chance.
+    """Return by how many requests the fullest window exceeds the budget and the statistical allowance.
 
-    The budget N is the configured multiple of what the server can do as the window begins; chance is 2 x root of N + 2.
+    The budget N is the configured multiple of the server's capacity at the start of the window; the allowance is
+    2 x sqrt(N) + 2.
     """
     excess = -inf
     for index, begin_ns in enumerate(server.send_times_ns):
@@ -70,9 +70,9 @@
 
 @pytest.mark.parametrize("load", [0.6, 0.95])
 @pytest.mark.parametrize(("sidecars", "servers"), [(4, 12), (20, 40), (30, 60), (200, 60)])
-def test_the_sum_of_all_processes_stays_within_a_cold_servers_budget(sidecars: int, servers: int, load: float) -> None:
-    """Each process starts with a fraction of a first send and counts its own traffic anew: what all of them send
-    counts, just as seven in ten of them, the busiest, restart and a third of the servers come back cold."""
+def test_all_sidecars_stay_within_a_cold_servers_budget(sidecars: int, servers: int, load: float) -> None:
+    """The sum over all sidecars stays within the budget, also when 70% of them restart and a third of the servers
+    are replaced by cold ones at the same time."""
     fleet = make_fleet(sidecars, servers, load=load, seed=2)
     fleet.run(6 * NS_PER_S)
     fleet.restart(0.7)
@@ -85,12 +85,11 @@
         max(excess_over_budget(server, started_ns, window_s * NS_PER_S) for server in cold for window_s in (1, 3)) <= 0
     )
     assert not any(server.model.collapsed for server in cold)
-    assert mean(len(server.send_times_ns) for server in cold) > 5, "nothing was sent there at all"
+    assert mean(len(server.send_times_ns) for server in cold) > 5, "cold servers got no requests"
 
 
-def test_a_small_burst_at_a_quiet_sidecar_is_not_taken_for_congestion() -> None:
-    """The limit on requests in flight was a multiple of their mean.  A quiet sidecar's few scatter by as much as that:
-    in quiet seconds forty of them rejected a quarter of all for it, with two in flight at each server of two cores."""
+def test_small_burst_at_a_quiet_sidecar_is_admitted() -> None:
+    """A sidecar with two requests in flight on average admits seven more at once."""
     world = start_world(settings(IDEMPOTENT, fleet_size=40, max_attempts=1), make_endpoints(60))
     for number in range(80):  # twenty a second, each answered after 100 ms: two in flight
         world.send_request(f"quiet{number}")
@@ -101,9 +100,9 @@
     assert burst == 7
 
 
-def test_in_overload_short_reads_are_admitted_before_long_work_of_low_priority() -> None:
-    """The last places went by priority weight alone: reads were rejected as often as work five times as long, of twice
-    their weight."""
+def test_overloaded_fleet_rejects_long_work_before_reads() -> None:
+    """Priority is weight by service time: reads are rejected less often than work of twice their weight that takes
+    six times as long."""
     read = replace(
         IDEMPOTENT, name="read", priority_weight=1.0, latency_objective_ns=300 * NS_PER_MS, deadline_ns=800 * NS_PER_MS
     )
@@ -121,19 +120,19 @@
     assert rejected[0] < 0.8 * rejected[1], rejected
 
 
-def test_one_core_servers_seldom_choke_through_a_shared_slowdown() -> None:
-    """Servers of one core and four slots choke when congested for 2 s and recover only when idle.  In a 2.2-fold
-    slowing of all of them some choked on six of these twelve plays, for 178 server-seconds, and stayed so to the end.
-    Single plays tip either way with any change: all twelve are judged together."""
+def test_one_core_servers_seldom_choke_in_a_shared_slowdown() -> None:
+    """Servers of one core and four slots choke when congested for 2 s and recover only when idle.
+
+    A single run is sensitive to any change in timing, so the test checks the sum over twelve runs."""
     played = [play(seed, start_s) for seed in range(1, 7) for start_s in (20, 30)]
     assert sum(result.choked_server_seconds for result in played) < 135, (
-        "the sidecars together congested servers until they choked"
+        "the sidecars congested servers until they choked"
     )
-    assert min(result.served_share for result in played) > 0.75, "far under what a fleet at three quarters can do"
+    assert min(result.served_share for result in played) > 0.75, "far below what a fleet at 75% load can serve"
 
 
-def test_in_overload_servers_of_one_core_have_few_in_flight_and_never_choke() -> None:
-    """Each sidecar admitted what its own latencies allowed: on seed 2 servers had 3.6 in flight, one choked."""
+def test_overloaded_one_core_servers_never_choke() -> None:
+    """Between two and 3.2 requests are in flight at each server on average."""
     fleet = congested_fleet(load=1.3, seed=2)
     in_flight, max_choked = [], 0
     for _ in range(25):
@@ -141,11 +140,11 @@
         max_choked = max(max_choked, fleet.choked_count())
         in_flight.append(mean(fleet.in_flight()))
     assert max_choked == 0
-    assert 2.0 < mean(in_flight[5:]) < 3.2, "the servers are congested, or left idle"
+    assert 2.0 < mean(in_flight[5:]) < 3.2, "the servers are congested or idle"
 
 
-def test_the_limit_on_requests_in_flight_grows_with_the_cores_of_the_servers() -> None:
-    """Four requests at each server of four cores would leave a fifth of the capacity unused."""
+def test_fleet_limit_grows_with_the_cores_of_the_servers() -> None:
+    """A limit of four requests at each server of four cores would leave a fifth of the capacity unused."""
     four_cores = replace(CHOKING, cores=4, slots=16, max_queue=160)
     fleet = congested_fleet(load=0.8, seed=2, server_traits=(four_cores,))
     fleet.run(20 * NS_PER_S)
@@ -155,8 +154,8 @@
     assert sum(balancer.state.concurrency.fleet_limit > 5 for balancer in fleet.balancers) >= 4
 
 
-def test_in_overload_a_tenant_over_its_quota_is_rejected_first() -> None:
-    """Requests over a tenant's quota weigh a tenth, and were admitted as often as those of tenants within theirs."""
+def test_overloaded_fleet_rejects_tenant_over_quota_first() -> None:
+    """Tenants within their quotas are treated alike; a tenant over its quota is rejected more often."""
     rejected = []
     for quotas in ((3.0, 3.0), (0.4, 0.4)):  # of what the fleet can do; the tenants send 0.9 and 0.3 of it
         fleet = congested_fleet(
--- a/tests/balancing/test_outlier_detection.py
+++ b/tests/balancing/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: one test for each failure of a server or fleet that earned a rule."""
+"""Tests of outlier detection: which failures eject a server, for how long, and how many at once."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def keep_silent(world: World, endpoint_id: int, count: int) -> None:
-    """Send requests, some ``count`` of which end unanswered at ``endpoint_id`` while others are answered."""
+    """Send requests until about ``count`` attempts at ``endpoint_id`` timed out; answer all other attempts."""
     for _ in range(count * 12):
         name = f"s{len(world.requests)}"
         world.send_request(name, time_left_ns=400 * NS_PER_MS)
@@ -23,8 +23,8 @@
         world.pass_time(10 * NS_PER_MS)
 
 
-def test_a_silent_server_is_ejected_and_tried_again_later() -> None:
-    """After its last request had timed out, a silent server stayed ejected for good."""
+def test_silent_server_is_ejected_and_retried_after_ejection() -> None:
+    """The ejection expires although no request to the server is in flight."""
     world = start_world(settings(hedging_allowed=False), make_endpoints(10))
     serve_requests(world, 60)
     start = world.now
@@ -36,8 +36,8 @@
     assert any(endpoint_id == 3 for sent_ns, endpoint_id in world.sends if sent_ns > world.now - 20 * NS_PER_S)
 
 
-def test_a_server_that_answers_again_is_found_within_seconds() -> None:
-    """After a silence servers were ejected for up to 16 s, while the others carried too much."""
+def test_repeated_ejection_lasts_five_seconds_at_most() -> None:
+    """The ejection time does not grow beyond 5 s with further ejections."""
     world = start_world(settings(max_attempts=1), make_endpoints(10))
     endpoint = world.balancer.state.subset.members[0]
     for _ in range(9):
@@ -46,8 +46,8 @@
         assert world.now < endpoint.ejected_until_ns <= world.now + 5 * NS_PER_S
 
 
-def test_servers_that_reject_everything_are_ejected_though_half_of_the_fleet_is_ejected() -> None:
-    """Slow servers made up the half that may be ejected, and two that had just stopped got 450 requests."""
+def test_failing_server_is_ejected_with_half_the_fleet_ejected() -> None:
+    """A server that refuses or rejects every request is ejected although the maximum share is ejected already."""
     for result in balancing.AttemptResult.NO_CONNECTION, balancing.AttemptResult.REJECTED:
         world = start_world(settings(max_attempts=1), make_endpoints(10))
         for endpoint in world.balancer.state.subset.members[:5]:
@@ -61,8 +61,8 @@
         assert sum(endpoint_id == dead for _, endpoint_id in world.sends) <= 2
 
 
-def test_late_responses_of_a_whole_fleet_eject_nobody() -> None:
-    """Congestion makes every server late; half the fleet used to be ejected for it."""
+def test_late_responses_of_all_servers_eject_none() -> None:
+    """Late responses are congestion, not outliers, where each server still responds to other requests."""
     world = start_world(settings(hedging_allowed=False, max_attempts=1), make_endpoints(10))
     serve_requests(world, 40)
     for number in range(30):
@@ -72,13 +72,13 @@
         for attempt in world.requests[f"good{number}"].attempts:
             world.balancer.state.endpoints[attempt.endpoint_id].last_response_ns = world.now
         for name in [f"late{number}"]:
-            for attempt in world.requests[name].attempts:  # its server answers somebody meanwhile
+            for attempt in world.requests[name].attempts:  # its server responds to another request meanwhile
                 world.balancer.state.endpoints[attempt.endpoint_id].last_response_ns = world.now
         world.pass_time(60 * NS_PER_MS)
     assert not any(endpoint.ejected_until_ns > world.now for endpoint in world.balancer.state.subset.members)
 
 
-def test_errors_in_a_row_eject_but_never_more_than_the_cap() -> None:
+def test_consecutive_errors_eject_up_to_the_maximum_share() -> None:
     world = start_world(settings(max_attempts=1), make_endpoints(10))
     for number in range(200):
         name = f"e{number}"
@@ -90,8 +90,8 @@
     assert 0 < ejected <= MAX_EJECTED_SHARE * 10
 
 
-def test_single_broken_responses_among_good_ones_eject_nobody() -> None:
-    """One response in twenty was broken, at any server alike: half of a healthy fleet was always ejected."""
+def test_single_resets_among_good_responses_eject_none() -> None:
+    """One reset in twenty responses, spread over all servers, ejects next to none."""
     world = start_world(settings(max_attempts=1), make_endpoints(10))
     ejected = 0
     for number in range(300):
@@ -102,7 +102,7 @@
     assert ejected < 15
 
 
-def test_one_refused_connection_costs_a_server_about_a_second() -> None:
+def test_refused_connection_ejects_for_about_a_second() -> None:
     world = start_world(settings(max_attempts=1), make_endpoints(10))
     world.send_request("a")
     world.end("a", 0, balancing.AttemptResult.NO_CONNECTION)
@@ -112,7 +112,7 @@
 
 
 def test_slow_servers_are_ejected_lowest_id_first() -> None:
-    """Servers that are slow even one request at a time are ejected for a while, the same ones at every balancer."""
+    """Servers that are slow without concurrency are ejected by ascending id: the same ones at every balancer."""
     world = start_world(settings(), make_endpoints(10))
     serve_requests(world, 40)
     for endpoint in world.balancer.state.subset.members:
--- a/tests/balancing/test_picker.py
+++ b/tests/balancing/test_picker.py
@@ -1,4 +1,4 @@
-"""The subset of endpoints, and the pick among them by load, zone and load report."""
+"""Tests of the subset of endpoints, and of the pick among them by load, zone and load report."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from tests.balancing.world import IDEMPOTENT, make_endpoints, settings, start_world
 
 
-def test_subset_has_ten_members_and_redraws_those_that_drain() -> None:
+def test_subset_of_ten_replaces_draining_members_only() -> None:
     world = start_world(settings(fleet_size=20), make_endpoints(40))
     first = {endpoint.id for endpoint in world.balancer.state.subset.members}
     assert len(first) == 10
@@ -25,7 +25,7 @@
 
 
 def test_subset_grows_with_own_requests_in_flight() -> None:
-    """A balancer that carries most of the traffic overloaded its ten random members."""
+    """A balancer with much traffic needs more than the ten members of the smallest subset."""
     world = start_world(settings(fleet_size=20), make_endpoints(40))
     for number in range(14):
         world.send_request(f"a{number}", time_left_ns=5 * NS_PER_S)
@@ -42,8 +42,8 @@
     assert max(spread) <= 2
 
 
-def test_equal_servers_are_distinguished_by_load_reports_that_latencies_confirm() -> None:
-    """Quiet sidecars have nothing in flight at either of two servers; idle but late is a lie."""
+def test_pick_avoids_reported_queue_and_late_idle_server() -> None:
+    """Load reports decide between servers with equal requests in flight, unless the latency contradicts them."""
 
     def send_share(report: float, duration_ns: int) -> float:
         world = start_world(settings(load_report_fields=("queue",)), make_endpoints(10))
@@ -68,12 +68,12 @@
                 sends += differs and number > 50
         return sends / 350
 
-    assert send_share(6.0, 40 * NS_PER_MS) < 0.07, "a reported queue is shunned"
-    assert send_share(0.0, 100 * NS_PER_MS) < 0.07, "so is one that reports idle but answers late"
+    assert send_share(6.0, 40 * NS_PER_MS) < 0.07, "a server that reports a queue is picked too often"
+    assert send_share(0.0, 100 * NS_PER_MS) < 0.07, "a server that reports idle and responds late is picked too often"
 
 
-def test_servers_of_other_zones_are_used_when_those_of_the_own_zone_are_full() -> None:
-    """The own zone was preferred even while its servers were full."""
+def test_pick_uses_other_zones_when_own_zone_is_full() -> None:
+    """The preference for the own zone ends once its servers have many requests in flight."""
     world = start_world(settings(IDEMPOTENT, cross_zone_cost=0.1, fleet_size=1), make_endpoints(12))
     for number in range(20):
         world.send_request(f"a{number}")
--- a/tests/balancing/test_retries.py
+++ b/tests/balancing/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries: backoff, the retry budget, and the answer to a request that may not be retried."""
+"""Tests of retries: backoff, the retry budget, and the answer to a request that must not be retried."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
         delays += retry_delays_ns(world.end("a", 0, balancing.AttemptResult.ERROR))
     assert len(delays) == 200
     assert max(delays) <= 100 * NS_PER_MS
-    assert min(delays) < 10 * NS_PER_MS, "full jitter spreads over the whole range"
-    assert max(delays) > 90 * NS_PER_MS, "full jitter spreads over the whole range"
+    assert min(delays) < 10 * NS_PER_MS, "full jitter covers the entire range"
+    assert max(delays) > 90 * NS_PER_MS, "full jitter covers the entire range"
     short = []
     for seed in range(100):
         world = start_world(settings(), make_endpoints(12), seed)
@@ -59,7 +59,7 @@
     assert max(late) <= 200 * NS_PER_MS
 
 
-def test_no_more_than_three_retries() -> None:
+def test_request_gets_three_retries_at_most() -> None:
     world = start_world(settings(max_attempts=9), make_endpoints(12))
     serve_requests(world, 100, gap_ns=5 * NS_PER_MS)
     world.send_request("a", time_left_ns=10 * NS_PER_S)
@@ -70,7 +70,7 @@
     assert world.requests["a"].finished
 
 
-def test_budget_is_a_tenth_of_the_window_and_one_for_a_quiet_balancer() -> None:
+def test_retry_budget_is_a_tenth_of_requests_and_at_least_one() -> None:
     world = start_world(settings(), make_endpoints(12))
     retried = 0
     for number in range(60):
@@ -88,7 +88,7 @@
     assert any(isinstance(action, balancing.RejectRequest) for action in answer)
 
 
-def test_a_blocked_retry_is_rejected_with_retry_after_or_failed_by_idempotency() -> None:
+def test_blocked_retry_is_rejected_or_failed_by_idempotency() -> None:
     for request_class, kind in (
         (IDEMPOTENT, balancing.RejectRequest),
         (NON_IDEMPOTENT, balancing.FailRequest),
--- a/tests/balancing/test_rules.py
+++ b/tests/balancing/test_rules.py
@@ -1,4 +1,4 @@
-"""One example for each rule; each fails when its check is taken out."""
+"""Tests of the rules, one example each: a test fails when the check of its rule is removed."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 )
 
 
-def test_a_request_whose_client_left_is_not_sent_again() -> None:
+def test_request_is_not_retried_after_client_disconnect() -> None:
     world = start_world(settings(), make_endpoints(12))
     world.send_request("a")
     world.end("a", 0, balancing.AttemptResult.ERROR)
@@ -30,21 +30,21 @@
     assert world.requests["a"].final_answers == 0
 
 
-def test_outcome_that_ends_a_request_may_be_followed_by_its_end() -> None:
+def test_disconnect_after_the_last_attempt_has_no_effect() -> None:
     world = start_world(settings(), make_endpoints(12))
     world.send_request("a")
     world.end("a", 0, balancing.AttemptResult.TIMEOUT, over=True)
     assert world.feed(balancing.ClientDisconnected("a")) == []
 
 
-def test_timeout_at_the_deadline_still_gets_its_answer() -> None:
+def test_timeout_at_the_deadline_gets_one_final_answer() -> None:
     world = start_world(settings(NON_IDEMPOTENT), make_endpoints(12))
     world.send_request("a", time_left_ns=200 * NS_PER_MS)
     world.pass_time(300 * NS_PER_MS)
     assert world.requests["a"].final_answers == 1
 
 
-def test_a_non_idempotent_request_is_repeated_only_after_proof_that_it_never_ran() -> None:
+def test_non_idempotent_request_is_retried_only_if_unprocessed() -> None:
     for result, attempts in (
         (balancing.AttemptResult.ERROR, 1),
         (balancing.AttemptResult.RESET, 1),
@@ -58,7 +58,7 @@
         assert len(world.requests["a"].attempts) == attempts, result
 
 
-def test_a_request_with_a_key_stays_in_its_deduplication_scope_and_window() -> None:
+def test_keyed_retry_stays_in_deduplication_scope_and_window() -> None:
     for scope, field in ((balancing.DeduplicationScope.ZONE, "zone"), (balancing.DeduplicationScope.CELL, "cell")):
         for seed in range(20):
             world = start_world(settings(with_idempotency_key(scope)), make_endpoints(12), seed)
@@ -79,7 +79,7 @@
     assert world.requests["a"].final_answers == 1
 
 
-def test_no_hedged_request_where_forbidden() -> None:
+def test_hedged_request_is_sent_only_where_allowed() -> None:
     for allowed in (False, True):
         world = start_world(settings(hedging_allowed=allowed), make_endpoints(12))
         age_connections(world)
@@ -88,7 +88,7 @@
         assert (len(world.requests["a"].attempts) > 1) is allowed
 
 
-def test_where_hedging_is_forbidden_the_first_attempt_is_cancelled_before_the_second() -> None:
+def test_retry_without_hedging_cancels_the_first_attempt() -> None:
     world = start_world(settings(hedging_allowed=False), make_endpoints(12))
     age_connections(world)
     world.send_request("a")
@@ -100,7 +100,7 @@
     assert len(world.requests["a"].attempts) == 2
 
 
-def test_drained_and_removed_servers_get_nothing_new() -> None:
+def test_draining_and_removed_servers_get_no_attempts() -> None:
     world = start_world(settings(), make_endpoints(4))
     world.feed(
         balancing.EndpointUpdate(
@@ -117,7 +117,7 @@
     assert {endpoint_id for _, endpoint_id in world.sends} <= {3, 4}
 
 
-def test_removed_servers_serve_where_removal_does_not_bind_but_draining_ones_never() -> None:
+def test_non_binding_removal_still_excludes_draining_servers() -> None:
     world = start_world(settings(removal_is_binding=False), make_endpoints(3))
     world.feed(
         balancing.EndpointUpdate(
@@ -130,7 +130,7 @@
     assert {endpoint_id for _, endpoint_id in world.sends} == {2, 3}
 
 
-def test_drained_server_that_comes_back_is_used_again() -> None:
+def test_removed_server_is_used_after_it_is_ready_again() -> None:
     world = start_world(settings(), make_endpoints(1))
     world.feed(
         balancing.EndpointUpdate(
@@ -142,7 +142,7 @@
     assert sent_endpoint_ids(world.send_request("b")) == [1]
 
 
-def test_a_cold_server_gets_nothing_from_a_balancer_that_has_just_started() -> None:
+def test_new_balancer_sends_nothing_to_a_cold_server() -> None:
     world = World(settings(), 1)
     cold = [
         replace(endpoint, started_ns=world.now - 10 * NS_PER_MS) if endpoint.id == 1 else endpoint
@@ -155,7 +155,7 @@
     assert 1 not in {endpoint_id for _, endpoint_id in world.sends}
 
 
-def test_a_retry_is_not_sent_to_the_only_other_server_when_that_drains() -> None:
+def test_retry_is_not_sent_to_the_only_other_draining_server() -> None:
     world = start_world(settings(IDEMPOTENT), make_endpoints(2))
     first = sent_endpoint_ids(world.send_request("a"))[0]
     other = 3 - first
@@ -170,7 +170,7 @@
     assert world.requests["a"].final_answers == 1
 
 
-def test_no_hedged_request_of_a_streamed_response() -> None:
+def test_streamed_response_is_not_hedged() -> None:
     world = start_world(settings(replace(IDEMPOTENT, stream=True)), make_endpoints(12))
     age_connections(world)
     world.send_request("a")
@@ -180,8 +180,8 @@
     assert world.requests["a"].final_answers == 0
 
 
-def test_no_hedged_request_after_the_deduplication_window() -> None:
-    """An attempt is overdue only after the window of the key has passed."""
+def test_keyed_request_is_hedged_only_in_its_window() -> None:
+    """A key whose window ends before the attempt is overdue forbids the hedged request."""
     world = start_world(
         settings(with_idempotency_key(balancing.DeduplicationScope.ALL, 120 * NS_PER_MS)), make_endpoints(12)
     )
@@ -195,10 +195,10 @@
     age_connections(longer)
     longer.send_request("a")
     longer.pass_time(900 * NS_PER_MS)
-    assert len(longer.requests["a"].attempts) == 2, "the same with a longer window: a hedged request goes out"
+    assert len(longer.requests["a"].attempts) == 2, "no hedged request within a longer window"
 
 
-def test_nothing_is_sent_after_the_deadline_by_a_late_timer() -> None:
+def test_late_retry_timer_sends_nothing_after_the_deadline() -> None:
     world = start_world(settings(), make_endpoints(12))
     world.send_request("a", time_left_ns=100 * NS_PER_MS)
     world.end("a", 0, balancing.AttemptResult.REJECTED)
@@ -209,8 +209,8 @@
     assert world.requests["a"].final_answers == 1
 
 
-def test_the_rule_itself_forbids_draining_and_removed_servers_and_finished_requests() -> None:
-    """The picker offers no such servers or requests; the rule must not depend on that."""
+def test_may_send_to_requires_ready_server_and_open_request() -> None:
+    """The rule does not rely on the picker, which offers no such server or request."""
     world = start_world(settings(), make_endpoints(4))
     world.send_request("a")
     balancer = world.balancer
--- a/tests/balancing/test_rules_random.py
+++ b/tests/balancing/test_rules_random.py
@@ -1,4 +1,4 @@
-"""Random sequences of events: whatever happens, in whatever order, the four rules hold and nothing is raised."""
+"""Property tests: for any sequence of events the four rules hold and no exception is raised."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.balancing.world import IDEMPOTENT, NON_IDEMPOTENT, World, make_endpoints, with_idempotency_key
 from tests.balancing.world import settings as make_settings
 
-DRAWS = 1  # the examples must not change with the text of a test, as they would by its digest
+DRAWS = 1  # a fixed seed: by default hypothesis derives the examples from the text of the test
 
 CLASSES = (
     IDEMPOTENT,
@@ -40,7 +40,7 @@
 
 
 def play(world: World, operations: list[tuple[str, int, int]]) -> None:
-    """Carry out the drawn operations; each has two drawn numbers, whose sense depends on the operation."""
+    """Carry out the drawn operations; each has two drawn numbers, whose meaning depends on the operation."""
     for number, (what, first_draw, second_draw) in enumerate(operations):
         open_attempts = [
             (name, index)
@@ -87,7 +87,7 @@
 
 
 def feed_unknown(world: World, number: int) -> None:
-    """Deliver an event that names what the balancer does not know; it causes no send and no final answer."""
+    """Deliver an event about an unknown request, timer or endpoint; it causes no attempt and no final answer."""
     events: list[balancing.Event] = [
         balancing.ClientDisconnected("nobody"),
         balancing.TimerFired("rnobody"),
@@ -114,7 +114,7 @@
     st.integers(0, 14),
     st.integers(0, 9),
 )
-def test_rules_hold(
+def test_random_events_keep_the_four_rules(
     operations: list[tuple[str, int, int]],
     hedging_allowed: bool,
     removal_is_binding: bool,
@@ -137,7 +137,7 @@
     st.lists(st.tuples(st.integers(-3, 9), st.text("+-:0123456789v.x \u0664", max_size=24)), max_size=30),
     st.integers(0, 9),
 )
-def test_no_message_raises_or_breaks_a_rule(messages: list[tuple[int, str]], seed: int) -> None:
+def test_random_gossip_keeps_the_four_rules(messages: list[tuple[int, str]], seed: int) -> None:
     world = World(make_settings(*CLASSES, fleet_size=3), seed)
     world.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.CACHED, make_endpoints(9)))
     for number, (peer, text) in enumerate(messages):
@@ -150,7 +150,7 @@
 @draws_from(DRAWS)
 @settings(derandomize=True, deadline=None, max_examples=40, database=None, suppress_health_check=list(HealthCheck))
 @given(st.lists(OPERATION, min_size=20, max_size=60), st.integers(0, 9))
-def test_same_events_same_actions(operations: list[tuple[str, int, int]], seed: int) -> None:
+def test_same_seed_and_events_give_same_actions(operations: list[tuple[str, int, int]], seed: int) -> None:
     runs = []
     for _ in range(2):
         world = World(make_settings(*CLASSES), seed)
@@ -163,13 +163,13 @@
 @draws_from(DRAWS)
 @settings(derandomize=True, deadline=None, max_examples=25, database=None, suppress_health_check=list(HealthCheck))
 @given(st.integers(0, 20), st.integers(1, 12), st.integers(2, 25), st.booleans(), st.integers(0, 9))
-def test_no_cold_server_is_sent_more_than_its_capacity_allows(
+def test_one_balancer_stays_within_a_cold_servers_capacity(
     age_s: int, cold_count: int, gap_ms: int, restarted: bool, seed: int
 ) -> None:
-    """A fleet at full load, one balancer: no cold server is sent more than its capacity surely allows.
+    """One balancer sends a cold server at most three times its capacity, with the fleet at full load.
 
-    The bound of the rule is 3 x capacity; a fleet of 12 whose warm servers get 1/12 of the traffic each is
-    taken to be fully loaded, so that one balancer alone may use 3 x ramp x its mean rate a server.
+    Each of the 12 warm servers gets 1/12 of the traffic and is assumed to be fully loaded by it, so that the limit is
+    3 x ramp x the mean rate at a server.
     """
     world = World(make_settings(IDEMPOTENT), seed)
     world.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.CACHED, make_endpoints(12)))
@@ -192,10 +192,10 @@
 @draws_from(DRAWS)
 @settings(derandomize=True, deadline=None, max_examples=60, database=None)
 @given(st.integers(0, 18), st.booleans(), st.integers(0, 9))
-def test_many_unequal_balancers_together_do_not_overload_a_cold_server(age_s: int, restarted: bool, seed: int) -> None:
-    """Thirty balancers, one with half of the traffic, share twelve servers that are fully loaded.
+def test_unequal_balancers_stay_within_a_cold_servers_capacity(age_s: int, restarted: bool, seed: int) -> None:
+    """Thirty balancers, one of them with half of the traffic, share twelve fully loaded servers.
 
-    They answer for a collapse only from when the list gave them the start: for a list that changes, 6 s into the run.
+    The limit applies from the moment at which the endpoint list names the cold server: 6 s into the run for an update.
     """
     count, rate = 30, 240.0
     worlds = [World(make_settings(IDEMPOTENT, fleet_size=count), seed * 100 + number) for number in range(count)]
@@ -232,7 +232,7 @@
 
 
 def send_evenly(world: World, duration_ns: int, gap_ms: int) -> None:
-    """Send requests at an even pace, each answered 40 ms later."""
+    """Send requests at a constant rate, each answered 40 ms later."""
     until = world.now + duration_ns
     ends: list[tuple[int, str]] = []
     number = len(world.requests)
--- a/tests/balancing/test_settings.py
+++ b/tests/balancing/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings: validation by field, and their defaults."""
+"""Tests of the settings: validation by field, and the defaults."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
         ("fleet_size", lambda: balancing.Settings(fleet_size=0)),
     ],
 )
-def test_impossible_settings_name_the_field(field: str, make: object) -> None:
+def test_invalid_settings_error_names_the_field(field: str, make: object) -> None:
     assert callable(make)
     with pytest.raises(ValueError, match=f"^{field}: "):
         make()
 
 
-def test_a_balancer_with_default_settings_sends() -> None:
+def test_balancer_with_default_settings_sends_an_attempt() -> None:
     balancer = Balancer(balancing.Settings(), 1)
     balancer.handle(5, balancing.EndpointUpdate(balancing.EndpointUpdateKind.CACHED, make_endpoints(3)))
     first_action = balancer.handle(6, balancing.Request("a", 4, 2, NS_PER_S))[0]
--- a/tests/balancing/test_stale_connections.py
+++ b/tests/balancing/test_stale_connections.py
@@ -1,4 +1,4 @@
-"""Stale connections: idle connections that servers have dropped unseen."""
+"""Tests of stale connections: idle connections that a server closed without the sidecar noticing."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from tests.balancing.world import age_connections, make_endpoints, settings, start_world
 
 
-def test_idle_connections_are_closed_first_where_they_went_stale() -> None:
-    """A quiet sidecar took sound servers for dead: its connections had been dropped while unused."""
+def test_stale_idle_connections_are_closed_before_a_send() -> None:
+    """After timeouts on idle connections, the idle connections of each endpoint that is sent to are closed."""
     world = start_world(settings(), make_endpoints(12))
     age_connections(world)
     assert not [action for action in world.actions if isinstance(action, balancing.CloseIdleConnections)]
--- a/tests/balancing/world.py
+++ b/tests/balancing/world.py
@@ -1,6 +1,6 @@
-"""A test harness for one balancer: it feeds events and checks every action against the four rules.
+"""A test harness for one balancer: it feeds events and checks each action against the four rules.
 
-The checker keeps its own record of requests and attempts and uses nothing of the balancer's state.
+The harness has its own records of requests and attempts and reads none of the balancer's state.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 def settings(*classes: balancing.RequestClass, **overrides: Any) -> balancing.Settings:
-    """Return the settings of a deployment that allows most things."""
+    """Return permissive settings: hedging, cancellation, Retry-After and several attempts are allowed."""
     defaults = balancing.Settings(
         classes=classes or (IDEMPOTENT,),
         fleet_size=3,
@@ -58,7 +58,7 @@
 
     endpoint_id: int
     sent_ns: int
-    zone: int  # of the server when it was sent: the record of its key stays there, whatever the list says later
+    zone: int  # of the server at the time of the attempt, where its idempotency key is recorded
     cell: int
     is_open: bool = True
     may_have_run: bool = True
@@ -77,7 +77,7 @@
 
     @property
     def is_answered(self) -> bool:
-        """Whether no final answer may follow: it was given, or the response streams to the client."""
+        """Whether no final answer may follow: it was given, or the response is being streamed to the client."""
         return self.finished or self.streaming
 
 
@@ -154,16 +154,16 @@
 
     def _check_send(self, action: balancing.SendAttempt) -> None:
         request, endpoint = self.requests[action.request_id], self.endpoints[action.endpoint_id]
-        assert not request.finished, "sent what is over"
-        assert not request.streaming, "sent what is over"
-        assert self.now < request.deadline_ns, "sent what is over"
+        assert not request.finished, "sent a finished request"
+        assert not request.streaming, "sent a request whose response is streamed"
+        assert self.now < request.deadline_ns, "sent after the deadline"
         assert 0 < action.timeout_ns <= request.deadline_ns - self.now
         assert len(request.attempts) < self.configured.max_attempts
         if any(attempt.is_open for attempt in request.attempts):
             assert self.configured.hedging_allowed, "two attempts at once"
         assert endpoint.id not in self.drained, "sent to a draining server"
         assert endpoint.state is balancing.EndpointState.READY or not self.configured.removal_is_binding, (
-            "sent to a server that is gone"
+            "sent to a removed server"
         )
         self._check_repeat(request, endpoint)
         request.attempts.append(TrackedAttempt(action.endpoint_id, self.now, endpoint.zone, endpoint.cell))
@@ -191,7 +191,7 @@
     def end(
         self, name: str, attempt_index: int, result: balancing.AttemptResult, over: bool | None = None
     ) -> list[balancing.Action]:
-        """Let an attempt end; ``over`` says whether its request ends with it, if the result does not."""
+        """Finish an attempt; ``over`` overrides whether the request finishes with it."""
         request = self.requests[name]
         attempt = request.attempts[attempt_index]
         attempt.is_open = False
@@ -205,7 +205,7 @@
         )
 
     def pass_time(self, duration_ns: int, interval_ns: int = 5 * NS_PER_MS) -> None:
-        """Let time go by, with timers delivered and attempts timed out at their deadlines."""
+        """Advance the clock; deliver due timers and time out attempts at their deadlines."""
         until = self.now + duration_ns
         while self.now < until:
             self.now += interval_ns
@@ -219,7 +219,7 @@
                         self.end(name, index, balancing.AttemptResult.TIMEOUT)
 
     def run_to_deadlines(self) -> None:
-        """Run past every deadline; then each request must be over."""
+        """Advance past every deadline and check that each request has at most one final answer and is not lost."""
         last_deadline_ns = max([0, *(request.deadline_ns for request in self.requests.values())])
         self.pass_time(last_deadline_ns - self.now + 50 * NS_PER_MS)
         for name, request in self.requests.items():
@@ -240,7 +240,7 @@
 
 
 def age_connections(world: World) -> None:
-    """Let two requests in a row get no answer on connections that were not used for a while."""
+    """Let two consecutive requests time out on connections that were idle for a second."""
     serve_requests(world, 60)
     world.pass_time(NS_PER_S)
     for number in range(2):
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -1,4 +1,4 @@
-"""The wire: what is read, what is written, and how bad input ends."""
+"""Tests of the simulator's wire: messages read, messages written, and errors."""
 
 from __future__ import annotations
 
@@ -37,14 +37,14 @@
 
 
 def run_adapter(messages: list[Any]) -> tuple[int, list[list[Any]], str]:
-    """Run the loop over the messages; the status, the reply's lines and standard error."""
+    """Run the adapter over the messages; return the exit status, the lines of the reply and standard error."""
     text = "".join((line if isinstance(line, str) else json.dumps(line)) + "\n" for line in messages)
     out, errors = io.BytesIO(), io.StringIO()
     status = adapter.run(io.BytesIO(text.encode()), out, errors)
     return status, [json.loads(line) for line in out.getvalue().splitlines()], errors.getvalue()
 
 
-def test_a_session_on_the_wire() -> None:
+def test_session_on_the_wire_exits_with_success() -> None:
     status, reply, errors = run_adapter(
         [
             *START,
@@ -73,7 +73,7 @@
     assert sum(line == ["done"] for line in reply) == 4
 
 
-def test_settings_are_read_and_missing_ones_default() -> None:
+def test_settings_are_read_and_missing_ones_get_defaults() -> None:
     settings = balancing_settings.read_settings(OPTIONS)
     assert settings.classes[0].idempotency is balancing.Idempotency.IDEMPOTENT
     assert settings.max_attempts == 3
@@ -97,7 +97,7 @@
     ],
     ids=["effect", "group", "slo_ns", "warm_within_ns"],
 )
-def test_impossible_settings_name_the_field(field: str, raw: dict[str, Any]) -> None:
+def test_invalid_settings_error_names_the_field(field: str, raw: dict[str, Any]) -> None:
     with pytest.raises(ValueError, match=f"^{field}: "):
         balancing_settings.read_settings(raw)
     status, reply, errors = run_adapter([["mark", 5], ["power_on", 3, 7, raw], ["go"]])
@@ -107,7 +107,7 @@
     assert "line 2" in errors
 
 
-def test_unknown_event_is_skipped_with_a_line() -> None:
+def test_unknown_event_is_skipped_with_one_error_line() -> None:
     status, reply, errors = run_adapter([*START, ["mark", 6000000000], ["sunrise", 3], REQUEST, ["go"]])
     assert status == 0
     assert errors.count("\n") == 1
@@ -138,7 +138,7 @@
         "time as text",
     ],
 )
-def test_malformed_line_ends_it_without_half_a_reply(bad: str) -> None:
+def test_malformed_line_exits_without_a_partial_reply(bad: str) -> None:
     status, reply, errors = run_adapter([*START, ["mark", 5005000000], REQUEST, bad, ["go"]])
     assert status == 2
     assert "line 8:" in errors
@@ -146,7 +146,7 @@
     assert not any(line[0] == "dispatch" for line in reply)
 
 
-def test_an_exception_in_the_module_becomes_a_bug(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_exception_in_the_balancer_is_reported_as_bug(monkeypatch: pytest.MonkeyPatch) -> None:
     def broken(self: Balancer, now: int, event: balancing.Event) -> list[balancing.Action]:
         raise KeyError("lost")
 
@@ -157,7 +157,7 @@
     assert "Traceback" in errors
 
 
-def test_the_command_itself() -> None:
+def test_simulator_command_answers_on_standard_output() -> None:
     done = subprocess.run(
         [sys.executable, "-m", "lugtally.simulator"],
         input=b'["mark",1]\n["go"]\n',
@@ -168,7 +168,7 @@
     assert (done.returncode, done.stdout, done.stderr) == (0, b'["done"]\n', b"")
 
 
-def test_the_example_of_the_readme_runs() -> None:
+def test_readme_example_prints_what_the_readme_says() -> None:
     text = (ROOT / "README.md").read_text(encoding="utf-8")
     example = re.search(r"```python\n(.*?)```", text, re.S)
     expected = re.search(r"```text\n(.*?)```", text, re.S)
