--- a/tests/fault_injection/behaviour.py
+++ b/tests/fault_injection/behaviour.py
@@ -1,4 +1,4 @@
-"""What clients and endpoints may do besides sound requests and responses, each to be had alone with ``--only``."""
+"""The faults that a run can inject; the value of each is its name for ``--only``."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ClientBehaviour(Enum):
-    """What a client does on one connection."""
+    """The behaviour of a client on one connection."""
 
     PLAIN = "plain"
     PIECES = "pieces"
@@ -14,17 +14,17 @@
     ABANDON = "abandon"
     SHORT_DEADLINE = "short_deadline"
     SLOW_READER = "slow_reader"
-    BAD_CLIENT = "bad_client"
+    MALFORMED_REQUEST = "bad_client"
 
 
 class EndpointBehaviour(Enum):
-    """What an endpoint does with one attempt."""
+    """The behaviour of an endpoint for one attempt."""
 
     SOUND = "sound"
     RESET = "reset"
-    CUT = "cut"
+    TRUNCATED = "cut"
     SILENCE = "silence"
-    DOUBLED = "doubled"
+    DUPLICATED = "doubled"
     LATE = "late"
     ENDLESS = "endless"
     LONG_BODY = "long_body"
@@ -33,7 +33,7 @@
 
 
 class TimedFault(Enum):
-    """A fault that the schedule injects at a time."""
+    """A fault that is injected at a scheduled time."""
 
     STOP = "stop"
     TERMINATE = "term"
@@ -43,7 +43,7 @@
     ENDPOINT_KILL = "endpoint_kill"
     DISCOVERY_RESET = "discovery_reset"
     DISCOVERY_SILENCE = "discovery_silence"
-    SLOW_DIAL = "slow_dial"
+    SLOW_CONNECT = "slow_dial"
     STARVE = "starve"
     IDLE_FLOOD = "idle_flood"
 
--- a/tests/fault_injection/checker.py
+++ b/tests/fault_injection/checker.py
@@ -20,14 +20,14 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from tests.fault_injection.identity import MalformedBodyError, read_identity, read_identity_of_beginning
+from tests.fault_injection.identity import MalformedBodyError, read_identity, read_identity_prefix
 from tests.fault_injection.records import (
     Answer,
     Attempt,
     ConnectionEnd,
     Interval,
-    Reply,
     RequestClass,
+    ResponseKind,
     RunRecords,
     SentRequest,
 )
@@ -137,12 +137,12 @@
 
     def _check_request(self, request: SentRequest) -> None:
         answers, attempts = self._answers[request.request_id], self._attempts[request.request_id]
-        if request.request_class is RequestClass.AT_MOST_ONCE:
+        if request.request_class is RequestClass.NON_IDEMPOTENT:
             self._check_at_most_once(request, attempts)
         if len(answers) > 1:
             self._add(Rule.SECOND_ANSWER, request.request_id, f"{len(answers)} answers")
         for answer in answers:
-            if answer.is_whole:
+            if answer.is_complete:
                 self._check_body(request, answer)
         if request.last_byte_ns is None:
             self._verdict.not_judged[NotJudged.NEVER_WHOLE] += 1
@@ -150,7 +150,7 @@
                 self._add(Rule.FORWARDED_AFTER_END, request.request_id, f"{attempt.endpoint}: it was never whole")
             return
         self._verdict.judged += 1
-        whole = next((answer for answer in answers if answer.is_whole), None)
+        whole = next((answer for answer in answers if answer.is_complete), None)
         self._check_answer(request, whole, answers)
         if self._has_own_lag(request):
             self._verdict.not_judged[NotJudged.OWN_LAG] += 1
@@ -163,7 +163,7 @@
         if whole is not None:
             self._verdict.served += whole.status == 200
             self._verdict.refused_or_failed += whole.status != 200
-        elif request.left_ns is not None and request.left_ns < self._due_ns(request):
+        elif request.disconnected_ns is not None and request.disconnected_ns < self._due_ns(request):
             self._verdict.left += 1
         elif (reason := self._excuse(request, answers)) is not None:
             self._verdict.not_judged[reason] += 1
@@ -190,7 +190,7 @@
     def _excuse(self, request: SentRequest, answers: list[Answer]) -> NotJudged | None:
         if self._was_pending_at_kill(request):
             return NotJudged.SIDECAR_KILLED
-        if request.is_behind_malformed:
+        if request.follows_malformed:
             return NotJudged.BEHIND_MALFORMED
         if any(self._was_broken_by_endpoint(request, answer) for answer in answers):
             return NotJudged.BROKEN_BY_ENDPOINT
@@ -223,9 +223,9 @@
 
     def _was_broken_by_endpoint(self, request: SentRequest, answer: Answer) -> bool:
         """Return whether a cut answer, told as cut, is of an attempt whose endpoint broke it off."""
-        identity = read_identity_of_beginning(answer.body)
+        identity = read_identity_prefix(answer.body)
         return identity is not None and any(
-            attempt.attempt_number == identity.attempt_number and attempt.reply is Reply.BROKEN
+            attempt.attempt_number == identity.attempt_number and attempt.response_kind is ResponseKind.INCOMPLETE
             for attempt in self._attempts[request.request_id]
         )
 
@@ -233,7 +233,7 @@
         may_have_run = [
             attempt
             for attempt in attempts
-            if attempt.last_byte_ns is not None and attempt.reply is not Reply.UNPROCESSED
+            if attempt.last_byte_ns is not None and attempt.response_kind is not ResponseKind.UNPROCESSED
         ]
         if len(may_have_run) > 1:
             endpoints = ", ".join(attempt.endpoint for attempt in may_have_run)
@@ -243,7 +243,7 @@
         if answer.status in PLAIN_STATUSES:
             return
         if answer.status != 200:
-            if not request.is_behind_malformed:
+            if not request.follows_malformed:
                 self._add(Rule.WRONG_ANSWER, request.request_id, f"status {answer.status} {answer.body[:60]!r}")
             return
         try:
@@ -275,7 +275,7 @@
 
     def _check_lateness(self, request: SentRequest, answer: Answer) -> None:
         late_ns = answer.ended_ns - self._due_ns(request)
-        if late_ns > 0 and not request.reads_slowly and request.left_ns is None:
+        if late_ns > 0 and not request.reads_slowly and request.disconnected_ns is None:
             detail = f"{late_ns / 1e6:.0f} ms after deadline and slack; status {answer.status}"
             self._add(Rule.LATE_ANSWER, request.request_id, detail)
 
@@ -283,8 +283,8 @@
         ends = {"its deadline": request.deadline_ns}
         if whole is not None:
             ends["its answer"] = whole.ended_ns
-        if request.left_ns is not None:
-            ends["0.1 s after its client left"] = request.left_ns + CLIENT_LEFT_SLACK_NS
+        if request.disconnected_ns is not None:
+            ends["0.1 s after its client left"] = request.disconnected_ns + CLIENT_LEFT_SLACK_NS
         end, end_ns = min(ends.items(), key=lambda item: item[1])
         for attempt in attempts:
             self._check_attempt_times(request, attempt, end, end_ns)
--- a/tests/fault_injection/client.py
+++ b/tests/fault_injection/client.py
@@ -132,7 +132,7 @@
         left = self._random.randint(*REQUESTS_PER_CONNECTION)
         while left > 0 and connection.is_open and connection.may_send and not self._fleet.is_stopping():
             batch = 1
-            if behaviour in (ClientBehaviour.PIPELINE, ClientBehaviour.BAD_CLIENT):
+            if behaviour in (ClientBehaviour.PIPELINE, ClientBehaviour.MALFORMED_REQUEST):
                 batch = self._random.randint(*PIPELINED_REQUESTS)
             elif behaviour is ClientBehaviour.ABANDON and self._random.random() < 0.3:
                 batch = self._random.randint(1, 3)
@@ -143,7 +143,7 @@
                 await connection.wait_for_answers(self._random.uniform(0, MAX_ABANDON_DELAY_S))
                 connection.abandon(reset=self._random.random() < 0.5)
                 return
-            if not await connection.wait_for_answers() or behaviour is ClientBehaviour.BAD_CLIENT:
+            if not await connection.wait_for_answers() or behaviour is ClientBehaviour.MALFORMED_REQUEST:
                 return
             await asyncio.sleep(self._random.uniform(0, MAX_THINK_S))
 
@@ -182,7 +182,7 @@
                 for one in prepared:
                     await connection.send([one.data], [one.request])
                     await asyncio.sleep(self._random.uniform(0, 0.03))
-            case ClientBehaviour.BAD_CLIENT:
+            case ClientBehaviour.MALFORMED_REQUEST:
                 await self._send_with_malformed(connection, prepared)
             case _:
                 data = b"".join(one.data for one in prepared)
@@ -191,7 +191,7 @@
     async def _send_with_malformed(self, connection: ClientConnection, prepared: list[_Prepared]) -> None:
         """Send a malformed request in one write with the sound ones, before the last of them."""
         *before, last = prepared
-        last.request.is_behind_malformed = True
+        last.request.follows_malformed = True
         data = b"".join(one.data for one in before) + self._random.choice(MALFORMED_REQUESTS) + last.data
         connection.sends_malformed = True
         await connection.send([data], [one.request for one in prepared])
@@ -266,12 +266,12 @@
         while self._unanswered and self.is_open:
             deadlines = [request.deadline_ns for request in self._unanswered if request.last_byte_ns is not None]
             patience_ns = max(deadlines, default=now_ns()) + PATIENCE_AFTER_DEADLINE_NS
-            left_ns = (patience_ns if limit_ns is None else limit_ns) - now_ns()
-            if left_ns <= 0:
+            remaining_ns = (patience_ns if limit_ns is None else limit_ns) - now_ns()
+            if remaining_ns <= 0:
                 return False
             self._answered.clear()
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._answered.wait(), left_ns / NS_PER_S)
+                await asyncio.wait_for(self._answered.wait(), remaining_ns / NS_PER_S)
         return not self._unanswered
 
     def abandon(self, reset: bool) -> None:
@@ -282,9 +282,9 @@
         if reset:
             self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self.close()
-        left_ns = now_ns()
+        disconnected_ns = now_ns()
         for request in waiting:
-            request.left_ns = left_ns
+            request.disconnected_ns = disconnected_ns
 
     def close(self) -> None:
         """Close the connection, where it is open; an answer that has begun is a cut one then."""
@@ -332,7 +332,7 @@
             return
         request = self._unanswered.popleft() if self._unanswered else None
         request_id = None if request is None else request.request_id
-        answer = Answer(self.number, request_id, response.status, response.body, response.is_whole, arrived_ns)
+        answer = Answer(self.number, request_id, response.status, response.body, response.is_complete, arrived_ns)
         self._records.answers.append(answer)
         self.may_send = self.may_send and not response.closes
         self._answered.set()
@@ -341,4 +341,4 @@
         """Return whether this is the 4xx of a malformed request; it may come in the turn of that one alone."""
         if not self.sends_malformed or not 400 <= response.status < 500:
             return False
-        return not self._unanswered or self._unanswered[0].is_behind_malformed
+        return not self._unanswered or self._unanswered[0].follows_malformed
--- a/tests/fault_injection/clock.py
+++ b/tests/fault_injection/clock.py
@@ -1,4 +1,4 @@
-"""The clock of a run: when bytes arrived, by the kernel's own note, and when this process itself ran late."""
+"""The clock of a run: arrival times as the kernel recorded them, and the scheduling lag of this process."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 MAX_OWN_LAG_NS = 50 * NS_PER_MS
 TCP_INFO_BYTES = 104
 LAST_DATA_RECEIVED_OFFSET = 52
-"""Of ``tcpi_last_data_recv`` in ``struct tcp_info``: milliseconds since the latest byte arrived."""
+"""The offset of ``tcpi_last_data_recv`` in ``struct tcp_info``: milliseconds since the latest byte arrived."""
 
 now_ns = time.monotonic_ns
 
 
 def latest_arrival_ns(sock: socket.socket) -> int:
-    """Return when the latest byte arrived at this machine's end of the connection, however late it is read."""
+    """Return when the kernel received the latest byte of the connection, independent of when it is read."""
     at_ns = now_ns()
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
@@ -32,7 +32,7 @@
 
 
 async def watch_own_lag(records: RunRecords) -> None:
-    """Record each time in which this process ran more than ``MAX_OWN_LAG_NS`` late, until cancelled."""
+    """Record each interval in which this process ran more than ``MAX_OWN_LAG_NS`` late, until cancelled."""
     while True:
         expected_ns = now_ns() + LAG_PERIOD_NS
         await asyncio.sleep(LAG_PERIOD_NS / NS_PER_S)
--- a/tests/fault_injection/discovery.py
+++ b/tests/fault_injection/discovery.py
@@ -56,9 +56,9 @@
     async def wait_for_change(self, version: int, hold_s: float) -> None:
         """Wait while the list has no later version, at most that long."""
         until_ns = now_ns() + int(hold_s * NS_PER_S)
-        while version >= self.version and (left_ns := until_ns - now_ns()) > 0:
+        while version >= self.version and (remaining_ns := until_ns - now_ns()) > 0:
             try:
-                await asyncio.wait_for(self._changed.wait(), left_ns / NS_PER_S)
+                await asyncio.wait_for(self._changed.wait(), remaining_ns / NS_PER_S)
             except TimeoutError:
                 return
 
--- a/tests/fault_injection/endpoint.py
+++ b/tests/fault_injection/endpoint.py
@@ -15,7 +15,7 @@
 from tests.fault_injection.behaviour import EndpointBehaviour
 from tests.fault_injection.clock import NS_PER_MS, NS_PER_S, latest_arrival_ns, now_ns
 from tests.fault_injection.identity import BodyIdentity, make_body
-from tests.fault_injection.records import Attempt, Reply, RunRecords
+from tests.fault_injection.records import Attempt, ResponseKind, RunRecords
 from tests.fault_injection.wire import HEAD_END, parse_head, serialize_chunk, serialize_head
 
 FAULTY_SHARE = 0.25
@@ -79,7 +79,7 @@
     framing = random.choice(list(Framing)) if long_body else Framing.LENGTH
     body_bytes = random.randint(*(LONG_BODY_BYTES if long_body else SHORT_BODY_BYTES))
     place = random.choice(list(Place))
-    if behaviour is EndpointBehaviour.DOUBLED:
+    if behaviour is EndpointBehaviour.DUPLICATED:
         framing = Framing.LENGTH  # of an unbounded body, a second copy would be a part
     if behaviour is EndpointBehaviour.LATE:
         latency_s = time_left_s + random.uniform(-0.1, 0.5)
@@ -193,7 +193,7 @@
         while True:
             if self._buffer:
                 attempt = attempt or self._begin_attempt()
-                if self._is_whole(attempt):
+                if self._consume_request(attempt):
                     attempt.last_byte_ns = attempt.latest_byte_ns
                     return attempt
             data = await self._loop.sock_recv(self._sock, RECEIVE_BYTES)
@@ -210,7 +210,7 @@
         self._fleet.records.attempts.append(attempt)
         return attempt
 
-    def _is_whole(self, attempt: Attempt) -> bool:
+    def _consume_request(self, attempt: Attempt) -> bool:
         """Take the head, once it is there, and drop the request from the buffer once it is whole."""
         end = self._buffer.find(HEAD_END)
         if end < 0:
@@ -252,22 +252,22 @@
     async def _send_response(self, attempt: Attempt, plan: ResponsePlan) -> bool:
         match plan.behaviour:
             case EndpointBehaviour.UNPROCESSED:
-                attempt.reply = Reply.UNPROCESSED
+                attempt.response_kind = ResponseKind.UNPROCESSED
                 await self._send(b"HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")
                 return True
             case EndpointBehaviour.SERVER_ERROR:
-                attempt.reply = Reply.WHOLE
+                attempt.response_kind = ResponseKind.COMPLETE
                 await self._send(b"HTTP/1.1 500 Fault\r\nContent-Length: 5\r\n\r\nfault")
                 return True
             case EndpointBehaviour.ENDLESS:
                 await self._send_endless(attempt, plan)
                 return False
-            case EndpointBehaviour.RESET | EndpointBehaviour.CUT | EndpointBehaviour.SILENCE:
+            case EndpointBehaviour.RESET | EndpointBehaviour.TRUNCATED | EndpointBehaviour.SILENCE:
                 await self._send_broken(attempt, plan)
                 return False
         response = self._serialize(attempt, plan)
-        attempt.reply = Reply.WHOLE
-        if plan.behaviour is EndpointBehaviour.DOUBLED:
+        attempt.response_kind = ResponseKind.COMPLETE
+        if plan.behaviour is EndpointBehaviour.DUPLICATED:
             await self._send_twice(response, plan)
         else:
             await self._send(response)
@@ -319,18 +319,20 @@
         }[plan.place]
         # A reset takes along what the kernel has not delivered; only a reset tells that an unbounded body is not whole.
         may_be_whole = plan.behaviour is not EndpointBehaviour.RESET and plan.framing is not Framing.UNTIL_CLOSE
-        attempt.reply = Reply.WHOLE if plan.place is Place.AFTER and may_be_whole else Reply.BROKEN
+        attempt.response_kind = (
+            ResponseKind.COMPLETE if plan.place is Place.AFTER and may_be_whole else ResponseKind.INCOMPLETE
+        )
         await self._send(response[:length])
         match plan.behaviour:
             case EndpointBehaviour.RESET:
                 return  # ``serve`` resets it
-            case EndpointBehaviour.CUT if plan.framing is not Framing.UNTIL_CLOSE:
+            case EndpointBehaviour.TRUNCATED if plan.framing is not Framing.UNTIL_CLOSE:
                 self._sock.shutdown(socket.SHUT_WR)  # the end would make a body that ends with it look whole
         await self._wait_or_end(SILENCE_S)
 
     async def _send_endless(self, attempt: Attempt, plan: ResponsePlan) -> None:
         """Send a response that never ends, slowly or fast."""
-        attempt.reply = Reply.BROKEN
+        attempt.response_kind = ResponseKind.INCOMPLETE
         body = self._body(attempt, LONG_BODY_BYTES[1])
         piece = len(body) // 8 if plan.place in (Place.IN_BODY, Place.AFTER) else 100
         await self._send(serialize_head("HTTP/1.1 200 OK", {"Transfer-Encoding": "chunked"}))
--- a/tests/fault_injection/faults.py
+++ b/tests/fault_injection/faults.py
@@ -1,4 +1,4 @@
-"""The seeded schedule of timed faults, as typed values; ``injector`` carries them out."""
+"""The seeded schedule of timed faults; ``injector`` injects them."""
 
 from __future__ import annotations
 
@@ -9,35 +9,35 @@
 
 FIRST_FAULT_S = 0.5
 FAULT_GAP_S = (0.2, 1.2)
-"""Between the beginnings of two faults."""
+"""The range of the time between the starts of two faults."""
 DURATIONS_S: dict[TimedFault, tuple[float, float]] = {
     TimedFault.STOP: (0.2, 3.0),
     TimedFault.DRAIN: (0.5, 2.0),
     TimedFault.ENDPOINT_KILL: (0.2, 1.5),
     TimedFault.DISCOVERY_SILENCE: (0.5, 4.0),
-    TimedFault.SLOW_DIAL: (0.1, 1.0),
+    TimedFault.SLOW_CONNECT: (0.1, 1.0),
     TimedFault.STARVE: (1.0, 2.0),
     TimedFault.IDLE_FLOOD: (0.5, 2.5),
 }
-"""How long each lasts; those that are not here are over at once, or when their sidecar is back."""
+"""The range of the duration of each fault; faults not listed here have no duration of their own."""
 FLOOD_CONNECTIONS = (20, 90)
 
 
 @dataclass(slots=True, frozen=True)
 class ScheduledFault:
-    """One fault at its time from the start of the run."""
+    """One fault, with its time since the start of the run."""
 
     at_s: float
     fault: TimedFault
     target: int
-    """Drawn from a large range: the injector takes it modulo the sidecars or endpoints there are."""
+    """Drawn from a large range; the injector uses it modulo the number of sidecars or endpoints."""
     duration_s: float
     strength: int
-    """Of an idle flood: its connections."""
+    """The number of connections of an idle flood."""
 
 
 def draw_schedule(seed: int, duration_s: float, enabled: tuple[TimedFault, ...]) -> list[ScheduledFault]:
-    """Return the faults of a run, by time: the same for the same arguments."""
+    """Return the faults of a run in order of time; equal arguments give equal schedules."""
     random = Random(f"{seed}/faults")
     schedule: list[ScheduledFault] = []
     at_s = FIRST_FAULT_S
--- a/tests/fault_injection/injector.py
+++ b/tests/fault_injection/injector.py
@@ -55,7 +55,7 @@
             TimedFault.ENDPOINT_KILL: self._kill_endpoint,
             TimedFault.DISCOVERY_RESET: self._reset_discovery,
             TimedFault.DISCOVERY_SILENCE: self._silence_discovery,
-            TimedFault.SLOW_DIAL: self._slow_dial,
+            TimedFault.SLOW_CONNECT: self._slow_connect,
             TimedFault.STARVE: self._starve_sidecar,
             TimedFault.IDLE_FLOOD: self._flood_sidecar,
         }
@@ -210,7 +210,7 @@
             self._site.catalog.set_state(endpoint, READY, started_now=True)
             self._note(f"{endpoint.name} is back")
 
-    async def _slow_dial(self, fault: ScheduledFault) -> None:
+    async def _slow_connect(self, fault: ScheduledFault) -> None:
         endpoint = self._site.endpoints[fault.target % len(self._site.endpoints)]
         self._note(f"{endpoint.name} accepts nothing for {fault.duration_s} s")
         endpoint.delay_accepts(fault.duration_s)
--- a/tests/fault_injection/records.py
+++ b/tests/fault_injection/records.py
@@ -1,4 +1,4 @@
-"""What a run saw, as typed records; every time is of ``time.monotonic_ns`` and thus of one clock on this machine."""
+"""The records of a run; every time is of ``time.monotonic_ns``, one clock for all processes of this machine."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 
     IDEMPOTENT = "campaign-read"
     IDEMPOTENCY_KEY = "pledge-record"
-    AT_MOST_ONCE = "receipt-issue"
+    NON_IDEMPOTENT = "receipt-issue"
 
 
 class ConnectionEnd(Enum):
-    """Who ended a client's connection."""
+    """How a client's connection was closed, and by whom."""
 
     CLOSED_BY_SIDECAR = "closed by the sidecar"
     RESET_BY_SIDECAR = "reset by the sidecar"
     CLOSED_BY_CLIENT = "closed by the client"
 
 
-class Reply(Enum):
-    """What an endpoint did for an attempt, as far as the judgment needs it."""
+class ResponseKind(Enum):
+    """What an endpoint sent for an attempt."""
 
     NONE = "nothing"
-    WHOLE = "a whole response"
-    UNPROCESSED = "a response that says that the request never ran"
-    BROKEN = "a response that the endpoint broke off, left unfinished or never ends"
+    COMPLETE = "a complete response"
+    UNPROCESSED = "a response with X-Unprocessed: 1"
+    INCOMPLETE = "a truncated or endless response"
 
 
 @dataclass(slots=True)
@@ -40,35 +40,35 @@
     sidecar: int
     connection: int
     position: int
-    """Its place among the requests of its connection, from 0."""
+    """Its index among the requests of its connection, from 0."""
     time_left_ns: int
     write_number: int = -1
-    """Which write of its connection brought its last byte: what one write brought is read together."""
+    """The write of its connection that contained its last byte; the bytes of one write are read together."""
     last_byte_ns: int | None = None
-    """When the call that wrote its last byte returned; ``None`` where it was never written whole."""
-    left_ns: int | None = None
-    """When its client closed or reset the connection while it was owed an answer."""
+    """When the call that wrote its last byte returned; ``None`` while it is incomplete."""
+    disconnected_ns: int | None = None
+    """When its client closed or reset the connection before the answer."""
     reads_slowly: bool = False
-    is_behind_malformed: bool = False
-    """Whether a malformed request went before it on its connection: it is owed no answer."""
+    follows_malformed: bool = False
+    """Whether a malformed request precedes it on its connection: it needs no answer."""
 
     @property
     def deadline_ns(self) -> int:
-        """When its client stops waiting; it must have been written whole."""
+        """Its deadline, which counts from its last byte."""
         assert self.last_byte_ns is not None
         return self.last_byte_ns + self.time_left_ns
 
 
 @dataclass(slots=True)
 class Answer:
-    """A response that a client read, whole or not."""
+    """A response that a client read, complete or truncated."""
 
     connection: int
     request_id: str | None
-    """The request in whose turn it came; ``None`` where none was unanswered."""
+    """The first unanswered request of the connection; ``None`` if there was none."""
     status: int
     body: bytes
-    is_whole: bool
+    is_complete: bool
     ended_ns: int
     """When its last byte arrived."""
 
@@ -84,7 +84,7 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One request as it came to an endpoint."""
+    """One request as an endpoint received it."""
 
     attempt_number: int
     """Unique among all endpoints of the run."""
@@ -94,39 +94,39 @@
     sidecar_port: int
     first_byte_ns: int
     time_left_ns: int = -1
-    """What the head told; -1 until the head was read."""
+    """The value of ``X-Time-Left``; -1 until the head was read."""
     last_byte_ns: int | None = None
-    """When the request was whole; ``None`` where it never was."""
+    """When its last byte arrived; ``None`` while it is incomplete."""
     latest_byte_ns: int = 0
-    """When the latest byte of it arrived, whole or not."""
-    reply: Reply = Reply.NONE
+    """When its latest byte arrived, also while it is incomplete."""
+    response_kind: ResponseKind = ResponseKind.NONE
     plan: str = ""
-    """What the endpoint was to do with it, for timelines."""
+    """The planned behaviour of the endpoint, for timelines."""
     ended_ns: int | None = None
 
 
 @dataclass(slots=True)
 class Interval:
-    """A time in which something could not run."""
+    """A period in which a process could not run."""
 
     start_ns: int
     end_ns: int
 
     def overlaps(self, start_ns: int, end_ns: int) -> bool:
-        """Return whether any of that time is in it."""
+        """Return whether the two periods have a moment in common."""
         return self.start_ns <= end_ns and start_ns <= self.end_ns
 
 
 @dataclass(slots=True)
 class SidecarStop(Interval):
-    """A sidecar was stopped by SIGSTOP."""
+    """A period in which a sidecar was stopped by SIGSTOP."""
 
     sidecar: int
 
 
 @dataclass(slots=True)
 class SidecarKill:
-    """A sidecar was killed: what it had taken and not answered then is not judged."""
+    """The moment at which a sidecar was killed; its pending requests are not judged."""
 
     sidecar: int
     at_ns: int
@@ -134,17 +134,17 @@
 
 @dataclass(slots=True)
 class InjectedFault:
-    """A fault as it took place, for timelines."""
+    """A fault at the time of its injection, for timelines."""
 
     at_ns: int
     text: str
     sidecar: int | None = None
-    """The one that it befell; ``None`` where it concerns them all."""
+    """The affected sidecar; ``None`` if all are affected."""
 
 
 @dataclass(slots=True)
 class RunRecords:
-    """Everything that one run saw."""
+    """All records of one run."""
 
     requests: dict[str, SentRequest] = field(default_factory=dict)
     answers: list[Answer] = field(default_factory=list)
@@ -153,5 +153,5 @@
     stops: list[SidecarStop] = field(default_factory=list)
     kills: list[SidecarKill] = field(default_factory=list)
     own_lags: list[Interval] = field(default_factory=list)
-    """When the judging process itself came to run late."""
+    """When the process of the checker ran late."""
     faults: list[InjectedFault] = field(default_factory=list)
--- a/tests/fault_injection/report.py
+++ b/tests/fault_injection/report.py
@@ -87,11 +87,11 @@
                 f"{mark} {other.request_id} ({other.request_class.value}) whole by write {other.write_number} on "
                 f"connection {other.connection} of sidecar {other.sidecar}, {other.time_left_ns / 1e9:.3f} s left",
             )
-    if request.left_ns is not None:
-        yield request.left_ns, "the client leaves"
+    if request.disconnected_ns is not None:
+        yield request.disconnected_ns, "the client leaves"
     for answer in records.answers:
         if answer.connection == request.connection and _is_neighbour(answer.request_id, request, records):
-            whole = "whole" if answer.is_whole else "cut"
+            whole = "whole" if answer.is_complete else "cut"
             yield answer.ended_ns, f"answer {answer.status} to {answer.request_id}, {whole}, {len(answer.body)} bytes"
     ended = records.ended_connections.get(request.connection)
     if ended is not None:
@@ -102,7 +102,10 @@
             whole = "whole" if attempt.last_byte_ns is not None else "not whole"
             yield attempt.first_byte_ns, f"attempt {attempt.attempt_number} at {attempt.endpoint}, {told}, {whole}"
             if attempt.ended_ns is not None:
-                yield attempt.ended_ns, f"attempt {attempt.attempt_number} over: {attempt.plan}; {attempt.reply.value}"
+                yield (
+                    attempt.ended_ns,
+                    f"attempt {attempt.attempt_number} over: {attempt.plan}; {attempt.response_kind.value}",
+                )
     yield from _nearby_faults(request, records)
 
 
--- a/tests/fault_injection/test_checker.py
+++ b/tests/fault_injection/test_checker.py
@@ -14,8 +14,8 @@
     ConnectionEnd,
     EndedConnection,
     Interval,
-    Reply,
     RequestClass,
+    ResponseKind,
     RunRecords,
     SentRequest,
     SidecarKill,
@@ -52,7 +52,9 @@
 
     def add_attempt(self, at_ms: float, told_ms: float = 1) -> Attempt:
         number = len(self.records.attempts) + 1
-        attempt = Attempt(number, ENDPOINT, REQUEST_ID, 0, ns(at_ms), ns(told_ms), ns(at_ms), ns(at_ms), Reply.WHOLE)
+        attempt = Attempt(
+            number, ENDPOINT, REQUEST_ID, 0, ns(at_ms), ns(told_ms), ns(at_ms), ns(at_ms), ResponseKind.COMPLETE
+        )
         self.records.attempts.append(attempt)
         return attempt
 
@@ -98,14 +100,14 @@
 
 
 def test_a_cut_answer_is_no_answer(run: Run) -> None:
-    run.answer.body, run.answer.is_whole = BODY[:200], False
+    run.answer.body, run.answer.is_complete = BODY[:200], False
     run.end_connection(1200, ConnectionEnd.RESET_BY_SIDECAR)
     assert run.breached() == [Rule.NO_ANSWER]
 
 
 def test_a_stream_that_its_endpoint_broke_off_is_not_judged(run: Run) -> None:
-    run.answer.body, run.answer.is_whole = BODY[:200], False
-    run.attempt.reply = Reply.BROKEN
+    run.answer.body, run.answer.is_complete = BODY[:200], False
+    run.attempt.response_kind = ResponseKind.INCOMPLETE
     assert run.verdict().not_judged[NotJudged.BROKEN_BY_ENDPOINT] == 1
     assert not run.breached()
 
@@ -146,13 +148,13 @@
 
 def test_a_request_behind_a_malformed_one_is_owed_no_answer(run: Run) -> None:
     run.lose_answer()
-    run.request.is_behind_malformed = True
+    run.request.follows_malformed = True
     assert not run.breached()
 
 
 def test_a_client_that_left_is_owed_no_answer(run: Run) -> None:
     run.lose_answer()
-    run.request.left_ns = ns(1150)
+    run.request.disconnected_ns = ns(1150)
     verdict = run.verdict()
     assert not verdict.violations
     assert verdict.left == 1
@@ -248,7 +250,7 @@
 
 def test_an_attempt_after_the_client_left(run: Run) -> None:
     run.lose_answer()
-    run.request.left_ns = ns(1150)
+    run.request.disconnected_ns = ns(1150)
     run.add_attempt(1240)
     assert not run.breached()
     run.add_attempt(1280)
@@ -276,14 +278,14 @@
 def test_an_at_most_once_request_twice(run: Run) -> None:
     run.add_attempt(1110)
     assert not run.breached()
-    run.request.request_class = RequestClass.AT_MOST_ONCE
+    run.request.request_class = RequestClass.NON_IDEMPOTENT
     assert run.breached() == [Rule.AT_MOST_ONCE_TWICE]
 
 
 def test_an_at_most_once_request_may_follow_a_proof_that_it_did_not_run(run: Run) -> None:
-    run.request.request_class = RequestClass.AT_MOST_ONCE
-    run.attempt.reply = Reply.UNPROCESSED
+    run.request.request_class = RequestClass.NON_IDEMPOTENT
+    run.attempt.response_kind = ResponseKind.UNPROCESSED
     run.add_attempt(1110)
     assert not run.breached()
-    run.attempt.reply, run.attempt.last_byte_ns = Reply.WHOLE, None
+    run.attempt.response_kind, run.attempt.last_byte_ns = ResponseKind.COMPLETE, None
     assert not run.breached(), "the first was never whole"
--- a/tests/fault_injection/test_fault_injection.py
+++ b/tests/fault_injection/test_fault_injection.py
@@ -34,10 +34,10 @@
         TimedFault.ENDPOINT_KILL,
         TimedFault.DISCOVERY_RESET,
         TimedFault.DISCOVERY_SILENCE,
-        TimedFault.SLOW_DIAL,
+        TimedFault.SLOW_CONNECT,
         ClientBehaviour.PIECES,
         ClientBehaviour.SLOW_READER,
-        ClientBehaviour.BAD_CLIENT,
+        ClientBehaviour.MALFORMED_REQUEST,
     ),
 }
 
--- a/tests/fault_injection/wire.py
+++ b/tests/fault_injection/wire.py
@@ -35,7 +35,7 @@
 
     status: int
     body: bytes
-    is_whole: bool
+    is_complete: bool
     closes: bool
     """Whether its head says that the connection ends after it."""
 
