--- a/tests/fault_injection/checker.py
+++ b/tests/fault_injection/checker.py
@@ -1,24 +1,24 @@
-"""The invariants, judged from the records of a run; no I/O and no clock.
+"""Judges the records of a run against the rules; no I/O and no clock.
 
-Not every request without an answer is lost.  These are not judged, and counted in ``Verdict.not_judged``:
+A request without an answer is not always lost.  The following are not judged but counted in ``Verdict.not_judged``:
 
-* pending at a sidecar that was killed;
-* sent behind a malformed request on the same connection, which ends there;
-* sent on a connection that has had an answer and ended, with no byte of an attempt for it seen, unless the same write
-  brought a request that was answered, so that it was surely read (``NotJudged.CROSSED_CLOSE``; where it was written
-  over ``CROSSING_NS`` before the close it is counted apart, as ``NotJudged.PENDING_AT_CLOSE``);
-* answered with a body that the endpoint itself broke off, where part of it had been passed on;
-* with its times uncertain, as the judging process came to run late (times alone: bodies and counts are judged).
+* requests pending at a sidecar that was killed;
+* requests behind a malformed request on the same connection, which the sidecar closes after it;
+* requests on a connection that was closed after an earlier answer, if no endpoint received a byte of an attempt and no
+  request of the same write was answered, which would prove that it was read (``NotJudged.CROSSED_CLOSE``, or
+  ``NotJudged.PENDING_AT_CLOSE`` where it was written more than ``CROSSING_NS`` before the close);
+* answers with a body that the endpoint truncated after the sidecar had forwarded part of it;
+* the times of requests during which the process of the checker ran late; bodies and counts are judged.
 
-A sidecar that was stopped past a deadline has the slack from when it was continued, for answers; not for attempts.
+For an answer of a stopped sidecar the slack starts at SIGCONT, if that is after the deadline.  The limit for attempts
+is the deadline itself.
 """
 
 from __future__ import annotations
 
-from collections import Counter, defaultdict
+from collections import defaultdict
 from collections.abc import Iterable
-from dataclasses import dataclass, field
-from enum import Enum
+from typing import NamedTuple
 
 from tests.fault_injection.identity import MalformedBodyError, read_identity, read_identity_prefix
 from tests.fault_injection.records import (
@@ -31,78 +31,42 @@
     RunRecords,
     SentRequest,
 )
+from tests.fault_injection.verdict import NotJudged, Rule, Verdict, Violation
 
 NS_PER_MS = 1_000_000
 ANSWER_SLACK_NS = 500 * NS_PER_MS
 TIME_LEFT_SLACK_NS = 150 * NS_PER_MS
-CLIENT_LEFT_SLACK_NS = 100 * NS_PER_MS
+CANCELLATION_SLACK_NS = 100 * NS_PER_MS
 CLOCK_TOLERANCE_NS = 20 * NS_PER_MS
-"""How far an arrival may be off: the kernel counts in milliseconds, and the order of two reads is the loop's."""
+"""The error of an arrival time: the kernel counts in milliseconds, and the event loop orders concurrent reads."""
 CROSSING_NS = 50 * NS_PER_MS
-"""How long before a close a request may have been written and still count as one that crossed it."""
+"""The time before a close within which a request counts as crossing it."""
 PLAIN_STATUSES = frozenset({500, 502, 503})
-"""Refusals and failures that the sidecar itself may give a sound request."""
+"""Rejections and failures that the sidecar itself may answer to a valid request."""
 
 
-class Rule(Enum):
-    """A rule; the value is what its breach means."""
+class _Write(NamedTuple):
+    """One write of a client: its connection and its number there."""
 
-    NO_ANSWER = "no whole answer"
-    LATE_ANSWER = "the answer came later than the slack after the deadline"
-    SECOND_ANSWER = "bytes of another answer on the connection"
-    WRONG_ANSWER = "a whole answer that no endpoint made for this request, and no plain refusal or failure"
-    FORWARDED_AFTER_END = "an attempt began after the answer, the deadline, or 0.1 s after the client left"
-    BYTES_AFTER_END = "bytes of an attempt came after the answer, the deadline, or 0.1 s after the client left"
-    TIME_LEFT_TOO_LARGE = "an endpoint was told more time than the client had left"
-    AT_MOST_ONCE_TWICE = "an at-most-once request came to endpoints twice"
+    connection: int
+    number: int
 
 
-class NotJudged(Enum):
-    """Why a request, or the times of one, went unjudged."""
+class _RequestEnd(NamedTuple):
+    """A moment after which no attempt of a request may be sent, and its cause."""
 
-    SIDECAR_KILLED = "its sidecar was killed"
-    BEHIND_MALFORMED = "behind a malformed request"
-    CROSSED_CLOSE = "crossed the close of a kept connection"
-    PENDING_AT_CLOSE = "sent well before the close of a kept connection; whether it was read cannot be seen"
-    BROKEN_BY_ENDPOINT = "streamed, and broken off by its endpoint"
-    NEVER_WHOLE = "never written whole"
-    OWN_LAG = "the judging process ran late (times alone)"
-
-
-@dataclass(slots=True, frozen=True)
-class Violation:
-    """One breach of a rule."""
-
-    rule: Rule
-    request_id: str
-    detail: str
-
-
-@dataclass(slots=True)
-class Verdict:
-    """The violations of a run, and how much was judged."""
-
-    violations: list[Violation] = field(default_factory=list)
-    judged: int = 0
-    served: int = 0
-    refused_or_failed: int = 0
-    left: int = 0
-    not_judged: Counter[NotJudged] = field(default_factory=Counter)
-    pending_at_close: list[str] = field(default_factory=list)
-    """The ids behind ``NotJudged.PENDING_AT_CLOSE``, for a reader to look at."""
-
-    def counts(self) -> dict[Rule, int]:
-        """Return the number of violations of each rule."""
-        by_rule = Counter(violation.rule for violation in self.violations)
-        return {rule: by_rule[rule] for rule in Rule}
+    at_ns: int
+    cause: str
 
 
 def check(records: RunRecords) -> Verdict:
-    """Judge all requests of a run."""
+    """Return the verdict on all requests of a run."""
     return _Checker(records).check()
 
 
 class _Checker:
+    """The verdict on one run, with its attempts and answers by request."""
+
     def __init__(self, records: RunRecords) -> None:
         self._records = records
         self._verdict = Verdict()
@@ -110,24 +74,26 @@
         for attempt in records.attempts:
             self._attempts[attempt.request_id].append(attempt)
         self._answers: dict[str, list[Answer]] = defaultdict(list)
-        self._answered_writes: set[tuple[int, int]] = set()
+        self._answered_writes: set[_Write] = set()
         for answer in records.answers:
-            self._note_answer(answer)
+            self._index_answer(answer)
 
-    def _note_answer(self, answer: Answer) -> None:
+    def _index_answer(self, answer: Answer) -> None:
         if answer.request_id is None:
             self._add(Rule.SECOND_ANSWER, f"connection {answer.connection}", f"status {answer.status} to no request")
             return
         self._answers[answer.request_id].append(answer)
         request = self._records.requests[answer.request_id]
-        self._answered_writes.add((request.connection, request.write_number))
+        self._answered_writes.add(_write_of(request))
 
     def check(self) -> Verdict:
         for request in self._records.requests.values():
             self._check_request(request)
         for attempt in self._records.attempts:
             if attempt.request_id and attempt.request_id not in self._records.requests:
-                self._add(Rule.WRONG_ANSWER, attempt.request_id, f"{attempt.endpoint} got a request that nobody sent")
+                self._add(
+                    Rule.WRONG_ANSWER, attempt.request_id, f"{attempt.endpoint} got a request that no client sent"
+                )
         return self._verdict
 
     def _add(self, rule: Rule, request_id: str, detail: str) -> None:
@@ -138,34 +104,40 @@
     def _check_request(self, request: SentRequest) -> None:
         answers, attempts = self._answers[request.request_id], self._attempts[request.request_id]
         if request.request_class is RequestClass.NON_IDEMPOTENT:
-            self._check_at_most_once(request, attempts)
+            self._check_non_idempotent(request, attempts)
         if len(answers) > 1:
             self._add(Rule.SECOND_ANSWER, request.request_id, f"{len(answers)} answers")
         for answer in answers:
             if answer.is_complete:
                 self._check_body(request, answer)
         if request.last_byte_ns is None:
-            self._verdict.not_judged[NotJudged.NEVER_WHOLE] += 1
-            for attempt in attempts:
-                self._add(Rule.FORWARDED_AFTER_END, request.request_id, f"{attempt.endpoint}: it was never whole")
-            return
+            self._check_incomplete_request(request, attempts)
+        else:
+            self._check_complete_request(request, answers, attempts)
+
+    def _check_incomplete_request(self, request: SentRequest, attempts: list[Attempt]) -> None:
+        self._verdict.not_judged[NotJudged.NEVER_COMPLETE] += 1
+        for attempt in attempts:
+            self._add(Rule.FORWARDED_AFTER_END, request.request_id, f"{attempt.endpoint}: it was never complete")
+
+    def _check_complete_request(self, request: SentRequest, answers: list[Answer], attempts: list[Attempt]) -> None:
         self._verdict.judged += 1
-        whole = next((answer for answer in answers if answer.is_complete), None)
-        self._check_answer(request, whole, answers)
+        complete_answer = next((answer for answer in answers if answer.is_complete), None)
+        self._check_answer(request, complete_answer, answers)
         if self._has_own_lag(request):
             self._verdict.not_judged[NotJudged.OWN_LAG] += 1
             return
-        if whole is not None:
-            self._check_lateness(request, whole)
-        self._check_attempts(request, whole, attempts)
-
-    def _check_answer(self, request: SentRequest, whole: Answer | None, answers: list[Answer]) -> None:
-        if whole is not None:
-            self._verdict.served += whole.status == 200
-            self._verdict.refused_or_failed += whole.status != 200
+        if complete_answer is not None:
+            self._check_answer_time(request, complete_answer)
+        self._check_attempts(request, complete_answer, attempts)
+
+    def _check_answer(self, request: SentRequest, complete_answer: Answer | None, answers: list[Answer]) -> None:
+        if complete_answer is not None:
+            self._verdict.served += complete_answer.status == 200
+            self._verdict.rejected_or_failed += complete_answer.status != 200
         elif request.disconnected_ns is not None and request.disconnected_ns < self._due_ns(request):
-            self._verdict.left += 1
-        elif (reason := self._excuse(request, answers)) is not None:
+            self._verdict.disconnected += 1
+        elif (reason := self._reason_not_judged(request, answers)) is not None:
             self._verdict.not_judged[reason] += 1
             if reason is NotJudged.PENDING_AT_CLOSE:
                 self._verdict.pending_at_close.append(request.request_id)
@@ -176,24 +148,24 @@
         assert request.last_byte_ns is not None
         ended = self._records.ended_connections.get(request.connection)
         if ended is None or ended.end is ConnectionEnd.CLOSED_BY_CLIENT:
-            how = "nothing came"
+            outcome = "no byte received"
         else:
-            how = f"{ended.end.value} {(ended.ended_ns - request.last_byte_ns) / 1e6:.0f} ms after its last byte"
+            outcome = f"{ended.end.value} {(ended.ended_ns - request.last_byte_ns) / 1e6:.0f} ms after its last byte"
         if answers:
-            how = f"a cut answer of status {answers[0].status} and {len(answers[0].body)} bytes; {how}"
-        kept = "kept" if request.position else "new"
-        read = "forwarded" if self._attempts[request.request_id] else "never forwarded"
-        if not answers and (request.connection, request.write_number) in self._answered_writes:
-            read += ", in one write with an answered one"
-        return f"{how}; {kept} connection; {read}"
-
-    def _excuse(self, request: SentRequest, answers: list[Answer]) -> NotJudged | None:
+            outcome = f"a truncated answer of status {answers[0].status} and {len(answers[0].body)} bytes; {outcome}"
+        connection = "reused" if request.position else "new"
+        attempts = "forwarded" if self._attempts[request.request_id] else "never forwarded"
+        if not answers and _write_of(request) in self._answered_writes:
+            attempts += ", in one write with an answered one"
+        return f"{outcome}; {connection} connection; {attempts}"
+
+    def _reason_not_judged(self, request: SentRequest, answers: list[Answer]) -> NotJudged | None:
         if self._was_pending_at_kill(request):
             return NotJudged.SIDECAR_KILLED
         if request.follows_malformed:
             return NotJudged.BEHIND_MALFORMED
-        if any(self._was_broken_by_endpoint(request, answer) for answer in answers):
-            return NotJudged.BROKEN_BY_ENDPOINT
+        if any(self._was_truncated_by_endpoint(request, answer) for answer in answers):
+            return NotJudged.TRUNCATED_BY_ENDPOINT
         if not answers and self._may_be_unread(request):
             assert request.last_byte_ns is not None
             ended_ns = self._records.ended_connections[request.connection].ended_ns
@@ -212,24 +184,25 @@
         )
 
     def _may_be_unread(self, request: SentRequest) -> bool:
+        """Return whether the sidecar may have closed a reused connection before it read the request."""
         ended = self._records.ended_connections.get(request.connection)
         return (
             ended is not None
             and ended.end is not ConnectionEnd.CLOSED_BY_CLIENT
-            and any(write[0] == request.connection for write in self._answered_writes)
-            and (request.connection, request.write_number) not in self._answered_writes
+            and any(write.connection == request.connection for write in self._answered_writes)
+            and _write_of(request) not in self._answered_writes
             and not self._attempts[request.request_id]
         )
 
-    def _was_broken_by_endpoint(self, request: SentRequest, answer: Answer) -> bool:
-        """Return whether a cut answer, told as cut, is of an attempt whose endpoint broke it off."""
+    def _was_truncated_by_endpoint(self, request: SentRequest, answer: Answer) -> bool:
+        """Return whether the answer is of an attempt whose endpoint sent an incomplete response."""
         identity = read_identity_prefix(answer.body)
         return identity is not None and any(
             attempt.attempt_number == identity.attempt_number and attempt.response_kind is ResponseKind.INCOMPLETE
             for attempt in self._attempts[request.request_id]
         )
 
-    def _check_at_most_once(self, request: SentRequest, attempts: list[Attempt]) -> None:
+    def _check_non_idempotent(self, request: SentRequest, attempts: list[Attempt]) -> None:
         may_have_run = [
             attempt
             for attempt in attempts
@@ -237,7 +210,7 @@
         ]
         if len(may_have_run) > 1:
             endpoints = ", ".join(attempt.endpoint for attempt in may_have_run)
-            self._add(Rule.AT_MOST_ONCE_TWICE, request.request_id, f"whole at {endpoints}")
+            self._add(Rule.AT_MOST_ONCE_TWICE, request.request_id, f"complete at {endpoints}")
 
     def _check_body(self, request: SentRequest, answer: Answer) -> None:
         if answer.status in PLAIN_STATUSES:
@@ -262,7 +235,7 @@
     # ------------------------------------------------------------ times
 
     def _due_ns(self, request: SentRequest) -> int:
-        """Return until when the answer must have come: a stopped sidecar has the slack once it goes on."""
+        """Return when the answer is due: the slack after the deadline, or after SIGCONT if that is later."""
         until_ns = request.deadline_ns
         for stop in sorted(self._records.stops, key=lambda interval: interval.start_ns):
             if stop.sidecar == request.sidecar and stop.start_ns < until_ns + ANSWER_SLACK_NS:
@@ -273,36 +246,45 @@
         assert request.last_byte_ns is not None
         return _any_overlaps(self._records.own_lags, request.last_byte_ns, self._due_ns(request))
 
-    def _check_lateness(self, request: SentRequest, answer: Answer) -> None:
+    def _check_answer_time(self, request: SentRequest, answer: Answer) -> None:
         late_ns = answer.ended_ns - self._due_ns(request)
         if late_ns > 0 and not request.reads_slowly and request.disconnected_ns is None:
             detail = f"{late_ns / 1e6:.0f} ms after deadline and slack; status {answer.status}"
             self._add(Rule.LATE_ANSWER, request.request_id, detail)
 
-    def _check_attempts(self, request: SentRequest, whole: Answer | None, attempts: list[Attempt]) -> None:
-        ends = {"its deadline": request.deadline_ns}
-        if whole is not None:
-            ends["its answer"] = whole.ended_ns
+    def _check_attempts(self, request: SentRequest, complete_answer: Answer | None, attempts: list[Attempt]) -> None:
+        ends = [_RequestEnd(request.deadline_ns, "its deadline")]
+        if complete_answer is not None:
+            ends.append(_RequestEnd(complete_answer.ended_ns, "its answer"))
         if request.disconnected_ns is not None:
-            ends["0.1 s after its client left"] = request.disconnected_ns + CLIENT_LEFT_SLACK_NS
-        end, end_ns = min(ends.items(), key=lambda item: item[1])
+            cancelled_ns = request.disconnected_ns + CANCELLATION_SLACK_NS
+            ends.append(_RequestEnd(cancelled_ns, "0.1 s after its client disconnected"))
+        earliest_end = min(ends, key=lambda end: end.at_ns)
         for attempt in attempts:
-            self._check_attempt_times(request, attempt, end, end_ns)
+            self._check_attempt_end(request, attempt, earliest_end)
+            self._check_time_left(request, attempt)
 
-    def _check_attempt_times(self, request: SentRequest, attempt: Attempt, end: str, end_ns: int) -> None:
-        limit_ns = end_ns + CLOCK_TOLERANCE_NS
+    def _check_attempt_end(self, request: SentRequest, attempt: Attempt, end: _RequestEnd) -> None:
+        limit_ns = end.at_ns + CLOCK_TOLERANCE_NS
         if attempt.first_byte_ns > limit_ns:
-            detail = f"{attempt.endpoint}: {(attempt.first_byte_ns - end_ns) / 1e6:.0f} ms after {end}"
+            detail = f"{attempt.endpoint}: {(attempt.first_byte_ns - end.at_ns) / 1e6:.0f} ms after {end.cause}"
             self._add(Rule.FORWARDED_AFTER_END, request.request_id, detail)
         elif attempt.latest_byte_ns > limit_ns:
-            detail = f"{attempt.endpoint}: {(attempt.latest_byte_ns - end_ns) / 1e6:.0f} ms after {end}"
+            detail = f"{attempt.endpoint}: {(attempt.latest_byte_ns - end.at_ns) / 1e6:.0f} ms after {end.cause}"
             self._add(Rule.BYTES_AFTER_END, request.request_id, detail)
+
+    def _check_time_left(self, request: SentRequest, attempt: Attempt) -> None:
         if attempt.time_left_ns < 0:
             return
         excess_ns = attempt.time_left_ns - max(0, request.deadline_ns - attempt.first_byte_ns)
         if excess_ns > TIME_LEFT_SLACK_NS:
-            detail = f"{attempt.endpoint}: told {attempt.time_left_ns / 1e6:.0f} ms, {excess_ns / 1e6:.0f} ms too much"
-            self._add(Rule.TIME_LEFT_TOO_LARGE, request.request_id, detail)
+            time_left = f"X-Time-Left {attempt.time_left_ns / 1e6:.0f} ms, {excess_ns / 1e6:.0f} ms too much"
+            self._add(Rule.TIME_LEFT_TOO_LARGE, request.request_id, f"{attempt.endpoint}: {time_left}")
+
+
+def _write_of(request: SentRequest) -> _Write:
+    """Return the write that contained the last byte of a request."""
+    return _Write(request.connection, request.write_number)
 
 
 def _any_overlaps(intervals: Iterable[Interval], start_ns: int, end_ns: int) -> bool:
--- a/tests/fault_injection/report.py
+++ b/tests/fault_injection/report.py
@@ -1,32 +1,38 @@
-"""The verdict of a run as text, with the timeline of requests that it breached."""
+"""The verdict of a run as text, with timelines of the requests that violate a rule."""
 
 from __future__ import annotations
 
 import re
 from collections import Counter
 from collections.abc import Iterator
+from typing import NamedTuple
 
-from tests.fault_injection.checker import NotJudged, Verdict, Violation
 from tests.fault_injection.records import RunRecords, SentRequest
 from tests.fault_injection.scenario import RunResult, Scenario
+from tests.fault_injection.verdict import NotJudged, Verdict, Violation
 
+FAULT_PREFIX = "fault: "
 MAX_TIMELINES_PER_SHAPE = 2
 MAX_SHAPES = 20
 _NUMBER = re.compile(r"(?<![A-Za-z])-?\d+|(?<=\be)\d+")
 BEFORE_REQUEST_NS = 200_000_000
 AFTER_DEADLINE_NS = 1_000_000_000
 MAX_NEIGHBOURS = 3
-"""Requests before and behind it on its connection that a timeline shows."""
-NEARBY_FAULTS_NS = 4_000_000_000
+"""The number of requests before and after it on its connection that a timeline shows."""
+FAULT_MARGIN_NS = 4_000_000_000
+"""The time before a request and after its deadline within which a timeline shows injected faults."""
+
+
+class TimedText(NamedTuple):
+    """One line of a timeline."""
+
+    at_ns: int
+    text: str
 
 
 def describe(scenario: Scenario, result: RunResult, verdict: Verdict) -> Iterator[str]:
-    """Yield the lines of the verdict; timelines for the first violations of each shape."""
-    word = "BREACHED" if verdict.violations else "KEPT"
-    yield (
-        f"{word} seed {scenario.seed}: {verdict.judged} requests judged, {verdict.served} served, "
-        f"{verdict.refused_or_failed} refused or failed, {verdict.left} left; {len(result.records.attempts)} attempts"
-    )
+    """Yield the lines of the verdict, with timelines of the first violations of each shape."""
+    yield _summary(scenario, result, verdict)
     for rule, count in verdict.counts().items():
         yield f"  {rule.name.lower():22} {count:5}"
     lags = result.records.own_lags
@@ -35,91 +41,119 @@
     yield from _shapes(verdict)
     for reason, count in verdict.not_judged.most_common():
         yield f"  not judged: {reason.value}: {count}"
+    yield from _violations(verdict, result)
+    for request_id in verdict.pending_at_close[:MAX_TIMELINES_PER_SHAPE]:
+        yield f"not judged {request_id}: {NotJudged.PENDING_AT_CLOSE.value}"
+        yield from _timeline(request_id, result)
+
+
+def _summary(scenario: Scenario, result: RunResult, verdict: Verdict) -> str:
+    summary = "BREACHED" if verdict.violations else "KEPT"
+    return (
+        f"{summary} seed {scenario.seed}: {verdict.judged} requests judged, {verdict.served} served, "
+        f"{verdict.rejected_or_failed} refused or failed, {verdict.disconnected} left; "
+        f"{len(result.records.attempts)} attempts"
+    )
+
+
+def _violations(verdict: Verdict, result: RunResult) -> Iterator[str]:
+    """Yield the first violations of each shape with their timelines."""
     shown: Counter[str] = Counter()
     for violation in sorted(verdict.violations, key=lambda violation: violation.rule.name):
         shown[_shape(violation)] += 1
         if shown[_shape(violation)] <= MAX_TIMELINES_PER_SHAPE:
-            yield from timeline(violation, result)
-    for request_id in verdict.pending_at_close[:MAX_TIMELINES_PER_SHAPE]:
-        yield f"not judged {request_id}: {NotJudged.PENDING_AT_CLOSE.value}"
-        yield from _timeline(request_id, result)
+            yield f"{violation.rule.name.lower()} {violation.request_id}: {violation.detail}"
+            yield from _timeline(violation.request_id, result)
 
 
 def _shape(violation: Violation) -> str:
+    """Return the text of a violation without its numbers; violations of one cause have one shape."""
     return f"{violation.rule.name.lower()}: {_NUMBER.sub('N', violation.detail)}"
 
 
 def _shapes(verdict: Verdict) -> Iterator[str]:
-    """Yield how often the same was said of a violation, numbers aside: causes show by this."""
+    """Yield the most frequent shapes of violations and their counts."""
     for shape, count in Counter(map(_shape, verdict.violations)).most_common(MAX_SHAPES):
         yield f"  {count:5} x {shape}"
 
 
-def timeline(violation: Violation, result: RunResult) -> Iterator[str]:
-    """Yield what happened to one request, in milliseconds from the start of the run."""
-    yield f"{violation.rule.name.lower()} {violation.request_id}: {violation.detail}"
-    yield from _timeline(violation.request_id, result)
-
-
 def _timeline(request_id: str, result: RunResult) -> Iterator[str]:
+    """Yield the events of one request, in milliseconds since the start of the run."""
     request = result.records.requests.get(request_id)
     if request is None:
         return
     for at_ns, text in sorted(_events(request, result.records)):
-        if _is_near(request, at_ns) or text.startswith("fault: "):
+        if _is_during(request, at_ns) or text.startswith(FAULT_PREFIX):
             yield f"    {(at_ns - result.started_ns) / 1e6:9.1f} {text}"
 
 
-def _is_near(request: SentRequest, at_ns: int) -> bool:
-    """Return whether this is within the life of the request or just beside it."""
+def _is_during(request: SentRequest, at_ns: int) -> bool:
+    """Return whether the time is between shortly before the request and shortly after its deadline."""
     if request.last_byte_ns is None:
         return True
     return request.last_byte_ns - BEFORE_REQUEST_NS <= at_ns <= request.deadline_ns + AFTER_DEADLINE_NS
 
 
-def _events(request: SentRequest, records: RunRecords) -> Iterator[tuple[int, str]]:
+def _events(request: SentRequest, records: RunRecords) -> Iterator[TimedText]:
+    yield from _request_events(request, records)
+    yield from _answer_events(request, records)
+    yield from _attempt_events(request, records)
+    yield from _fault_events(request, records)
+
+
+def _request_events(request: SentRequest, records: RunRecords) -> Iterator[TimedText]:
+    """Yield when the request and its neighbours on the connection were complete, and when its client disconnected."""
     on_connection = [other for other in records.requests.values() if other.connection == request.connection]
     for other in on_connection:
         if other.last_byte_ns is not None and _is_neighbour(other.request_id, request, records):
             mark = "*" if other is request else "-"
-            yield (
+            yield TimedText(
                 other.last_byte_ns,
-                f"{mark} {other.request_id} ({other.request_class.value}) whole by write {other.write_number} on "
+                f"{mark} {other.request_id} ({other.request_class.value}) complete by write {other.write_number} on "
                 f"connection {other.connection} of sidecar {other.sidecar}, {other.time_left_ns / 1e9:.3f} s left",
             )
     if request.disconnected_ns is not None:
-        yield request.disconnected_ns, "the client leaves"
+        yield TimedText(request.disconnected_ns, "the client disconnects")
+
+
+def _answer_events(request: SentRequest, records: RunRecords) -> Iterator[TimedText]:
+    """Yield the answers on the connection of the request, and its close."""
     for answer in records.answers:
         if answer.connection == request.connection and _is_neighbour(answer.request_id, request, records):
-            whole = "whole" if answer.is_complete else "cut"
-            yield answer.ended_ns, f"answer {answer.status} to {answer.request_id}, {whole}, {len(answer.body)} bytes"
+            extent = "complete" if answer.is_complete else "truncated"
+            text = f"answer {answer.status} to {answer.request_id}, {extent}, {len(answer.body)} bytes"
+            yield TimedText(answer.ended_ns, text)
     ended = records.ended_connections.get(request.connection)
     if ended is not None:
-        yield ended.ended_ns, f"connection {request.connection} {ended.end.value}"
+        yield TimedText(ended.ended_ns, f"connection {request.connection} {ended.end.value}")
+
+
+def _attempt_events(request: SentRequest, records: RunRecords) -> Iterator[TimedText]:
+    """Yield the start and the end of each attempt."""
     for attempt in records.attempts:
-        if attempt.request_id == request.request_id:
-            told = f"told {attempt.time_left_ns / 1e9:.3f} s"
-            whole = "whole" if attempt.last_byte_ns is not None else "not whole"
-            yield attempt.first_byte_ns, f"attempt {attempt.attempt_number} at {attempt.endpoint}, {told}, {whole}"
-            if attempt.ended_ns is not None:
-                yield (
-                    attempt.ended_ns,
-                    f"attempt {attempt.attempt_number} over: {attempt.plan}; {attempt.response_kind.value}",
-                )
-    yield from _nearby_faults(request, records)
+        if attempt.request_id != request.request_id:
+            continue
+        name = f"attempt {attempt.attempt_number}"
+        time_left = f"X-Time-Left {attempt.time_left_ns / 1e9:.3f} s"
+        extent = "complete" if attempt.last_byte_ns is not None else "incomplete"
+        yield TimedText(attempt.first_byte_ns, f"{name} at {attempt.endpoint}, {time_left}, {extent}")
+        if attempt.ended_ns is not None:
+            yield TimedText(attempt.ended_ns, f"{name} ends: {attempt.plan}; {attempt.response_kind.value}")
 
 
 def _is_neighbour(request_id: str | None, request: SentRequest, records: RunRecords) -> bool:
+    """Return whether a request of the same connection is at most ``MAX_NEIGHBOURS`` positions away."""
     if request_id is None:
         return True
     return abs(records.requests[request_id].position - request.position) <= MAX_NEIGHBOURS
 
 
-def _nearby_faults(request: SentRequest, records: RunRecords) -> Iterator[tuple[int, str]]:
+def _fault_events(request: SentRequest, records: RunRecords) -> Iterator[TimedText]:
+    """Yield the faults near the request that affected its sidecar."""
     if request.last_byte_ns is None:
         return
     for fault in records.faults:
         if fault.sidecar not in (None, request.sidecar):
             continue
-        if -NEARBY_FAULTS_NS <= fault.at_ns - request.last_byte_ns <= request.time_left_ns + NEARBY_FAULTS_NS:
-            yield fault.at_ns, f"fault: {fault.text}"
+        if -FAULT_MARGIN_NS <= fault.at_ns - request.last_byte_ns <= request.time_left_ns + FAULT_MARGIN_NS:
+            yield TimedText(fault.at_ns, f"{FAULT_PREFIX}{fault.text}")
--- a/tests/fault_injection/test_checker.py
+++ b/tests/fault_injection/test_checker.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.fault_injection.checker import NotJudged, Rule, Verdict, check
+from tests.fault_injection.checker import check
 from tests.fault_injection.identity import BodyIdentity, MalformedBodyError, make_body, read_identity
 from tests.fault_injection.records import (
     Answer,
@@ -21,6 +21,7 @@
     SidecarKill,
     SidecarStop,
 )
+from tests.fault_injection.verdict import NotJudged, Rule, Verdict
 
 NS_PER_MS = 1_000_000
 SENT_MS = 1000
@@ -108,7 +109,7 @@
 def test_a_stream_that_its_endpoint_broke_off_is_not_judged(run: Run) -> None:
     run.answer.body, run.answer.is_complete = BODY[:200], False
     run.attempt.response_kind = ResponseKind.INCOMPLETE
-    assert run.verdict().not_judged[NotJudged.BROKEN_BY_ENDPOINT] == 1
+    assert run.verdict().not_judged[NotJudged.TRUNCATED_BY_ENDPOINT] == 1
     assert not run.breached()
 
 
@@ -157,7 +158,7 @@
     run.request.disconnected_ns = ns(1150)
     verdict = run.verdict()
     assert not verdict.violations
-    assert verdict.left == 1
+    assert verdict.disconnected == 1
 
 
 # ------------------------------------------------------------ late, second and wrong answers
--- /dev/null
+++ b/tests/fault_injection/verdict.py
@@ -0,0 +1,60 @@
+"""The verdict of a run: the rules, their violations, and the requests that could not be judged."""
+
+from __future__ import annotations
+
+from collections import Counter
+from dataclasses import dataclass, field
+from enum import Enum
+
+
+class Rule(Enum):
+    """A rule for one request; the value describes its violation."""
+
+    NO_ANSWER = "no complete answer"
+    LATE_ANSWER = "the answer arrived after the deadline and the slack"
+    SECOND_ANSWER = "bytes of another answer on the connection"
+    WRONG_ANSWER = "a complete answer that no endpoint made for this request, and no rejection or failure"
+    FORWARDED_AFTER_END = "an attempt started after the answer, the deadline, or 0.1 s after the client disconnected"
+    BYTES_AFTER_END = "bytes of an attempt after the answer, the deadline, or 0.1 s after the client disconnected"
+    TIME_LEFT_TOO_LARGE = "X-Time-Left at an endpoint exceeded the time that the client had left"
+    AT_MOST_ONCE_TWICE = "two attempts of a non-idempotent request may have run"
+
+
+class NotJudged(Enum):
+    """Why a request, or the times of one, could not be judged."""
+
+    SIDECAR_KILLED = "its sidecar was killed"
+    BEHIND_MALFORMED = "behind a malformed request"
+    CROSSED_CLOSE = "crossed the close of a reused connection"
+    PENDING_AT_CLOSE = "sent well before the close of a reused connection; whether it was read cannot be seen"
+    TRUNCATED_BY_ENDPOINT = "streamed, and truncated by its endpoint"
+    NEVER_COMPLETE = "never written completely"
+    OWN_LAG = "the judging process ran late (times alone)"
+
+
+@dataclass(slots=True, frozen=True)
+class Violation:
+    """One violation of a rule."""
+
+    rule: Rule
+    request_id: str
+    detail: str
+
+
+@dataclass(slots=True)
+class Verdict:
+    """The violations of a run, and the number of requests by result."""
+
+    violations: list[Violation] = field(default_factory=list)
+    judged: int = 0
+    served: int = 0
+    rejected_or_failed: int = 0
+    disconnected: int = 0
+    not_judged: Counter[NotJudged] = field(default_factory=Counter)
+    pending_at_close: list[str] = field(default_factory=list)
+    """The ids of the requests counted as ``NotJudged.PENDING_AT_CLOSE``, for their timelines."""
+
+    def counts(self) -> dict[Rule, int]:
+        """Return the number of violations of each rule."""
+        by_rule = Counter(violation.rule for violation in self.violations)
+        return {rule: by_rule[rule] for rule in Rule}
