--- a/tests/fault_injection/__init__.py
+++ b/tests/fault_injection/__init__.py
@@ -1,1 +1,1 @@
-"""Real sidecar processes under seeded faults, judged from outside; ``__main__`` documents the command."""
+"""Real sidecar processes under seeded faults, judged by their wire alone; ``__main__`` documents the command."""
--- a/tests/fault_injection/__main__.py
+++ b/tests/fault_injection/__main__.py
@@ -1,9 +1,9 @@
-"""Injects seeded faults into real sidecars and judges every request; documented in README.md.
+"""The command that injects seeded faults into real sidecars and judges every request; see README.md.
 
     python -m tests.fault_injection --seed N --seconds S --sidecars K [--only FAULT,...]
 
-The exit status is 1 where a rule was breached.  ``--only`` takes the names of ``behaviour.py``; without it all faults
-are injected, with ``--only none`` no fault is.
+The exit status is 1 if a rule was violated.  ``--only`` takes the names in ``behaviour.py``; without it every fault is
+injected, with ``--only none`` no fault.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from tests.fault_injection.scenario import Scenario, run_scenario
 
 
-def _faults(text: str) -> tuple[Fault, ...]:
+def _parse_faults(text: str) -> tuple[Fault, ...]:
     if text == "none":
         return ()
     names = text.split(",")
@@ -27,13 +27,13 @@
 
 
 def main() -> int:
-    """Run one seed; returns the exit status."""
+    """Run one seed and return the exit status."""
     parser = argparse.ArgumentParser(prog="python -m tests.fault_injection")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=30.0)
     parser.add_argument("--sidecars", type=int, default=3)
     parser.add_argument("--clients", type=int, default=60)
-    parser.add_argument("--only", type=_faults, default=tuple(ALL_FAULTS.values()))
+    parser.add_argument("--only", type=_parse_faults, default=tuple(ALL_FAULTS.values()))
     arguments = parser.parse_args()
     scenario = Scenario(
         seed=arguments.seed,
--- a/tests/fault_injection/test_checker.py
+++ b/tests/fault_injection/test_checker.py
@@ -1,4 +1,4 @@
-"""The checker finds each kind of offence, and none in what is allowed."""
+"""Tests of the checker: it reports each kind of violation, and none for allowed behaviour."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
 
 
 class Run:
-    """The records of a run with one sound request, that a test spoils in one place."""
+    """The records of a run with one answered request, which a test alters."""
 
     def __init__(self) -> None:
         self.records = RunRecords()
         self.request = self.add_request(REQUEST_ID)
-        self.attempt = self.add_attempt(1100, told_ms=900)
+        self.attempt = self.add_attempt(1100, time_left_ms=900)
         self.answer = Answer(1, REQUEST_ID, 200, BODY, True, ns(1200))
         self.records.answers.append(self.answer)
 
@@ -51,10 +51,10 @@
         self.records.requests[request_id] = request
         return request
 
-    def add_attempt(self, at_ms: float, told_ms: float = 1) -> Attempt:
+    def add_attempt(self, at_ms: float, time_left_ms: float = 1) -> Attempt:
         number = len(self.records.attempts) + 1
         attempt = Attempt(
-            number, ENDPOINT, REQUEST_ID, 0, ns(at_ms), ns(told_ms), ns(at_ms), ns(at_ms), ResponseKind.COMPLETE
+            number, ENDPOINT, REQUEST_ID, 0, ns(at_ms), ns(time_left_ms), ns(at_ms), ns(at_ms), ResponseKind.COMPLETE
         )
         self.records.attempts.append(attempt)
         return attempt
@@ -62,13 +62,13 @@
     def end_connection(self, at_ms: float, end: ConnectionEnd = ConnectionEnd.CLOSED_BY_SIDECAR) -> None:
         self.records.ended_connections[1] = EndedConnection(1, ns(at_ms), end)
 
-    def lose_answer(self) -> None:
+    def remove_answer(self) -> None:
         self.records.answers.remove(self.answer)
 
     def verdict(self) -> Verdict:
         return check(self.records)
 
-    def breached(self) -> list[Rule]:
+    def violated_rules(self) -> list[Rule]:
         return [violation.rule for violation in self.verdict().violations]
 
 
@@ -77,7 +77,7 @@
     return Run()
 
 
-def test_a_sound_request_breaches_nothing(run: Run) -> None:
+def test_answered_request_violates_no_rule(run: Run) -> None:
     verdict = run.verdict()
     assert not verdict.violations
     assert (verdict.judged, verdict.served) == (1, 1)
@@ -87,74 +87,77 @@
 # ------------------------------------------------------------ no answer
 
 
-def test_silence_is_no_answer(run: Run) -> None:
-    run.lose_answer()
-    assert run.breached() == [Rule.NO_ANSWER]
+def test_request_without_answer_is_lost(run: Run) -> None:
+    run.remove_answer()
+    assert run.violated_rules() == [Rule.NO_ANSWER]
 
 
-def test_a_new_connection_closed_without_an_answer_is_no_answer(run: Run) -> None:
-    run.lose_answer()
+@pytest.mark.parametrize("end", [ConnectionEnd.CLOSED_BY_SIDECAR, ConnectionEnd.RESET_BY_SIDECAR])
+def test_request_on_a_new_closed_connection_is_lost(run: Run, end: ConnectionEnd) -> None:
+    run.remove_answer()
     run.records.attempts.clear()
-    for end in (ConnectionEnd.CLOSED_BY_SIDECAR, ConnectionEnd.RESET_BY_SIDECAR):
-        run.end_connection(1010, end)
-        assert run.breached() == [Rule.NO_ANSWER]
+    run.end_connection(1010, end)
+    assert run.violated_rules() == [Rule.NO_ANSWER]
 
 
-def test_a_cut_answer_is_no_answer(run: Run) -> None:
+def test_truncated_answer_counts_as_no_answer(run: Run) -> None:
     run.answer.body, run.answer.is_complete = BODY[:200], False
     run.end_connection(1200, ConnectionEnd.RESET_BY_SIDECAR)
-    assert run.breached() == [Rule.NO_ANSWER]
+    assert run.violated_rules() == [Rule.NO_ANSWER]
 
 
-def test_a_stream_that_its_endpoint_broke_off_is_not_judged(run: Run) -> None:
+def test_stream_truncated_by_its_endpoint_is_not_judged(run: Run) -> None:
     run.answer.body, run.answer.is_complete = BODY[:200], False
     run.attempt.response_kind = ResponseKind.INCOMPLETE
     assert run.verdict().not_judged[NotJudged.TRUNCATED_BY_ENDPOINT] == 1
-    assert not run.breached()
+    assert not run.violated_rules()
 
 
-def test_a_kept_connection_closed_while_a_request_was_on_its_way_is_not_judged(run: Run) -> None:
+def test_request_crossing_the_close_of_a_reused_connection(run: Run) -> None:
+    """It is not judged; one written more than ``CROSSING_NS`` before the close is counted separately."""
     crossing = run.add_request("r2", position=1, write_number=1)
     crossing.last_byte_ns = ns(1300)
     run.end_connection(1301)
-    assert not run.breached()
+    assert not run.violated_rules()
     assert run.verdict().not_judged[NotJudged.CROSSED_CLOSE] == 1
     run.end_connection(1500)
     assert run.verdict().not_judged[NotJudged.PENDING_AT_CLOSE] == 1
 
 
-def test_a_request_in_one_write_with_an_answered_one_was_read(run: Run) -> None:
+def test_request_in_one_write_with_an_answered_one_is_lost(run: Run) -> None:
+    """The answer to the other request shows that the sidecar read the write."""
     run.add_request("r2", position=1, write_number=0)
     run.end_connection(1201)
-    assert run.breached() == [Rule.NO_ANSWER]
+    assert run.violated_rules() == [Rule.NO_ANSWER]
 
 
-def test_a_request_that_was_forwarded_was_read(run: Run) -> None:
+def test_forwarded_request_without_answer_is_lost(run: Run) -> None:
+    """The attempt shows that the sidecar read the request."""
     crossing = run.add_request("r2", position=1, write_number=1)
     crossing.last_byte_ns = ns(1300)
     run.add_attempt(1310).request_id = "r2"
     run.end_connection(1320)
-    assert run.breached() == [Rule.NO_ANSWER]
+    assert run.violated_rules() == [Rule.NO_ANSWER]
 
 
-def test_what_is_pending_at_a_kill_is_not_judged(run: Run) -> None:
-    run.lose_answer()
+def test_request_pending_at_a_kill_is_not_judged(run: Run) -> None:
+    run.remove_answer()
     run.end_connection(1150, ConnectionEnd.RESET_BY_SIDECAR)
     run.records.kills.append(SidecarKill(0, ns(1150)))
-    assert not run.breached()
+    assert not run.violated_rules()
     assert run.verdict().not_judged[NotJudged.SIDECAR_KILLED] == 1
     run.records.kills = [SidecarKill(1, ns(1150))]
-    assert run.breached() == [Rule.NO_ANSWER], "another sidecar was killed"
+    assert run.violated_rules() == [Rule.NO_ANSWER], "another sidecar was killed"
 
 
-def test_a_request_behind_a_malformed_one_is_owed_no_answer(run: Run) -> None:
-    run.lose_answer()
+def test_request_behind_a_malformed_one_needs_no_answer(run: Run) -> None:
+    run.remove_answer()
     run.request.follows_malformed = True
-    assert not run.breached()
+    assert not run.violated_rules()
 
 
-def test_a_client_that_left_is_owed_no_answer(run: Run) -> None:
-    run.lose_answer()
+def test_request_of_a_disconnected_client_needs_no_answer(run: Run) -> None:
+    run.remove_answer()
     run.request.disconnected_ns = ns(1150)
     verdict = run.verdict()
     assert not verdict.violations
@@ -164,129 +167,138 @@
 # ------------------------------------------------------------ late, second and wrong answers
 
 
-def test_an_answer_after_the_slack_is_late(run: Run) -> None:
+def test_answer_after_deadline_and_slack_is_late(run: Run) -> None:
     run.answer.ended_ns = ns(DEADLINE_MS + 499)
-    assert not run.breached()
+    assert not run.violated_rules()
     run.answer.ended_ns = ns(DEADLINE_MS + 501)
-    assert run.breached() == [Rule.LATE_ANSWER]
+    assert run.violated_rules() == [Rule.LATE_ANSWER]
 
 
-def test_a_stopped_sidecar_has_the_slack_once_it_goes_on(run: Run) -> None:
+def test_slack_of_a_stopped_sidecar_starts_at_its_continuation(run: Run) -> None:
     run.records.stops.append(SidecarStop(ns(1900), ns(4000), 0))
     run.answer.ended_ns = ns(4499)
-    assert not run.breached()
+    assert not run.violated_rules()
     run.answer.ended_ns = ns(4501)
-    assert run.breached() == [Rule.LATE_ANSWER]
+    assert run.violated_rules() == [Rule.LATE_ANSWER]
     run.records.stops = [SidecarStop(ns(1900), ns(4000), 1)]
-    assert run.breached() == [Rule.LATE_ANSWER], "another sidecar was stopped"
+    assert run.violated_rules() == [Rule.LATE_ANSWER], "another sidecar was stopped"
 
 
-def test_times_are_not_judged_while_the_judge_ran_late(run: Run) -> None:
+def test_times_are_not_judged_during_own_lag(run: Run) -> None:
     run.answer.ended_ns = ns(DEADLINE_MS + 600)
     run.records.own_lags.append(Interval(ns(1500), ns(1560)))
-    assert not run.breached()
+    assert not run.violated_rules()
     assert run.verdict().not_judged[NotJudged.OWN_LAG] == 1
 
 
-def test_a_second_answer(run: Run) -> None:
+def test_second_answer_is_a_violation(run: Run) -> None:
     run.records.answers.append(dataclasses.replace(run.answer))
-    assert run.breached() == [Rule.SECOND_ANSWER]
+    assert run.violated_rules() == [Rule.SECOND_ANSWER]
     run.records.answers[1].request_id = None
-    assert run.breached() == [Rule.SECOND_ANSWER]
+    assert run.violated_rules() == [Rule.SECOND_ANSWER]
 
 
-def test_an_answer_made_for_another_request(run: Run) -> None:
+def test_answer_made_for_another_request_is_wrong(run: Run) -> None:
     run.answer.body = make_body(BodyIdentity("r9", 1, ENDPOINT), 300)
-    assert run.breached() == [Rule.WRONG_ANSWER]
+    assert run.violated_rules() == [Rule.WRONG_ANSWER]
 
 
-def test_an_answer_of_an_attempt_that_never_was(run: Run) -> None:
-    for identity in (BodyIdentity(REQUEST_ID, 9, ENDPOINT), BodyIdentity(REQUEST_ID, 1, "e9")):
-        run.answer.body = make_body(identity, 300)
-        assert run.breached() == [Rule.WRONG_ANSWER]
+@pytest.mark.parametrize(
+    "identity",
+    [BodyIdentity(REQUEST_ID, 9, ENDPOINT), BodyIdentity(REQUEST_ID, 1, "e9")],
+    ids=["attempt number", "endpoint"],
+)
+def test_answer_of_an_unknown_attempt_is_wrong(run: Run, identity: BodyIdentity) -> None:
+    run.answer.body = make_body(identity, 300)
+    assert run.violated_rules() == [Rule.WRONG_ANSWER]
 
 
-@pytest.mark.parametrize("body", [BODY[:-1], BODY + b"x", b"", b"x" * 300, BODY[:150] + b"?" + BODY[151:]])
-def test_a_whole_answer_with_a_spoilt_body(run: Run, body: bytes) -> None:
+@pytest.mark.parametrize(
+    "body",
+    [BODY[:-1], BODY + b"x", b"", b"x" * 300, BODY[:150] + b"?" + BODY[151:]],
+    ids=["truncated", "extended", "empty", "without identity", "one byte changed"],
+)
+def test_answer_with_an_altered_body_is_wrong(run: Run, body: bytes) -> None:
     run.answer.body = body
-    assert run.breached() == [Rule.WRONG_ANSWER]
+    assert run.violated_rules() == [Rule.WRONG_ANSWER]
     with pytest.raises(MalformedBodyError):
         read_identity(body)
 
 
-def test_plain_refusals_and_failures_alone_are_answers_of_the_sidecar(run: Run) -> None:
+def test_sidecar_may_answer_only_rejections_and_failures(run: Run) -> None:
     run.answer.body = b"busy\n"
     for status in (500, 502, 503):
         run.answer.status = status
-        assert not run.breached()
+        assert not run.violated_rules()
     run.answer.status = 408
-    assert run.breached() == [Rule.WRONG_ANSWER]
+    assert run.violated_rules() == [Rule.WRONG_ANSWER]
 
 
-def test_an_attempt_for_a_request_that_nobody_sent(run: Run) -> None:
+def test_attempt_for_an_unknown_request_is_wrong(run: Run) -> None:
     run.add_attempt(1100).request_id = "r9"
-    assert run.breached() == [Rule.WRONG_ANSWER]
+    assert run.violated_rules() == [Rule.WRONG_ANSWER]
 
 
 # ------------------------------------------------------------ attempts
 
 
-def test_an_attempt_after_the_answer(run: Run) -> None:
+def test_attempt_after_the_answer_is_a_violation(run: Run) -> None:
     run.add_attempt(1230)
-    assert run.breached() == [Rule.FORWARDED_AFTER_END]
+    assert run.violated_rules() == [Rule.FORWARDED_AFTER_END]
 
 
-def test_an_attempt_after_the_deadline(run: Run) -> None:
-    run.add_attempt(DEADLINE_MS + 30, told_ms=0)
+def test_attempt_after_the_deadline_is_a_violation(run: Run) -> None:
+    run.add_attempt(DEADLINE_MS + 30, time_left_ms=0)
     run.answer.ended_ns = ns(DEADLINE_MS + 100)
-    assert run.breached() == [Rule.FORWARDED_AFTER_END]
+    assert run.violated_rules() == [Rule.FORWARDED_AFTER_END]
 
 
-def test_a_stop_does_not_excuse_an_attempt_after_the_deadline(run: Run) -> None:
+def test_attempt_after_the_deadline_of_a_stopped_sidecar(run: Run) -> None:
+    """A stop extends the time for the answer, not for attempts."""
     run.records.stops.append(SidecarStop(ns(1900), ns(4000), 0))
-    run.add_attempt(4001, told_ms=0)
+    run.add_attempt(4001, time_left_ms=0)
     run.answer.ended_ns = ns(4002)
-    assert run.breached() == [Rule.FORWARDED_AFTER_END]
+    assert run.violated_rules() == [Rule.FORWARDED_AFTER_END]
 
 
-def test_an_attempt_after_the_client_left(run: Run) -> None:
-    run.lose_answer()
+def test_attempt_after_client_disconnect_is_a_violation(run: Run) -> None:
+    run.remove_answer()
     run.request.disconnected_ns = ns(1150)
     run.add_attempt(1240)
-    assert not run.breached()
+    assert not run.violated_rules()
     run.add_attempt(1280)
-    assert run.breached() == [Rule.FORWARDED_AFTER_END]
+    assert run.violated_rules() == [Rule.FORWARDED_AFTER_END]
 
 
-def test_an_attempt_for_a_request_that_was_never_whole(run: Run) -> None:
-    run.lose_answer()
+def test_attempt_for_an_incomplete_request_is_a_violation(run: Run) -> None:
+    run.remove_answer()
     run.request.last_byte_ns = None
-    assert run.breached() == [Rule.FORWARDED_AFTER_END]
+    assert run.violated_rules() == [Rule.FORWARDED_AFTER_END]
 
 
-def test_bytes_of_an_attempt_after_the_end(run: Run) -> None:
+def test_attempt_bytes_after_the_answer_are_a_violation(run: Run) -> None:
     run.attempt.latest_byte_ns = ns(1230)
-    assert run.breached() == [Rule.BYTES_AFTER_END]
+    assert run.violated_rules() == [Rule.BYTES_AFTER_END]
 
 
-def test_too_much_time_told(run: Run) -> None:
+def test_excessive_time_left_is_a_violation(run: Run) -> None:
     run.attempt.time_left_ns = ns(900 + 149)
-    assert not run.breached()
+    assert not run.violated_rules()
     run.attempt.time_left_ns = ns(900 + 151)
-    assert run.breached() == [Rule.TIME_LEFT_TOO_LARGE]
+    assert run.violated_rules() == [Rule.TIME_LEFT_TOO_LARGE]
 
 
-def test_an_at_most_once_request_twice(run: Run) -> None:
+def test_non_idempotent_request_sent_twice_is_a_violation(run: Run) -> None:
     run.add_attempt(1110)
-    assert not run.breached()
+    assert not run.violated_rules()
     run.request.request_class = RequestClass.NON_IDEMPOTENT
-    assert run.breached() == [Rule.AT_MOST_ONCE_TWICE]
+    assert run.violated_rules() == [Rule.AT_MOST_ONCE_TWICE]
 
 
-def test_an_at_most_once_request_may_follow_a_proof_that_it_did_not_run(run: Run) -> None:
+def test_unprocessed_non_idempotent_request_may_be_retried(run: Run) -> None:
     run.request.request_class = RequestClass.NON_IDEMPOTENT
     run.attempt.response_kind = ResponseKind.UNPROCESSED
     run.add_attempt(1110)
-    assert not run.breached()
+    assert not run.violated_rules()
     run.attempt.response_kind, run.attempt.last_byte_ns = ResponseKind.COMPLETE, None
-    assert not run.breached(), "the first was never whole"
+    assert not run.violated_rules(), "the first attempt was never complete"
--- a/tests/fault_injection/test_fault_injection.py
+++ b/tests/fault_injection/test_fault_injection.py
@@ -1,4 +1,4 @@
-"""A short seeded sequence of faults on real sidecars keeps every invariant; ``__main__`` runs longer ones."""
+"""Tests of real sidecars under a short seeded schedule of faults; ``__main__`` runs longer ones."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 SEED = 35
 DURATION_S = 5.0
 MIN_JUDGED = 200
-"""Fewer requests would show nothing: the clients did not get to send."""
+"""With fewer requests a run without violations would prove nothing."""
 GROUPS: dict[str, tuple[Fault, ...]] = {
     "sidecars": (
         TimedFault.STOP,
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("group", GROUPS)
-def test_every_accepted_request_gets_its_one_answer(group: str) -> None:
+def test_requests_under_faults_violate_no_rule(group: str) -> None:
     scenario = Scenario(SEED, DURATION_S, sidecars=2, clients=30, endpoints=5, faults=GROUPS[group])
     result = run_scenario(scenario)
     verdict = check(result.records)
@@ -52,7 +52,7 @@
     assert not verdict.violations, report
 
 
-def test_the_plan_follows_from_the_seed_alone() -> None:
+def test_equal_seeds_give_equal_fault_plans() -> None:
     timed = tuple(TimedFault)
     assert draw_schedule(SEED, 60, timed) == draw_schedule(SEED, 60, timed)
     assert draw_schedule(SEED, 60, timed) != draw_schedule(SEED + 1, 60, timed)
@@ -63,6 +63,6 @@
     assert {plan.behaviour for plan in plans} == set(EndpointBehaviour)
 
 
-def test_the_short_sequences_inject_every_fault() -> None:
+def test_groups_contain_every_fault() -> None:
     grouped = {fault for faults in GROUPS.values() for fault in faults}
     assert grouped == set(ALL_FAULTS.values())
