--- a/tests/fault_injection/scenario.py
+++ b/tests/fault_injection/scenario.py
@@ -1,4 +1,4 @@
-"""One run: sidecars, endpoints, discovery and clients, the faults of its seed, and the records of it all."""
+"""One run: its sidecars, endpoints, discovery services and clients, its faults, and its records."""
 
 from __future__ import annotations
 
@@ -11,7 +11,8 @@
 from tests.fault_injection.client import Client, ClientFleet
 from tests.fault_injection.clock import now_ns, watch_own_lag
 from tests.fault_injection.discovery import READY, DiscoveryService, EndpointCatalog
-from tests.fault_injection.endpoint import Endpoint, EndpointFleet
+from tests.fault_injection.endpoint import Endpoint
+from tests.fault_injection.endpoint_connection import EndpointFleet
 from tests.fault_injection.faults import draw_schedule
 from tests.fault_injection.injector import FaultInjector, Site
 from tests.fault_injection.records import RunRecords
@@ -19,13 +20,13 @@
 
 ZONES = ("a", "b")
 DISCOVERY_SERVICES = 2
-CLIENTS_END_S = 15.0
-"""How long clients may take to end once they are told to: the longest deadline and their patience, twice."""
+CLIENT_SHUTDOWN_TIMEOUT_S = 15.0
+"""Twice the longest deadline plus the time that clients wait after it."""
 
 
 @dataclass(slots=True, frozen=True)
 class Scenario:
-    """What a run is made of; the same values give the same plan."""
+    """The parameters of a run; equal parameters give an equal plan."""
 
     seed: int
     duration_s: float
@@ -38,7 +39,7 @@
 
 @dataclass(slots=True)
 class RunResult:
-    """The records of a run, and what the sidecars logged."""
+    """The records of a run, and the logs of its sidecars."""
 
     records: RunRecords
     logs: list[str]
@@ -46,12 +47,14 @@
 
 
 def run_scenario(scenario: Scenario) -> RunResult:
-    """Play a scenario to its end."""
+    """Run a scenario to its end."""
     with tempfile.TemporaryDirectory() as folder:
         return asyncio.run(_Run(scenario, Path(folder)).run())
 
 
 class _Run:
+    """The parts of one run, from their start to their end."""
+
     def __init__(self, scenario: Scenario, folder: Path) -> None:
         self._scenario = scenario
         self._records = RunRecords()
@@ -69,7 +72,7 @@
         try:
             site = await self._start()
             started_ns = now_ns()
-            await self._play(site)
+            await self._run_clients_and_faults(site)
             return RunResult(self._records, [sidecar.log for sidecar in self._sidecars], started_ns)
         finally:
             lag_watch.cancel()
@@ -90,30 +93,38 @@
         await asyncio.gather(*(sidecar.start() for sidecar in self._sidecars))
         return Site(self._sidecars, self._endpoints, self._catalog, self._services, addresses)
 
-    async def _play(self, site: Site) -> None:
-        scenario = self._scenario
-        fleet = ClientFleet(
-            scenario.seed,
+    def _make_client_fleet(self) -> ClientFleet:
+        return ClientFleet(
+            self._scenario.seed,
             self._records,
             [sidecar.address for sidecar in self._sidecars],
-            tuple(fault for fault in scenario.faults if isinstance(fault, ClientBehaviour)),
+            tuple(fault for fault in self._scenario.faults if isinstance(fault, ClientBehaviour)),
             lambda: self._is_stopping,
         )
+
+    async def _run_clients_and_faults(self, site: Site) -> None:
+        """Run the clients and the fault schedule; raise the first exception of either.
+
+        Raises:
+            TimeoutError: a client did not end in time.
+        """
+        scenario = self._scenario
+        fleet = self._make_client_fleet()
         clients = [asyncio.create_task(Client(fleet, number).run()) for number in range(scenario.clients)]
         enabled = tuple(fault for fault in scenario.faults if isinstance(fault, TimedFault))
         schedule = draw_schedule(scenario.seed, scenario.duration_s, enabled)
         injection = asyncio.create_task(FaultInjector(site, self._records).play(schedule))
         await asyncio.sleep(scenario.duration_s)
         self._is_stopping = True
-        _, hanging = await asyncio.wait(clients, timeout=CLIENTS_END_S)
-        for client in hanging:
+        _, unfinished = await asyncio.wait(clients, timeout=CLIENT_SHUTDOWN_TIMEOUT_S)
+        for client in unfinished:
             client.cancel()
         results = await asyncio.gather(*clients, injection, return_exceptions=True)
         for result in results:
             if isinstance(result, Exception):
                 raise result
-        if hanging:
-            raise TimeoutError(f"{len(hanging)} clients did not end")
+        if unfinished:
+            raise TimeoutError(f"{len(unfinished)} clients did not end")
 
     async def _end(self) -> None:
         for sidecar in self._sidecars:
--- a/tests/fault_injection/test_fault_injection.py
+++ b/tests/fault_injection/test_fault_injection.py
@@ -6,9 +6,9 @@
 
 from tests.fault_injection.behaviour import ALL_FAULTS, ClientBehaviour, EndpointBehaviour, Fault, TimedFault
 from tests.fault_injection.checker import check
-from tests.fault_injection.endpoint import plan_response
 from tests.fault_injection.faults import draw_schedule
 from tests.fault_injection.report import describe
+from tests.fault_injection.response_plan import plan_response
 from tests.fault_injection.scenario import Scenario, run_scenario
 
 SEED = 35
