--- a/tests/fault_injection/discovery.py
+++ b/tests/fault_injection/discovery.py
@@ -1,4 +1,4 @@
-"""The discovery service: the endpoint list, whole or as changes, with watches that can be reset or fall silent."""
+"""The discovery service: full endpoint lists and changes, with connections that can be reset or left unanswered."""
 
 from __future__ import annotations
 
@@ -15,13 +15,14 @@
 from tests.fault_injection.endpoint import Endpoint
 from tests.fault_injection.wire import HEAD_END, serialize_head
 
-READY, DRAINING, GONE = "ready", "draining", "gone"
+READY, DRAINING, REMOVED = "ready", "draining", "gone"
+"""The states of an endpoint on the wire."""
 _CALL = re.compile(rb"GET /catalog/members(?:\?from=(\d+)&hold_ms=(\d+))? HTTP/1\.1")
 
 
 @dataclass(slots=True)
 class _Row:
-    """An endpoint in the list."""
+    """An endpoint in the list, and the version of its latest change."""
 
     endpoint: Endpoint
     state: str
@@ -38,7 +39,7 @@
         self.version = 1
 
     def set_state(self, endpoint: Endpoint, state: str, *, started_now: bool = False) -> None:
-        """Put an endpoint into the list, or change its state there."""
+        """Add an endpoint to the list, or change its state."""
         self.version += 1
         row = self._rows.get(endpoint.name)
         started_ms = int(time.time() * 1000) if started_now else (row.started_ms if row is not None else 0)
@@ -47,14 +48,14 @@
         self._changed = asyncio.Event()
 
     def list_since(self, version: int | None) -> dict[str, Any]:
-        """Return the list as it is written, whole for ``None``."""
+        """Return the changes since a version in wire form; the full list for ``None``."""
         rows = [row for row in self._rows.values() if version is None or row.version > version]
         if version is None:
-            rows = [row for row in rows if row.state != GONE]
+            rows = [row for row in rows if row.state != REMOVED]
         return {"version": self.version, "full": version is None, "servers": [_serialize(row) for row in rows]}
 
     async def wait_for_change(self, version: int, hold_s: float) -> None:
-        """Wait while the list has no later version, at most that long."""
+        """Wait until the list has a later version, for ``hold_s`` at most."""
         until_ns = now_ns() + int(hold_s * NS_PER_S)
         while version >= self.version and (remaining_ns := until_ns - now_ns()) > 0:
             try:
@@ -64,6 +65,7 @@
 
 
 def _serialize(row: _Row) -> dict[str, Any]:
+    """Return the wire form of an endpoint."""
     host, port = row.endpoint.address
     return {
         "id": row.endpoint.name,
@@ -84,10 +86,10 @@
         self._catalog = catalog
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
-        self._silent_until_ns = 0
+        self._answers_paused_until_ns = 0
 
     async def start(self) -> str:
-        """Listen; returns the address."""
+        """Start to listen; return the address."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         host, port = self._server.sockets[0].getsockname()
         return f"{host}:{port}"
@@ -105,9 +107,9 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             writer.transport.abort()
 
-    def be_silent(self, duration_s: float) -> None:
-        """Answer no call for that long."""
-        self._silent_until_ns = now_ns() + int(duration_s * NS_PER_S)
+    def pause_answers(self, duration_s: float) -> None:
+        """Answer no call for the duration."""
+        self._answers_paused_until_ns = now_ns() + int(duration_s * NS_PER_S)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writers.add(writer)
@@ -118,7 +120,7 @@
                     break
                 await self._answer(call, writer)
         except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
-            pass  # the sidecar has closed it, a fault reset it, or the run is over
+            pass  # closed by the sidecar, reset by a fault, or cancelled at the end of the run
         finally:
             self._writers.discard(writer)
             writer.close()
@@ -127,8 +129,8 @@
         version = None if call[1] is None else int(call[1])
         if version is not None:
             await self._catalog.wait_for_change(version, int(call[2]) / 1000)
-        while (silent_ns := self._silent_until_ns - now_ns()) > 0:
-            await asyncio.sleep(silent_ns / NS_PER_S)
+        while (pause_ns := self._answers_paused_until_ns - now_ns()) > 0:
+            await asyncio.sleep(pause_ns / NS_PER_S)
         body = json.dumps(self._catalog.list_since(version)).encode()
         writer.write(serialize_head("HTTP/1.1 200 OK", {"Content-Length": str(len(body))}) + body)
         await writer.drain()
--- a/tests/fault_injection/injector.py
+++ b/tests/fault_injection/injector.py
@@ -1,4 +1,4 @@
-"""Carries out scheduled faults on sidecars, endpoints and discovery."""
+"""Injects scheduled faults into sidecars, endpoints and discovery services."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 
 from tests.fault_injection.behaviour import TimedFault
 from tests.fault_injection.clock import NS_PER_S, now_ns
-from tests.fault_injection.discovery import DRAINING, GONE, READY, DiscoveryService, EndpointCatalog
+from tests.fault_injection.discovery import DRAINING, READY, REMOVED, DiscoveryService, EndpointCatalog
 from tests.fault_injection.endpoint import Endpoint
 from tests.fault_injection.faults import ScheduledFault
 from tests.fault_injection.records import InjectedFault, RunRecords, SidecarKill, SidecarStop
 from tests.fault_injection.sidecar_process import SidecarProcess
 
 TERMINATION_GRACE_S = 3.7
-"""From SIGTERM to SIGKILL: the longest deadline and 0.7 s."""
+"""The time from SIGTERM to SIGKILL: the longest deadline and 0.7 s."""
 RELOADS_PER_FAULT = 3
 RELOAD_GAP_S = 0.15
 STARVE_PERIOD_S = 0.1
 STARVE_STOPPED_S = 0.06
 HALF_REQUEST = b"GET /campaign-read HTTP/1.1\r\nHost: x\r\n"
-GONE_AFTER_DRAIN_S = 0.2
+REMOVED_PERIOD_S = 0.2
 
 
 @dataclass(slots=True)
 class Site:
-    """What faults can be injected into."""
+    """The processes and services into which faults are injected."""
 
     sidecars: list[SidecarProcess]
     endpoints: list[Endpoint]
@@ -39,13 +39,13 @@
 
 
 class FaultInjector:
-    """Plays one schedule."""
+    """Injects the faults of one schedule and records them."""
 
     def __init__(self, site: Site, records: RunRecords) -> None:
         self._site = site
         self._records = records
-        self._busy_sidecars: set[int] = set()
-        self._busy_endpoints: set[str] = set()
+        self._reserved_sidecars: set[int] = set()
+        self._reserved_endpoints: set[str] = set()
         self._handlers: dict[TimedFault, Callable[[ScheduledFault], Awaitable[None]]] = {
             TimedFault.STOP: self._stop_sidecar,
             TimedFault.TERMINATE: self._terminate_sidecar,
@@ -61,7 +61,7 @@
         }
 
     async def play(self, schedule: list[ScheduledFault]) -> None:
-        """Inject each fault at its time; returns when the last one is over."""
+        """Inject each fault at its time; return when the last one has ended."""
         started_ns = now_ns()
         async with asyncio.TaskGroup() as faults:
             for fault in schedule:
@@ -71,33 +71,34 @@
     async def _inject(self, fault: ScheduledFault) -> None:
         await self._handlers[fault.fault](fault)
 
-    def _note(self, text: str, sidecar: SidecarProcess | None = None) -> None:
+    def _record(self, text: str, sidecar: SidecarProcess | None = None) -> None:
         number = None if sidecar is None else sidecar.number
         self._records.faults.append(InjectedFault(now_ns(), text, number))
 
     # ------------------------------------------------------------ sidecars
 
     @contextlib.contextmanager
-    def _claim_sidecar(self, fault: ScheduledFault) -> Iterator[SidecarProcess | None]:
-        """Give the fault's sidecar, or ``None`` while another fault has it."""
+    def _reserve_sidecar(self, fault: ScheduledFault) -> Iterator[SidecarProcess | None]:
+        """Yield the sidecar of a fault and reserve it; ``None`` if another fault has reserved it."""
         sidecar = self._site.sidecars[fault.target % len(self._site.sidecars)]
-        if sidecar.number in self._busy_sidecars:
+        if sidecar.number in self._reserved_sidecars:
             yield None
             return
-        self._busy_sidecars.add(sidecar.number)
+        self._reserved_sidecars.add(sidecar.number)
         try:
             yield sidecar
         finally:
-            self._busy_sidecars.discard(sidecar.number)
+            self._reserved_sidecars.discard(sidecar.number)
 
     async def _stop_sidecar(self, fault: ScheduledFault) -> None:
-        with self._claim_sidecar(fault) as sidecar:
+        with self._reserve_sidecar(fault) as sidecar:
             if sidecar is not None:
-                self._note(f"SIGSTOP sidecar {sidecar.number} for {fault.duration_s} s", sidecar)
+                self._record(f"SIGSTOP sidecar {sidecar.number} for {fault.duration_s} s", sidecar)
                 await self._pause(sidecar, fault.duration_s)
-                self._note(f"SIGCONT sidecar {sidecar.number}", sidecar)
+                self._record(f"SIGCONT sidecar {sidecar.number}", sidecar)
 
     async def _pause(self, sidecar: SidecarProcess, duration_s: float) -> None:
+        """Stop a sidecar for the duration, and record the actual interval."""
         started_ns = now_ns()
         stop = SidecarStop(started_ns, started_ns + int(duration_s * NS_PER_S), sidecar.number)
         sidecar.send_signal(signal.SIGSTOP)
@@ -109,63 +110,68 @@
             stop.end_ns = now_ns()
 
     async def _starve_sidecar(self, fault: ScheduledFault) -> None:
-        with self._claim_sidecar(fault) as sidecar:
+        """Stop a sidecar for most of each period, as a process without enough CPU time is."""
+        with self._reserve_sidecar(fault) as sidecar:
             if sidecar is None:
                 return
-            self._note(f"starve sidecar {sidecar.number} for {fault.duration_s} s", sidecar)
+            self._record(f"starve sidecar {sidecar.number} for {fault.duration_s} s", sidecar)
             for _ in range(int(fault.duration_s / STARVE_PERIOD_S)):
                 await self._pause(sidecar, STARVE_STOPPED_S)
                 await asyncio.sleep(STARVE_PERIOD_S - STARVE_STOPPED_S)
 
     async def _terminate_sidecar(self, fault: ScheduledFault) -> None:
-        with self._claim_sidecar(fault) as sidecar:
+        """Shut a sidecar down, kill it after the grace period, and start it again."""
+        with self._reserve_sidecar(fault) as sidecar:
             if sidecar is None:
                 return
-            self._note(f"SIGTERM sidecar {sidecar.number}", sidecar)
+            self._record(f"SIGTERM sidecar {sidecar.number}", sidecar)
             sidecar.send_signal(signal.SIGTERM)
             ended = await sidecar.wait_for_exit(TERMINATION_GRACE_S)
-            self._note(f"sidecar {sidecar.number} {'has ended' if ended else 'goes on: SIGKILL'}", sidecar)
-            sidecar.kill()
-            await sidecar.start()
-            self._note(f"sidecar {sidecar.number} is back", sidecar)
+            self._record(f"sidecar {sidecar.number} {'has ended' if ended else 'still runs: SIGKILL'}", sidecar)
+            await self._restart_sidecar(sidecar)
 
     async def _kill_sidecar(self, fault: ScheduledFault) -> None:
-        with self._claim_sidecar(fault) as sidecar:
+        with self._reserve_sidecar(fault) as sidecar:
             if sidecar is None:
                 return
-            self._note(f"SIGKILL sidecar {sidecar.number}", sidecar)
+            self._record(f"SIGKILL sidecar {sidecar.number}", sidecar)
             self._records.kills.append(SidecarKill(sidecar.number, now_ns()))
-            sidecar.kill()
-            await sidecar.start()
-            self._note(f"sidecar {sidecar.number} is back", sidecar)
+            await self._restart_sidecar(sidecar)
+
+    async def _restart_sidecar(self, sidecar: SidecarProcess) -> None:
+        sidecar.kill()
+        await sidecar.start()
+        self._record(f"sidecar {sidecar.number} is back", sidecar)
 
     async def _reload_sidecars(self, fault: ScheduledFault) -> None:
-        """Move the sidecars between the discovery services several times, with a drain between."""
+        """Reload the sidecars several times, each time with another discovery service."""
         site = self._site
-        self._note("SIGHUP to all sidecars, several times")
-        for turn in range(RELOADS_PER_FAULT):
+        self._record("SIGHUP to all sidecars, several times")
+        for reload_number in range(RELOADS_PER_FAULT):
             for sidecar in site.sidecars:
-                if sidecar.is_running and sidecar.number not in self._busy_sidecars:
-                    sidecar.reload(site.service_addresses[(fault.target + turn) % len(site.service_addresses)])
+                if sidecar.is_running and sidecar.number not in self._reserved_sidecars:
+                    service = (fault.target + reload_number) % len(site.service_addresses)
+                    sidecar.reload(site.service_addresses[service])
             await asyncio.sleep(RELOAD_GAP_S)
 
     async def _flood_sidecar(self, fault: ScheduledFault) -> None:
-        """Open connections that say nothing, or half a request each, and hold them."""
+        """Open connections that send nothing, or half a request each, and close them after the duration."""
         sidecar = self._site.sidecars[fault.target % len(self._site.sidecars)]
-        says_half = fault.strength % 2 == 1
-        what = "connections with half a request" if says_half else "idle connections"
-        self._note(f"{fault.strength} {what} to sidecar {sidecar.number} for {fault.duration_s} s", sidecar)
-        sockets = [await self._open_flooding(sidecar, says_half) for _ in range(fault.strength)]
+        sends_half = fault.strength % 2 == 1
+        kind = "connections with half a request" if sends_half else "idle connections"
+        self._record(f"{fault.strength} {kind} to sidecar {sidecar.number} for {fault.duration_s} s", sidecar)
+        sockets = [await self._open_connection(sidecar, sends_half) for _ in range(fault.strength)]
         await asyncio.sleep(fault.duration_s)
         for sock in sockets:
             sock.close()
 
     @staticmethod
-    async def _open_flooding(sidecar: SidecarProcess, says_half: bool) -> socket.socket:
+    async def _open_connection(sidecar: SidecarProcess, sends_half: bool) -> socket.socket:
+        """Connect without waiting for the result; send half a request if the connection is established."""
         sock = socket.socket()
         sock.setblocking(False)
         sock.connect_ex(sidecar.address)
-        if says_half:
+        if sends_half:
             await asyncio.sleep(0)
             with contextlib.suppress(OSError):
                 sock.send(HALF_REQUEST)
@@ -174,55 +180,56 @@
     # ------------------------------------------------------------ endpoints
 
     @contextlib.contextmanager
-    def _claim_endpoint(self, fault: ScheduledFault) -> Iterator[Endpoint | None]:
-        """Give the fault's endpoint, or ``None`` while another fault has it or most are away already."""
+    def _reserve_endpoint(self, fault: ScheduledFault) -> Iterator[Endpoint | None]:
+        """Yield the endpoint of a fault and reserve it; ``None`` if it is reserved, or half of the endpoints are."""
         endpoints = self._site.endpoints
         endpoint = endpoints[fault.target % len(endpoints)]
-        if endpoint.name in self._busy_endpoints or len(self._busy_endpoints) >= len(endpoints) // 2:
+        if endpoint.name in self._reserved_endpoints or len(self._reserved_endpoints) >= len(endpoints) // 2:
             yield None
             return
-        self._busy_endpoints.add(endpoint.name)
+        self._reserved_endpoints.add(endpoint.name)
         try:
             yield endpoint
         finally:
-            self._busy_endpoints.discard(endpoint.name)
+            self._reserved_endpoints.discard(endpoint.name)
 
     async def _drain_endpoint(self, fault: ScheduledFault) -> None:
-        with self._claim_endpoint(fault) as endpoint:
+        """List an endpoint as draining, then as removed, then as newly started."""
+        with self._reserve_endpoint(fault) as endpoint:
             if endpoint is None:
                 return
-            self._note(f"{endpoint.name} drains")
+            self._record(f"{endpoint.name} drains")
             self._site.catalog.set_state(endpoint, DRAINING)
             await asyncio.sleep(fault.duration_s)
-            self._site.catalog.set_state(endpoint, GONE)
-            await asyncio.sleep(GONE_AFTER_DRAIN_S)
-            self._note(f"{endpoint.name} joins")
+            self._site.catalog.set_state(endpoint, REMOVED)
+            await asyncio.sleep(REMOVED_PERIOD_S)
+            self._record(f"{endpoint.name} joins")
             self._site.catalog.set_state(endpoint, READY, started_now=True)
 
     async def _kill_endpoint(self, fault: ScheduledFault) -> None:
-        with self._claim_endpoint(fault) as endpoint:
+        with self._reserve_endpoint(fault) as endpoint:
             if endpoint is None:
                 return
-            self._note(f"{endpoint.name} is killed")
+            self._record(f"{endpoint.name} is killed")
             await endpoint.stop()
             await asyncio.sleep(fault.duration_s)
             endpoint.restart()
             self._site.catalog.set_state(endpoint, READY, started_now=True)
-            self._note(f"{endpoint.name} is back")
+            self._record(f"{endpoint.name} is back")
 
     async def _slow_connect(self, fault: ScheduledFault) -> None:
         endpoint = self._site.endpoints[fault.target % len(self._site.endpoints)]
-        self._note(f"{endpoint.name} accepts nothing for {fault.duration_s} s")
+        self._record(f"{endpoint.name} accepts nothing for {fault.duration_s} s")
         endpoint.delay_accepts(fault.duration_s)
 
     # ------------------------------------------------------------ discovery
 
     async def _reset_discovery(self, fault: ScheduledFault) -> None:
-        self._note("discovery resets its connections")
+        self._record("discovery resets its connections")
         for service in self._site.services:
             service.reset_connections()
 
     async def _silence_discovery(self, fault: ScheduledFault) -> None:
-        self._note(f"discovery is silent for {fault.duration_s} s")
+        self._record(f"discovery is silent for {fault.duration_s} s")
         for service in self._site.services:
-            service.be_silent(fault.duration_s)
+            service.pause_answers(fault.duration_s)
--- a/tests/fault_injection/wire.py
+++ b/tests/fault_injection/wire.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as the peers of a sidecar need it: requests read by endpoints, responses read by clients."""
+"""The HTTP/1.1 of a sidecar's peers: requests read by endpoints, responses read by clients."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 
 class MalformedResponseError(ValueError):
-    """A client read what is no HTTP response."""
+    """A client read bytes that are not an HTTP response."""
 
 
 @dataclass(slots=True)
 class Head:
-    """A start line and its headers, by lower-case names."""
+    """A start line and its headers, with lower-case names."""
 
     start_line: str
     headers: dict[str, str]
 
 
 def parse_head(data: bytes) -> Head:
-    """Return the head that these bytes, without the empty line, are."""
+    """Return the parsed head; ``data`` is without the empty line."""
     start_line, *lines = data.decode("latin-1").split("\r\n")
     headers = {}
     for line in lines:
@@ -31,17 +31,17 @@
 
 @dataclass(slots=True)
 class ReadResponse:
-    """A response as far as it came."""
+    """A response as a client read it, complete or truncated."""
 
     status: int
     body: bytes
     is_complete: bool
     closes: bool
-    """Whether its head says that the connection ends after it."""
+    """Whether it has ``Connection: close``."""
 
 
 class ResponseReader:
-    """Takes the bytes of one connection and gives its responses, interim ones left out."""
+    """Parses the responses of one connection; interim responses are skipped."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
@@ -50,10 +50,10 @@
         self._body = bytearray()
 
     def feed(self, data: bytes) -> list[ReadResponse]:
-        """Return the responses that these bytes complete.
+        """Return the responses that are complete with these bytes.
 
         Raises:
-            MalformedResponseError: they are no response.
+            MalformedResponseError: the bytes are not a response.
         """
         self._buffer += data
         responses = []
@@ -63,7 +63,7 @@
         return responses
 
     def end(self, was_reset: bool) -> ReadResponse | None:
-        """Return the response that the connection ended in, if one had begun."""
+        """Return the response that was in progress when the connection ended, if any."""
         if self._head is None:
             return ReadResponse(0, bytes(self._buffer), False, True) if self._buffer else None
         until_close = not {"content-length", "transfer-encoding"} & self._head.headers.keys()
@@ -88,11 +88,11 @@
         if end < 0:
             return False
         head = parse_head(bytes(self._buffer[:end]))
-        words = head.start_line.split(" ")
-        if words[0] != "HTTP/1.1" or len(words) < 2 or not words[1].isdecimal():
+        fields = head.start_line.split(" ")
+        if fields[0] != "HTTP/1.1" or len(fields) < 2 or not fields[1].isdecimal():
             raise MalformedResponseError(head.start_line[:80])
         del self._buffer[: end + len(HEAD_END)]
-        self._head, self._status = head, int(words[1])
+        self._head, self._status = head, int(fields[1])
         return True
 
     def _read_body(self, head: Head) -> bool:
@@ -101,7 +101,7 @@
         if "transfer-encoding" in head.headers:
             return self._read_chunks()
         if (length := head.headers.get("content-length")) is None:
-            return False  # until the connection ends
+            return False  # the body ends with the connection
         missing = int(length) - len(self._body)
         self._body += self._buffer[:missing]
         del self._buffer[:missing]
@@ -110,22 +110,22 @@
     def _read_chunks(self) -> bool:
         while (line_end := self._buffer.find(b"\r\n")) >= 0:
             size = int(bytes(self._buffer[:line_end]), 16)
-            whole = line_end + 2 + size + 2
-            if len(self._buffer) < whole:
+            chunk_end = line_end + 2 + size + 2
+            if len(self._buffer) < chunk_end:
                 return False
-            self._body += self._buffer[line_end + 2 : whole - 2]
-            del self._buffer[:whole]
+            self._body += self._buffer[line_end + 2 : chunk_end - 2]
+            del self._buffer[:chunk_end]
             if size == 0:
                 return True
         return False
 
 
 def serialize_head(start_line: str, headers: dict[str, str]) -> bytes:
-    """Return a head with its empty line."""
+    """Return a head, including its empty line."""
     lines = [start_line, *(f"{name}: {value}" for name, value in headers.items())]
     return "\r\n".join(lines).encode() + HEAD_END
 
 
 def serialize_chunk(data: bytes) -> bytes:
-    """Return one chunk of a chunked body; an empty one ends it."""
+    """Return one chunk of a chunked body; the empty chunk ends the body."""
     return b"%x\r\n%s\r\n" % (len(data), data)
