--- a/lugtally/downstream/acceptor.py
+++ b/lugtally/downstream/acceptor.py
@@ -8,6 +8,7 @@
 from loguru import logger
 
 from lugtally.downstream.connection import DownstreamConnection
+from lugtally.downstream.connection_state import ConnectionState
 from lugtally.downstream.listener import LISTEN_BACKLOG
 from lugtally.downstream.shutdown_state import ShutdownState
 from lugtally.eventloop import READABLE, Event, EventLoop, Task, WakeReason
@@ -134,6 +135,11 @@
         return self._connection_closed.wait(deadline_ns)
 
 
-def _eviction_order(connection: DownstreamConnection) -> tuple[bool, bool, int]:
-    """Put those that carry nothing more first, those of which a request has begun to come last; then the oldest."""
-    return connection.is_reading and not connection.idle, not connection.is_lingering, connection.since_ns
+_EVICTION_RANK = {ConnectionState.LINGERING: 0, ConnectionState.IDLE: 1, ConnectionState.AWAITING_FIRST_REQUEST: 1}
+"""Lower ranks are evicted first; connections with an incomplete request come last."""
+_LAST_EVICTION_RANK = 2
+
+
+def _eviction_order(connection: DownstreamConnection) -> tuple[int, int]:
+    """Return the sort key of a connection: its state's rank, then its age."""
+    return _EVICTION_RANK.get(connection.state, _LAST_EVICTION_RANK), connection.since_ns
--- a/lugtally/downstream/connection.py
+++ b/lugtally/downstream/connection.py
@@ -2,13 +2,15 @@
 
 from __future__ import annotations
 
+import enum
 import socket
 import struct
 
 from loguru import logger
 
 from lugtally.downstream.arrival import ArrivalBound
-from lugtally.downstream.request_queue import RequestQueue
+from lugtally.downstream.connection_state import ConnectionState, TransitionCause, next_state
+from lugtally.downstream.request_queue import ReceivedRequest, RequestQueue
 from lugtally.downstream.shutdown_state import ShutdownState
 from lugtally.eventloop import PEER_CLOSED, READABLE, WRITABLE, Event, EventLoop, WakeReason
 from lugtally.http1 import Message, ProtocolError
@@ -52,29 +54,44 @@
         super().__init__(408, "the request did not become whole in time")
 
 
+class ClientStatus(enum.Enum):
+    """What is known of the client: the worst of these."""
+
+    ACTIVE = enum.auto()
+    AT_FAULT = enum.auto()
+    """One of its requests was invalid: nothing more is read, and the connection ends once all read is answered."""
+    HALF_CLOSED = enum.auto()
+    """It has shut down its sending side, so it may have disconnected: no further request of it is processed."""
+
+
+_MIN_WAIT_BEFORE_EVICTION_NS = {
+    ConnectionState.LINGERING: MIN_LINGER_BEFORE_EVICTION_NS,
+    ConnectionState.IDLE: 0,
+    ConnectionState.AWAITING_FIRST_REQUEST: MIN_IDLE_BEFORE_EVICTION_NS,
+    ConnectionState.READING_REQUEST: MIN_REQUEST_TIME_BEFORE_EVICTION_NS,
+    ConnectionState.DISCARDING: MIN_REQUEST_TIME_BEFORE_EVICTION_NS,
+}
+"""How long a connection stays in a state before it may be evicted; in the other states it never is."""
+
+
 class DownstreamConnection:
     """One client socket and its parser."""
 
     __slots__ = (
-        "_evicted",
         "_loop",
         "_shutdown",
         "_write_stalled",
         "arrival",
         "arrived_ns",
-        "client_at_fault",
-        "client_closed",
-        "close_if_idle",
-        "close_if_incomplete",
+        "client_status",
+        "close_requested_in",
+        "evicted",
         "fd",
-        "had_request",
-        "idle",
-        "is_lingering",
-        "is_reading",
         "requests",
         "response_truncated",
         "since_ns",
         "sock",
+        "state",
         "wake_up",
     )
 
@@ -95,30 +112,33 @@
         self.fd = sock.fileno()
         self.requests = RequestQueue()
         """Those behind the present one, and what has been read of the next."""
-        self._write_stalled = False
-        self.client_at_fault = False
-        """Whether a request of it was at fault: the connection ends as soon as all that was read is answered."""
-        self.client_closed = False
-        """Whether the client has ended its sending: it may have left, so nothing begins for it any more."""
-        self.wake_up = Event(loop)
-        """Set where a wait for a request must look again: bytes have come, or the connection is to be closed."""
+        self.state = ConnectionState.ACCEPTED
         self.since_ns = loop.now()
-        """When it became idle, or when its present request began."""
-        self.had_request = False
-        """Whether a whole request has come on it."""
-        self.idle = False
-        """Whether it waits for a request of which nothing has come."""
-        self._evicted = False
-        self.is_lingering = False
-        """Whether its last response has been written, and it waits for the client to end."""
-        self.is_reading = False
-        """Whether it waits for a request, or for the rest of one."""
-        self.close_if_idle = False
-        """Whether it is to be closed, unless a request has come."""
-        self.close_if_incomplete = False
-        """Whether it is to be closed, unless the rest of the request has come."""
+        """When it became idle, when its present request began, or when it started to linger."""
+        self.client_status = ClientStatus.ACTIVE
+        self.close_requested_in: ConnectionState | None = None
+        """The state in which it is to be closed, unless bytes were received meanwhile."""
+        self.evicted = False
+        """Whether it was evicted since its last complete request."""
+        self.wake_up = Event(loop)
+        """Set where a wait for input must check again: bytes were received, or the close was requested."""
+        self._write_stalled = False
+        """Whether the client was slow to read since the last request was read."""
         self.response_truncated = False
-        """Whether its response has begun and cannot be finished: the close must not pass for the response's end."""
+        """Whether part of a streamed response was sent and its end was not: the close must reset the connection."""
+
+    def transition(self, cause: TransitionCause) -> None:
+        """Move to the next state.
+
+        Raises:
+            InvalidTransitionError: the present state does not allow it.
+        """
+        self.state = next_state(self.state, cause)
+
+    @property
+    def close_requested(self) -> bool:
+        """Whether the connection is to be closed in its present state, unless bytes were received meanwhile."""
+        return self.close_requested_in is self.state
 
     # ------------------------------------------------------------ reading
 
@@ -131,36 +151,58 @@
         """
         if self.requests.has_input:
             self._loop.sleep(0)  # a request that came together with the last one lets others go first
-        if self.had_request:
-            self.since_ns = self._loop.now()
+        request = self._next_buffered_request()
+        if request is None:
+            request = self._receive_request()
+        if request is None:
+            return None
+        self.close_requested_in = None
+        self.evicted = False
+        self.arrived_ns = request.arrived_ns
+        return request.message
+
+    def _next_buffered_request(self) -> ReceivedRequest | None:
+        """Start the wait for a request; return it if it was read while the last one was in progress."""
+        if self.state is ConnectionState.ACCEPTED:
+            self.transition(TransitionCause.READING_STARTED)
+            return None
+        self.since_ns = self._loop.now()
         request = self.requests.take()
-        self.idle = not self.requests.has_input and request is None
+        if request is not None:
+            self.transition(TransitionCause.RESPONSE_COMPLETE_REQUEST_BUFFERED)
+        elif self.requests.has_input:
+            self.transition(TransitionCause.RESPONSE_COMPLETE_INPUT_BUFFERED)
+        else:
+            self.transition(TransitionCause.RESPONSE_COMPLETE)
+        return request
+
+    def _receive_request(self) -> ReceivedRequest | None:
+        """Read until a request is complete; ``None`` where the connection is to be closed."""
         # Just after a response, most likely nothing is there yet: wait first, and save a call.  Not after a write that
         # took long, as nobody has watched for bytes meanwhile.
-        wait_first = self.idle and self.had_request and not self._write_stalled
+        wait_first = self.state is ConnectionState.IDLE and not self._write_stalled
         self._write_stalled = False
         continue_sent = False
-        self.is_reading = request is None
+        request = None
         while request is None:
             continue_sent = continue_sent or self._send_continue()
-            data = None if wait_first and not self.close_if_idle else self._receive()
+            data = None if wait_first and not self.close_requested else self._receive()
             wait_first = False
             if data is None:
-                if self.idle and self.close_if_idle:
-                    return None
-                if not self.idle and self.close_if_incomplete:
+                if not self.close_requested:
+                    self._wait_for_bytes()
+                elif self.state is ConnectionState.READING_REQUEST:
                     raise RequestTimeoutError
-                self._wait_for_bytes()
+                else:
+                    return None
                 continue
             if not data:
                 return None
             self._note_bytes()
             self.requests.feed(data, self.arrival.received_after_ns)
             request = self.requests.take()
-        self.had_request, self.idle, self.is_reading = True, False, False
-        self.close_if_idle = self.close_if_incomplete = self._evicted = False  # a request has come
-        self.arrived_ns = request.arrived_ns
-        return request.message
+        self.transition(TransitionCause.REQUEST_COMPLETE)
+        return request
 
     def read_ahead(self) -> bool:
         """Read what has come while a request is in progress; return whether that was all of it.
@@ -207,20 +249,21 @@
         self._loop.unregister(self.fd)
         if reason is WakeReason.TIMEOUT:
             # Race: bytes may have come between the poll that saw nothing and the close.  Read again before closing.
-            self.close_if_idle = self.idle
-            self.close_if_incomplete = not self.idle
+            self.close_requested_in = self.state
 
     def _read_deadline_ns(self) -> int:
         """Return until when to wait: counted from a request's first byte, so that a trickle of bytes gains no time."""
-        deadline_ns = self.since_ns + (CLIENT_IDLE_TIMEOUT_NS if self.idle else REQUEST_TIMEOUT_NS)
+        deadline_ns = self.since_ns + (
+            REQUEST_TIMEOUT_NS if self.state is ConnectionState.READING_REQUEST else CLIENT_IDLE_TIMEOUT_NS
+        )
         return min(deadline_ns, self._shutdown.last_request_ns) if self._shutdown.closing else deadline_ns
 
     def _note_bytes(self) -> None:
         """Take it that bytes have come: the first of a request begin its time, later ones must be within it."""
-        if self.idle:
-            self.idle = False
-            if self.had_request:  # the first request's time began with the connection
+        if self.state is not ConnectionState.READING_REQUEST:
+            if self.state is ConnectionState.IDLE:  # the first request's time began with the connection
                 self.since_ns = self._loop.now()
+            self.transition(TransitionCause.FIRST_BYTES_RECEIVED)
         elif self.arrival.received_after_ns > self.since_ns + REQUEST_TIMEOUT_NS:
             raise RequestTimeoutError
 
@@ -228,18 +271,23 @@
 
     def may_evict(self, now_ns: int) -> bool:
         """Return whether the connection may be closed to make room for others; never with a request in progress."""
-        waited_ns = now_ns - self.since_ns
-        if self.is_lingering:
-            return not self._evicted and waited_ns >= MIN_LINGER_BEFORE_EVICTION_NS
-        if self.idle:
-            return not self.close_if_idle and (self.had_request or waited_ns >= MIN_IDLE_BEFORE_EVICTION_NS)
-        return self.is_reading and not self.close_if_incomplete and waited_ns >= MIN_REQUEST_TIME_BEFORE_EVICTION_NS
+        min_wait_ns = _MIN_WAIT_BEFORE_EVICTION_NS.get(self.state)
+        return min_wait_ns is not None and not self.close_requested and now_ns - self.since_ns >= min_wait_ns
 
     def evict(self) -> None:
-        """Have the connection closed, but for a request that is whole by now, or a response that a reset would cut."""
-        self._evicted = True
-        self.close_if_idle = self.idle
-        self.close_if_incomplete = self.is_reading and not self.idle
+        """Request the close, unless a complete request was received, or the close would reset the last response."""
+        self.evicted = True
+        self.close_requested_in = self.state
+        self.wake_up.set()
+
+    def close_when_idle(self) -> None:
+        """Request the close once no request is in progress, unless a further one was received by then."""
+        match self.state:
+            case ConnectionState.AWAITING_FIRST_REQUEST:
+                # Race: the first request of a new connection may be on its way, so that is given time.
+                self.close_requested_in = None
+            case ConnectionState.IDLE | ConnectionState.PROCESSING | ConnectionState.WRITING_RESPONSE:
+                self.close_requested_in = ConnectionState.IDLE
         self.wake_up.set()
 
     # ------------------------------------------------------------ writing and closing
@@ -268,13 +316,13 @@
         taken, and its client learns so from the end of our side.
         """
         self.since_ns = self._loop.now()
-        self.is_lingering = True
+        self.transition(TransitionCause.LAST_RESPONSE_COMPLETE)
         try:
             self.sock.shutdown(socket.SHUT_WR)
             has_ended = self._wait_for_end(self.since_ns + SHORT_LINGER_NS)
             if not self._has_unread_bytes():
                 return
-            self.is_lingering = False  # closed now, it would be reset: that is no place to be had
+            self.transition(TransitionCause.UNREAD_INPUT_FOUND)
             if not has_ended:
                 has_ended = self._wait_for_end(self.since_ns + MAX_LINGER_NS)
             if has_ended:  # it sends no more, but may still read
@@ -287,12 +335,20 @@
         self._loop.register(self.fd, PEER_CLOSED, lambda _: self.wake_up.set())
         deadline_ns = self._client_deadline_ns(deadline_ns)
         has_ended, reason = False, WakeReason.READY
-        while reason is WakeReason.READY and not has_ended and not self._evicted:
+        while reason is WakeReason.READY and not has_ended and not self.evicted:
             reason = self.wake_up.wait(deadline_ns)  # it may have been set before, for another reason
             has_ended = self._loop.is_ready(self.fd, PEER_CLOSED)
         self._loop.unregister(self.fd)
         return has_ended
 
+    def start_discarding(self) -> None:
+        """Note that an invalid or late request gets its error response, the last one."""
+        # Only a request that is still incomplete as far as eviction knows counts for it from now on.
+        is_evictable = self.state is ConnectionState.READING_REQUEST and not self.close_requested
+        self.transition(TransitionCause.REQUEST_INVALID)
+        if not is_evictable:
+            self.close_requested_in = self.state
+
     def discard_input(self, was_slow: bool) -> None:
         """End our side, and throw away what a client at fault still sends, until it is silent or ends.
 
@@ -300,7 +356,7 @@
         it may still be writing, and a close over unread bytes would reset its connection.  One whose fault is that
         it was slow has had its time.
         """
-        if self._evicted:
+        if self.evicted:
             return  # another waits for the place
         silence_ns = SHORT_LINGER_NS if was_slow else LINGER_SILENCE_TIMEOUT_NS
         linger_ns = SHORT_LINGER_NS if was_slow else MAX_LINGER_NS
@@ -338,6 +394,7 @@
 
     def close(self) -> None:
         """Close the socket at once."""
+        self.transition(TransitionCause.SOCKET_CLOSED)
         self._loop.unregister(self.fd)
         if self.response_truncated:
             # A body may end where its connection does: only a reset says that this one is not whole.
--- a/lugtally/downstream/exchange.py
+++ b/lugtally/downstream/exchange.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from lugtally.dispatch import AttemptOutcome, Decision, Dispatcher, PendingRequest, Rejected, StartAttempt
-from lugtally.downstream.connection import DownstreamConnection
+from lugtally.downstream.connection import ClientStatus, DownstreamConnection
 from lugtally.downstream.response_stream import ResponseStream
 from lugtally.downstream.responses import (
     Response,
@@ -104,7 +104,7 @@
         if self._stream is not None and self._stream.began:
             return None if connection.response_truncated else StreamedResponse(self._stream.closes)
         if self._client_closed:
-            connection.client_closed = True
+            connection.client_status = ClientStatus.HALF_CLOSED
             return self._response_to_disconnected()
         return self._final_response(decision)
 
--- a/lugtally/downstream/graceful_shutdown.py
+++ b/lugtally/downstream/graceful_shutdown.py
@@ -50,6 +50,4 @@
     def _close_idle_connections(self) -> None:
         self.state.closing = True
         for connection in self._connections:
-            # Race: the first request of a connection that has just come may be on its way, so that is given time.
-            connection.close_if_idle = connection.had_request
-            connection.wake_up.set()
+            connection.close_when_idle()
--- a/lugtally/downstream/response_stream.py
+++ b/lugtally/downstream/response_stream.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from lugtally.downstream.connection import DownstreamConnection
+from lugtally.downstream.connection_state import TransitionCause
 from lugtally.downstream.responses import forwarded_headers
 from lugtally.http1 import MAX_BODY_BYTES, Message, serialize_streamed_head
 
@@ -68,7 +69,10 @@
 
     def _flush(self) -> bool:
         """Write what is held; after a failed write nothing more is written."""
-        self.began = self._connection.response_truncated = True
+        if not self.began:
+            self.began = True
+            self._connection.transition(TransitionCause.RESPONSE_STARTED)
+            self._connection.response_truncated = True
         held, self._held = memoryview(self._held), bytearray()
         self._writable = self._writable and self._connection.write(held)
         return self._writable
--- a/lugtally/downstream/server.py
+++ b/lugtally/downstream/server.py
@@ -10,7 +10,8 @@
 from lugtally.address import Address
 from lugtally.dispatch import UNKNOWN_TENANT, Dispatcher, Rejected
 from lugtally.downstream.acceptor import ConnectionAcceptor
-from lugtally.downstream.connection import DownstreamConnection, RequestTimeoutError
+from lugtally.downstream.connection import ClientStatus, DownstreamConnection, RequestTimeoutError
+from lugtally.downstream.connection_state import TransitionCause
 from lugtally.downstream.exchange import Exchange, ExchangeServices
 from lugtally.downstream.graceful_shutdown import GracefulShutdown
 from lugtally.downstream.health import HEALTH_PATH, HealthCheckPacer
@@ -141,11 +142,12 @@
             if response.closes:
                 connection.lingering_close()
             return not response.closes
-        if 400 <= response.status < 500:
-            connection.client_at_fault = True
+        if 400 <= response.status < 500 and connection.client_status is ClientStatus.ACTIVE:
+            connection.client_status = ClientStatus.AT_FAULT
         close = self._closes_after(connection, message)
         data = serialize_response(*response, close=close)
         response = None  # a slow client takes long: its response is then held once, not twice
+        connection.transition(TransitionCause.RESPONSE_STARTED)
         if not connection.write(data):
             return False
         if close:
@@ -155,6 +157,7 @@
     @staticmethod
     def _reject_malformed(connection: DownstreamConnection, error: ProtocolError) -> None:
         """Give a request that cannot be read its response, the last one of its connection."""
+        connection.start_discarding()
         if connection.write(serialize_response(*protocol_error_response(error), close=True)):
             connection.discard_input(was_slow=isinstance(error, RequestTimeoutError))
 
@@ -168,13 +171,17 @@
             return True
         if connection.requests.has_request:
             return False
-        if connection.client_closed or connection.client_at_fault:
+        if connection.client_status is not ClientStatus.ACTIVE:
             return True
         return not (connection.requests.has_input or self._may_keep_alive())
 
     def _may_read_ahead(self, connection: DownstreamConnection, message: Message) -> bool:
         """Return whether requests behind this one are read before it is answered, and the connection kept for them."""
-        return message.keep_alive and not connection.client_at_fault and not self._shutdown.state.draining
+        return (
+            message.keep_alive
+            and connection.client_status is not ClientStatus.AT_FAULT
+            and not self._shutdown.state.draining
+        )
 
     def _may_keep_alive(self) -> bool:
         """Return whether a connection may stay open after its response.
@@ -196,7 +203,7 @@
         except ProtocolError as error:
             return protocol_error_response(error)
         time_left_ns = max(0, self._deadline_ns(connection, validated) - self._loop.now())
-        if connection.client_closed:
+        if connection.client_status is ClientStatus.HALF_CLOSED:
             return rejected_response(Rejected(0))
         rejected = self._dispatcher.reject_if_overloaded(validated.class_index, time_left_ns)
         if rejected is not None:
