--- a/lugtally/downstream/acceptor.py
+++ b/lugtally/downstream/acceptor.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from lugtally.downstream.connection import DownstreamConnection
-from lugtally.downstream.connection_state import ConnectionState
+from lugtally.downstream.connection_policy import select_for_eviction
 from lugtally.downstream.listener import LISTEN_BACKLOG
 from lugtally.downstream.shutdown_state import ShutdownState
 from lugtally.eventloop import READABLE, Event, EventLoop, Task, WakeReason
@@ -128,18 +128,7 @@
 
     def _make_room(self, deadline_ns: int) -> WakeReason:
         """Evict a connection, if one may be, and wait until any has closed, at most until the deadline."""
-        now_ns = self._loop.now()
-        evictable = [connection for connection in self._connections if connection.may_evict(now_ns)]
-        if evictable:
-            min(evictable, key=_eviction_order).evict()
+        connection = select_for_eviction(self._connections, self._loop.now())
+        if connection is not None:
+            connection.evict()
         return self._connection_closed.wait(deadline_ns)
-
-
-_EVICTION_RANK = {ConnectionState.LINGERING: 0, ConnectionState.IDLE: 1, ConnectionState.AWAITING_FIRST_REQUEST: 1}
-"""Lower ranks are evicted first; connections with an incomplete request come last."""
-_LAST_EVICTION_RANK = 2
-
-
-def _eviction_order(connection: DownstreamConnection) -> tuple[int, int]:
-    """Return the sort key of a connection: its state's rank, then its age."""
-    return _EVICTION_RANK.get(connection.state, _LAST_EVICTION_RANK), connection.since_ns
--- /dev/null
+++ b/lugtally/downstream/closing.py
@@ -0,0 +1,97 @@
+"""Closing a connection after its last response, without losing the response to a reset.
+
+Closing a socket with unread bytes, or one to which the client still sends, resets the connection.  The reset discards
+what the client has not read of its response.  The sending side is therefore shut down first.
+"""
+
+from __future__ import annotations
+
+import socket
+
+from loguru import logger
+
+from lugtally.downstream.connection import RECEIVE_BYTES, DownstreamConnection
+from lugtally.downstream.connection_state import TransitionCause
+from lugtally.eventloop import PEER_CLOSED, READABLE, WakeReason
+from lugtally.units import NS_PER_MS
+
+LINGER_SILENCE_TIMEOUT_NS = 1_000 * NS_PER_MS
+"""How long a client whose input is discarded may send nothing before the close."""
+MAX_LINGER_NS = 2_500 * NS_PER_MS
+"""How long the close waits in all for a client that has sent, or still sends, further input."""
+SHORT_LINGER_NS = 300 * NS_PER_MS
+"""How long the close waits for a client that sends nothing, or whose request timed out."""
+
+
+def lingering_close(connection: DownstreamConnection) -> None:
+    """Shut down the sending side and wait until the client has read the response.
+
+    The caller closes the socket afterwards.  Further input is not read: a client whose request is not read learns from
+    the shutdown that it was not processed.
+    """
+    connection.since_ns = connection.loop.now()
+    connection.transition(TransitionCause.LAST_RESPONSE_COMPLETE)
+    try:
+        connection.sock.shutdown(socket.SHUT_WR)
+        has_closed = _wait_for_client_close(connection, connection.since_ns + SHORT_LINGER_NS)
+        if not _has_unread_input(connection):
+            return
+        connection.transition(TransitionCause.UNREAD_INPUT_FOUND)
+        if not has_closed:
+            has_closed = _wait_for_client_close(connection, connection.since_ns + MAX_LINGER_NS)
+        if has_closed:  # the client sends nothing more, but may still read
+            connection.loop.sleep(SHORT_LINGER_NS)
+    except OSError as error:
+        _log_disconnect(error)
+
+
+def discard_input(connection: DownstreamConnection, was_slow: bool) -> None:
+    """Shut down the sending side and discard input until the client sends nothing more or closes.
+
+    After a malformed request the boundaries of further requests are unknown.  A client may read its error response
+    only after it has sent all of its input.  ``was_slow`` shortens the wait after a request that timed out.
+    """
+    if connection.evicted:
+        return  # another client waits for a connection
+    silence_ns = SHORT_LINGER_NS if was_slow else LINGER_SILENCE_TIMEOUT_NS
+    linger_ns = SHORT_LINGER_NS if was_slow else MAX_LINGER_NS
+    loop = connection.loop
+    deadline_ns = connection.client_deadline_ns(loop.now() + linger_ns)
+    try:
+        connection.sock.shutdown(socket.SHUT_WR)
+        while (
+            loop.wait(connection.fd, READABLE, min(deadline_ns, loop.now() + silence_ns)) is WakeReason.READY
+            and loop.now() < deadline_ns
+            and connection.sock.recv(RECEIVE_BYTES)
+        ):
+            pass  # discarded
+    except OSError as error:
+        _log_disconnect(error)
+
+
+def _wait_for_client_close(connection: DownstreamConnection, deadline_ns: int) -> bool:
+    """Wait until the client closes, the connection is evicted or the time is over; return whether the client closed."""
+    loop = connection.loop
+    loop.register(connection.fd, PEER_CLOSED, lambda _: connection.wake_up.set())
+    deadline_ns = connection.client_deadline_ns(deadline_ns)
+    has_closed, reason = False, WakeReason.READY
+    while reason is WakeReason.READY and not has_closed and not connection.evicted:
+        reason = connection.wake_up.wait(deadline_ns)  # the event may still be set for an earlier reason
+        has_closed = loop.is_ready(connection.fd, PEER_CLOSED)
+    loop.unregister(connection.fd)
+    return has_closed
+
+
+def _has_unread_input(connection: DownstreamConnection) -> bool:
+    try:
+        return bool(connection.sock.recv(1, socket.MSG_PEEK))
+    except BlockingIOError:
+        return False
+
+
+def _log_disconnect(error: OSError) -> None:
+    logger.debug(
+        "the client disconnected before the close: {reason}",
+        event="downstream.client_disconnected",
+        reason=str(error),
+    )
--- a/lugtally/downstream/exchange.py
+++ b/lugtally/downstream/exchange.py
@@ -8,7 +8,8 @@
 from loguru import logger
 
 from lugtally.dispatch import AttemptOutcome, Decision, Dispatcher, PendingRequest, Rejected, StartAttempt
-from lugtally.downstream.connection import ClientStatus, DownstreamConnection
+from lugtally.downstream.connection import ClientStatus
+from lugtally.downstream.request_reader import RequestReader
 from lugtally.downstream.response_stream import ResponseStream
 from lugtally.downstream.responses import (
     Response,
@@ -42,6 +43,7 @@
         "_forwarded",
         "_may_read_ahead",
         "_message",
+        "_reader",
         "_request",
         "_served",
         "_services",
@@ -55,7 +57,7 @@
     def __init__(
         self,
         services: ExchangeServices,
-        connection: DownstreamConnection,
+        reader: RequestReader,
         message: Message,
         class_index: int,
         deadline_ns: Callable[[], int],
@@ -69,7 +71,8 @@
         ``closes_after`` whether the connection ends with it; ``may_read_ahead`` whether further requests are welcome.
         """
         self._services = services
-        self._connection = connection
+        self._reader = reader
+        self._connection = reader.connection
         self._message = message
         self._deadline_ns = deadline_ns
         self._closes_after = closes_after
@@ -115,7 +118,7 @@
         self._services.loop.register(self._connection.fd, PEER_CLOSED | READABLE, self._handle_input)
 
     def _handle_input(self, poll_events: int) -> None:
-        self._connection.arrival.note_readable(self._watched_since_ns)
+        self._reader.arrival.note_readable(self._watched_since_ns)
         if poll_events & ~READABLE:
             self._watches_input = False
             self._client_disconnected()
@@ -128,10 +131,10 @@
 
         They cannot be answered before this one, so it has no more time than they have.
         """
-        connection = self._connection
-        if self._stream is not None or connection.requests.is_full or not self._may_read_ahead():
+        reader = self._reader
+        if self._stream is not None or reader.queue.is_full or not self._may_read_ahead():
             return False
-        has_read_all = connection.read_ahead()
+        has_read_all = reader.read_ahead()
         deadline_ns = self._deadline_ns()
         if deadline_ns < self._request.deadline_ns:
             self._services.dispatcher.shorten_deadline(self._request, deadline_ns)
@@ -140,7 +143,7 @@
     def _stop_watching_client(self) -> None:
         self._services.loop.unregister(self._connection.fd)
         if self._watches_input and self._stream is None:  # a write may have ended the watch
-            self._connection.arrival.note_unreadable(self._watched_since_ns)
+            self._reader.arrival.note_unreadable(self._watched_since_ns)
 
     def _response_to_disconnected(self) -> Response:
         """Return the response to a client that ended its sending: it may have left, or still read."""
@@ -220,7 +223,7 @@
     def _claim_stream(self, attempt: StartAttempt, head: Message) -> ResponseSink | None:
         """Return where an attempt may pass on a long response as it comes; ``None`` where it may not."""
         connection = self._connection
-        hold_until_ns = self._request.deadline_ns if connection.requests.has_request else None
+        hold_until_ns = self._request.deadline_ns if self._reader.queue.has_request else None
         # Before the claim: a fault here costs the attempt alone.
         stream = ResponseStream(
             connection, self._message, head, closes=self._closes_after(), hold_until_ns=hold_until_ns
--- /dev/null
+++ b/lugtally/downstream/request_reader.py
@@ -0,0 +1,179 @@
+"""Reading the requests of one connection, within their time limits."""
+
+from __future__ import annotations
+
+from lugtally.downstream.arrival import ArrivalBound
+from lugtally.downstream.connection import RECEIVE_BYTES, DownstreamConnection
+from lugtally.downstream.connection_state import ConnectionState, TransitionCause
+from lugtally.downstream.request_queue import ReceivedRequest, RequestQueue
+from lugtally.eventloop import READABLE, WakeReason
+from lugtally.http1 import ProtocolError
+from lugtally.units import NS_PER_MS
+
+CLIENT_IDLE_TIMEOUT_NS = 2_050 * NS_PER_MS
+"""How long a connection may wait for the first byte of a request.
+
+The number of connections is limited, and some clients send one request and never close theirs: longer idle
+connections keep new clients in the backlog.
+"""
+REQUEST_TIMEOUT_NS = 2_500 * NS_PER_MS
+"""How long a request may take, from its first byte, or for the first request from the accept, to its last byte."""
+
+_CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+
+
+class RequestTimeoutError(ProtocolError):
+    """The request was not complete in time."""
+
+    def __init__(self) -> None:
+        super().__init__(408, "the request did not become whole in time")
+
+
+class RequestReader:
+    """Reads requests from one connection and moves it through the states that precede :attr:`PROCESSING`."""
+
+    __slots__ = ("arrival", "connection", "queue")
+
+    def __init__(self, connection: DownstreamConnection) -> None:
+        self.connection = connection
+        self.arrival = ArrivalBound(connection.loop, connection.connected_after_ns)
+        self.queue = RequestQueue()
+        """Requests received after the one in progress, and the received part of the next."""
+
+    def read_request(self) -> ReceivedRequest | None:
+        """Block until a request is complete and return it; ``None`` if the connection is to be closed.
+
+        Raises:
+            ProtocolError: the request is malformed, or was not complete in time.
+            OSError: the connection failed.
+        """
+        connection = self.connection
+        if self.queue.has_input:
+            connection.loop.sleep(0)  # other tasks run before the next pipelined request of this client
+        request = self._next_buffered_request() or self._receive_request()
+        if request is not None:
+            connection.close_requested_in = None
+            connection.evicted = False
+        return request
+
+    def read_ahead(self) -> bool:
+        """Read available input while a request is in progress; return whether no more was available.
+
+        Every request that is read must be answered.  The deadline of a request is only known once it is read.
+        """
+        try:
+            data = self._receive()
+        except OSError:
+            return False  # the event loop reports the client's close
+        if not data:
+            return data is None
+        self.queue.feed(data, self.arrival.received_after_ns)
+        return len(data) < RECEIVE_BYTES
+
+    def _next_buffered_request(self) -> ReceivedRequest | None:
+        """Leave the state of the previous request; return the next one if it was received meanwhile."""
+        connection = self.connection
+        if connection.state is ConnectionState.ACCEPTED:
+            connection.transition(TransitionCause.READING_STARTED)
+            return None
+        connection.since_ns = connection.loop.now()
+        request = self.queue.take()
+        if request is not None:
+            connection.transition(TransitionCause.RESPONSE_COMPLETE_REQUEST_BUFFERED)
+        elif self.queue.has_input:
+            connection.transition(TransitionCause.RESPONSE_COMPLETE_INPUT_BUFFERED)
+        else:
+            connection.transition(TransitionCause.RESPONSE_COMPLETE)
+        return request
+
+    def _receive_request(self) -> ReceivedRequest | None:
+        """Read until a request is complete; return ``None`` if the connection is to be closed."""
+        connection = self.connection
+        wait_first = self._should_wait_first()
+        continue_sent = False
+        request = None
+        while request is None:
+            continue_sent = continue_sent or self._send_continue()
+            data = None if wait_first and not connection.close_requested else self._receive()
+            wait_first = False
+            if data is None:
+                if connection.close_requested:
+                    self._reject_incomplete_request()
+                    return None
+                self._wait_for_bytes()
+                continue
+            if not data:
+                return None
+            self._start_or_check_request_time()
+            self.queue.feed(data, self.arrival.received_after_ns)
+            request = self.queue.take()
+        connection.transition(TransitionCause.REQUEST_COMPLETE)
+        return request
+
+    def _should_wait_first(self) -> bool:
+        """Return whether to wait for input before the first ``recv``, which would most likely find none.
+
+        True right after a response, unless writing it stalled: bytes may have arrived unnoticed meanwhile.
+        """
+        write_stalled = self.connection.write_stalled
+        self.connection.write_stalled = False
+        return self.connection.state is ConnectionState.IDLE and not write_stalled
+
+    def _reject_incomplete_request(self) -> None:
+        """Raise the error that gives an incomplete request its response; do nothing if no byte of it was received."""
+        if self.connection.state is ConnectionState.READING_REQUEST:
+            raise RequestTimeoutError
+
+    def _send_continue(self) -> bool:
+        """Send ``100 Continue`` to a client that waits for it before it sends the body; return whether it was sent."""
+        head = self.queue.parser.pending_head
+        if head is None or not head.expects_continue:
+            return False
+        self.connection.write(_CONTINUE)
+        return True
+
+    def _receive(self) -> bytes | None:
+        """Return the available bytes, empty if the client closed its sending side; ``None`` if there are none."""
+        called_ns = self.connection.loop.now()
+        try:
+            data = self.connection.sock.recv(RECEIVE_BYTES)
+        except BlockingIOError:
+            self.arrival.note_empty(called_ns)
+            return None
+        self.arrival.note_received(called_ns, is_drained=len(data) < RECEIVE_BYTES)
+        return data
+
+    def _wait_for_bytes(self) -> None:
+        connection = self.connection
+        watched_since_ns = connection.loop.now()
+
+        def handle_readable(_: int) -> None:
+            self.arrival.note_readable(watched_since_ns)
+            connection.wake_up.set()
+
+        connection.loop.register(connection.fd, READABLE, handle_readable)
+        reason = connection.wake_up.wait(self._read_deadline_ns())
+        connection.loop.unregister(connection.fd)
+        if reason is WakeReason.TIMEOUT:
+            # Race: bytes may have arrived between the poll that saw none and the close.  Read again before closing.
+            connection.close_requested_in = connection.state
+
+    def _read_deadline_ns(self) -> int:
+        """Return until when to wait for input.
+
+        The limit of a request counts from its first byte, so that a client cannot extend it by sending slowly.
+        """
+        connection, shutdown = self.connection, self.connection.shutdown
+        is_reading = connection.state is ConnectionState.READING_REQUEST
+        deadline_ns = connection.since_ns + (REQUEST_TIMEOUT_NS if is_reading else CLIENT_IDLE_TIMEOUT_NS)
+        return min(deadline_ns, shutdown.last_request_ns) if shutdown.closing else deadline_ns
+
+    def _start_or_check_request_time(self) -> None:
+        """Start the time of a request at its first bytes; check that later bytes were received within it."""
+        connection = self.connection
+        if connection.state is not ConnectionState.READING_REQUEST:
+            if connection.state is ConnectionState.IDLE:  # the first request's time starts with the connection
+                connection.since_ns = connection.loop.now()
+            connection.transition(TransitionCause.FIRST_BYTES_RECEIVED)
+        elif self.arrival.received_after_ns > connection.since_ns + REQUEST_TIMEOUT_NS:
+            raise RequestTimeoutError
--- a/lugtally/downstream/server.py
+++ b/lugtally/downstream/server.py
@@ -10,12 +10,15 @@
 from lugtally.address import Address
 from lugtally.dispatch import UNKNOWN_TENANT, Dispatcher, Rejected
 from lugtally.downstream.acceptor import ConnectionAcceptor
-from lugtally.downstream.connection import ClientStatus, DownstreamConnection, RequestTimeoutError
+from lugtally.downstream.closing import discard_input, lingering_close
+from lugtally.downstream.connection import ClientStatus, DownstreamConnection
 from lugtally.downstream.connection_state import TransitionCause
 from lugtally.downstream.exchange import Exchange, ExchangeServices
 from lugtally.downstream.graceful_shutdown import GracefulShutdown
 from lugtally.downstream.health import HEALTH_PATH, HealthCheckPacer
 from lugtally.downstream.listener import adopt_listener, bind_listener
+from lugtally.downstream.request_queue import ReceivedRequest
+from lugtally.downstream.request_reader import RequestReader, RequestTimeoutError
 from lugtally.downstream.responses import (
     Response,
     StreamedResponse,
@@ -114,8 +117,9 @@
         """Answer the requests of a connection, one after the other, until it is over."""
         try:
             connection.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            while (message := connection.read_request()) is not None:
-                if not self._handle_request(connection, message):
+            reader = RequestReader(connection)
+            while (request := reader.read_request()) is not None:
+                if not self._handle_request(reader, request):
                     return
         except ProtocolError as error:
             self._reject_malformed(connection, error)
@@ -128,10 +132,11 @@
             self._open.discard(connection)
             self._connection_closed.set()
 
-    def _handle_request(self, connection: DownstreamConnection, message: Message) -> bool:
+    def _handle_request(self, reader: RequestReader, request: ReceivedRequest) -> bool:
         """Answer one request; return whether its connection may carry another."""
+        connection = reader.connection
         try:
-            response = self._respond(connection, message)
+            response = self._respond(reader, request)
         except Exception:
             # A fault of the sidecar must not lose a request that has been taken.
             logger.exception("answering a request failed", event="downstream.request_failed")
@@ -140,18 +145,18 @@
             return False
         if isinstance(response, StreamedResponse):
             if response.closes:
-                connection.lingering_close()
+                lingering_close(connection)
             return not response.closes
         if 400 <= response.status < 500 and connection.client_status is ClientStatus.ACTIVE:
             connection.client_status = ClientStatus.AT_FAULT
-        close = self._closes_after(connection, message)
+        close = self._closes_after(reader, request.message)
         data = serialize_response(*response, close=close)
         response = None  # a slow client takes long: its response is then held once, not twice
         connection.transition(TransitionCause.RESPONSE_STARTED)
         if not connection.write(data):
             return False
         if close:
-            connection.lingering_close()
+            lingering_close(connection)
         return not close
 
     @staticmethod
@@ -159,9 +164,9 @@
         """Give a request that cannot be read its response, the last one of its connection."""
         connection.start_discarding()
         if connection.write(serialize_response(*protocol_error_response(error), close=True)):
-            connection.discard_input(was_slow=isinstance(error, RequestTimeoutError))
+            discard_input(connection, was_slow=isinstance(error, RequestTimeoutError))
 
-    def _closes_after(self, connection: DownstreamConnection, message: Message) -> bool:
+    def _closes_after(self, reader: RequestReader, message: Message) -> bool:
         """Return whether a connection ends with the response to this request.
 
         Requests that have been read behind it are answered first.  Of one that has been read in part the rest is
@@ -169,11 +174,11 @@
         """
         if not message.keep_alive:
             return True
-        if connection.requests.has_request:
+        if reader.queue.has_request:
             return False
-        if connection.client_status is not ClientStatus.ACTIVE:
+        if reader.connection.client_status is not ClientStatus.ACTIVE:
             return True
-        return not (connection.requests.has_input or self._may_keep_alive())
+        return not (reader.queue.has_input or self._may_keep_alive())
 
     def _may_read_ahead(self, connection: DownstreamConnection, message: Message) -> bool:
         """Return whether requests behind this one are read before it is answered, and the connection kept for them."""
@@ -193,8 +198,9 @@
 
     # ------------------------------------------------------------ requests
 
-    def _respond(self, connection: DownstreamConnection, message: Message) -> FinalResponse | None:
+    def _respond(self, reader: RequestReader, request: ReceivedRequest) -> FinalResponse | None:
         """Return the final response to one request; ``None`` where its connection is to be closed without."""
+        message = request.message
         if message.target.partition("?")[0] == HEALTH_PATH:
             self._health_checks.pace()
             return health_response(self.ready and not self.draining)
@@ -202,42 +208,43 @@
             validated = self._validator.validate(message)
         except ProtocolError as error:
             return protocol_error_response(error)
-        time_left_ns = max(0, self._deadline_ns(connection, validated) - self._loop.now())
-        if connection.client_status is ClientStatus.HALF_CLOSED:
+        time_left_ns = max(0, self._deadline_ns(reader, request, validated) - self._loop.now())
+        if reader.connection.client_status is ClientStatus.HALF_CLOSED:
             return rejected_response(Rejected(0))
         rejected = self._dispatcher.reject_if_overloaded(validated.class_index, time_left_ns)
         if rejected is not None:
             return rejected_response(rejected)
-        return self._exchange(connection, message, validated)
+        return self._exchange(reader, request, validated)
 
     def _exchange(
-        self, connection: DownstreamConnection, message: Message, validated: ValidatedRequest
+        self, reader: RequestReader, request: ReceivedRequest, validated: ValidatedRequest
     ) -> FinalResponse | None:
+        message = request.message
         correlation_id = message.header_map["x-correlation-id"]
         self._ids_in_progress.add(correlation_id)
         try:
             tenant_index = self._tenant_indexes.get(message.header_map.get("x-account", ""), UNKNOWN_TENANT)
             exchange = Exchange(
                 self._services,
-                connection,
+                reader,
                 message,
                 validated.class_index,
-                lambda: self._deadline_ns(connection, validated),
+                lambda: self._deadline_ns(reader, request, validated),
                 tenant_index,
-                lambda: self._closes_after(connection, message),
-                lambda: self._may_read_ahead(connection, message),
+                lambda: self._closes_after(reader, message),
+                lambda: self._may_read_ahead(reader.connection, message),
             )
             return exchange.run()
         finally:
             self._ids_in_progress.discard(correlation_id)
 
-    def _deadline_ns(self, connection: DownstreamConnection, validated: ValidatedRequest) -> int:
+    def _deadline_ns(self, reader: RequestReader, request: ReceivedRequest, validated: ValidatedRequest) -> int:
         """Return by when the request must be answered: its time counts from its last byte, not from now.
 
         Requests that were read behind it cannot be answered before it, so it has no more time than they have.
         """
-        deadline_ns = connection.arrived_ns + validated.time_left_ns
-        for next_request in connection.requests:
+        deadline_ns = request.arrived_ns + validated.time_left_ns
+        for next_request in reader.queue:
             if (time_left_ns := self._validator.time_left_ns(next_request.message)) is not None:
                 deadline_ns = min(deadline_ns, next_request.arrived_ns + time_left_ns + PIPELINE_SLACK_NS)
         state = self._shutdown.state
--- a/tests/downstream/test_guards.py
+++ b/tests/downstream/test_guards.py
@@ -5,7 +5,7 @@
 import pytest
 
 from lugtally import balancing
-from lugtally.downstream import connection as downstream_connection
+from lugtally.downstream import closing, request_reader
 from lugtally.eventloop import PEER_CLOSED
 from lugtally.units import NS_PER_MS, NS_PER_S
 from tests.races.fakes import ENDPOINT_A, Sidecar, request
@@ -51,7 +51,7 @@
 
 
 def test_idle_connections_are_evicted_where_they_keep_a_request_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(downstream_connection, "CLIENT_IDLE_TIMEOUT_NS", NEVER_NS)
+    monkeypatch.setattr(request_reader, "CLIENT_IDLE_TIMEOUT_NS", NEVER_NS)
     sidecar = Sidecar(max_clients=2)
 
     def script() -> None:
@@ -93,9 +93,9 @@
 
 def test_the_close_after_a_408_does_not_wait_for_the_client(monkeypatch: pytest.MonkeyPatch) -> None:
     """A request that took so long to be given up has held its connection long enough."""
-    monkeypatch.setattr(downstream_connection, "REQUEST_TIMEOUT_NS", 20 * NS_PER_MS)
-    monkeypatch.setattr(downstream_connection, "LINGER_SILENCE_TIMEOUT_NS", NEVER_NS)
-    monkeypatch.setattr(downstream_connection, "MAX_LINGER_NS", NEVER_NS)
+    monkeypatch.setattr(request_reader, "REQUEST_TIMEOUT_NS", 20 * NS_PER_MS)
+    monkeypatch.setattr(closing, "LINGER_SILENCE_TIMEOUT_NS", NEVER_NS)
+    monkeypatch.setattr(closing, "MAX_LINGER_NS", NEVER_NS)
     sidecar = Sidecar()
 
     def script() -> None:
@@ -109,7 +109,7 @@
 
 def test_a_request_whose_bytes_trickle_in_has_no_more_time_than_another(monkeypatch: pytest.MonkeyPatch) -> None:
     """A byte is there at each poll, so that no wait for one ever lasts until the time is over."""
-    monkeypatch.setattr(downstream_connection, "REQUEST_TIMEOUT_NS", 20 * NS_PER_MS)
+    monkeypatch.setattr(request_reader, "REQUEST_TIMEOUT_NS", 20 * NS_PER_MS)
     sidecar = Sidecar()
     answered: list[bytes] = []
 
--- a/tests/races/test_closing.py
+++ b/tests/races/test_closing.py
@@ -15,7 +15,7 @@
 
 from lugtally import balancing
 from lugtally.address import Address
-from lugtally.downstream import acceptor
+from lugtally.downstream import acceptor, closing, request_reader
 from lugtally.downstream import connection as downstream_connection
 from lugtally.eventloop import Event, WakeReason
 from lugtally.units import NS_PER_MS
@@ -69,7 +69,7 @@
 
 def test_a_request_that_comes_as_its_resting_connection_is_closed_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
     """It came between the poll that saw nothing and the closing: the client got a reset."""
-    monkeypatch.setattr(downstream_connection, "CLIENT_IDLE_TIMEOUT_NS", 20 * NS_PER_MS)
+    monkeypatch.setattr(request_reader, "CLIENT_IDLE_TIMEOUT_NS", 20 * NS_PER_MS)
     sidecar = Sidecar()
     waited = Event.wait
     sent: list[int] = []
@@ -85,7 +85,7 @@
                 and any(self is one.wake_up for one in sidecar.downstream._open)
             ):
                 sent.append(1)
-                monkeypatch.setattr(downstream_connection, "CLIENT_IDLE_TIMEOUT_NS", 5_000 * NS_PER_MS)
+                monkeypatch.setattr(request_reader, "CLIENT_IDLE_TIMEOUT_NS", 5_000 * NS_PER_MS)
                 client.send(request("read"))
             return reason
 
@@ -183,8 +183,8 @@
 def test_a_client_at_fault_has_its_answer_and_its_end_within_three_seconds() -> None:
     """One that sent on for good was held for 4 s; one too slow for 2.5 s, and then as long as any other."""
     margin = 100 * NS_PER_MS
-    assert downstream_connection.MAX_LINGER_NS + margin < 3_000 * NS_PER_MS
-    assert downstream_connection.REQUEST_TIMEOUT_NS + downstream_connection.SHORT_LINGER_NS + margin < 3_000 * NS_PER_MS
+    assert closing.MAX_LINGER_NS + margin < 3_000 * NS_PER_MS
+    assert request_reader.REQUEST_TIMEOUT_NS + closing.SHORT_LINGER_NS + margin < 3_000 * NS_PER_MS
     for slow in (True, False):
         sidecar = Sidecar()
 
@@ -201,9 +201,9 @@
             sidecar.wait_until(lambda: not sidecar.downstream.open)
 
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(downstream_connection, "REQUEST_TIMEOUT_NS", 10 * NS_PER_MS)
-            patch.setattr(downstream_connection, "MAX_LINGER_NS", 50 * NS_PER_MS)
-            patch.setattr(downstream_connection, "SHORT_LINGER_NS", 50 * NS_PER_MS)
+            patch.setattr(request_reader, "REQUEST_TIMEOUT_NS", 10 * NS_PER_MS)
+            patch.setattr(closing, "MAX_LINGER_NS", 50 * NS_PER_MS)
+            patch.setattr(closing, "SHORT_LINGER_NS", 50 * NS_PER_MS)
             sidecar.run(script)
 
 
