--- a/lugtally/downstream/acceptor.py
+++ b/lugtally/downstream/acceptor.py
@@ -8,6 +8,7 @@
 from loguru import logger
 
 from lugtally.downstream.connection import DownstreamConnection
+from lugtally.downstream.connection_policy import select_for_eviction
 from lugtally.downstream.listener import LISTEN_BACKLOG
 from lugtally.downstream.shutdown_state import ShutdownState
 from lugtally.eventloop import READABLE, Event, EventLoop, Task, WakeReason
@@ -127,13 +128,7 @@
 
     def _make_room(self, deadline_ns: int) -> WakeReason:
         """Evict a connection, if one may be, and wait until any has closed, at most until the deadline."""
-        now_ns = self._loop.now()
-        evictable = [connection for connection in self._connections if connection.may_evict(now_ns)]
-        if evictable:
-            min(evictable, key=_eviction_order).evict()
+        connection = select_for_eviction(self._connections, self._loop.now())
+        if connection is not None:
+            connection.evict()
         return self._connection_closed.wait(deadline_ns)
-
-
-def _eviction_order(connection: DownstreamConnection) -> tuple[bool, bool, int]:
-    """Put those that carry nothing more first, those of which a request has begun to come last; then the oldest."""
-    return connection.is_reading and not connection.idle, not connection.is_lingering, connection.since_ns
