--- a/tests/races/test_after_end.py
+++ b/tests/races/test_after_end.py
@@ -3,10 +3,12 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from typing import Any
 
 import pytest
 
 from lugtally import balancing
+from lugtally.dispatch import Dispatcher, Failed, PendingRequest
 from lugtally.eventloop import READABLE, Event, EventLoop
 from lugtally.units import NS_PER_MS, NS_PER_S
 from lugtally.upstream import pool
@@ -253,3 +255,24 @@
         assert client.read().startswith(b"HTTP/1.1 200")
 
     sidecar.run(script)
+
+
+def test_response_after_request_failed_is_not_sent(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The client receives the 502 that the counters have, although the attempt was served."""
+    attempt_finished = Dispatcher.attempt_finished
+
+    def fail_before_result(self: Dispatcher, pending: PendingRequest, number: int, *arguments: Any) -> bool:
+        self._finish(pending, Failed())
+        return attempt_finished(self, pending, number, *arguments)
+
+    def script() -> None:
+        client = sidecar.client(sidecar.listen_with_one_endpoint())
+        client.send(request("read"))
+        connection = sidecar.server.accept()
+        connection.read_head()
+        monkeypatch.setattr(Dispatcher, "attempt_finished", fail_before_result)
+        connection.respond()
+        assert client.read().startswith(b"HTTP/1.1 502")
+
+    sidecar.run(script)
+    assert sidecar.dispatcher.request_counts()["failed"] == 1
--- /dev/null
+++ b/tests/races/test_truncated_streams.py
@@ -0,0 +1,98 @@
+"""Long responses that are truncated, stall or are too long, before the sidecar streams them and at their end."""
+
+from __future__ import annotations
+
+import pytest
+
+from lugtally import balancing
+from lugtally.units import NS_PER_MS
+from tests.races.fakes import ENDPOINT_A, Sidecar, request
+from tests.races.streaming import (
+    BODY_BYTES,
+    FRAMINGS,
+    HEADS,
+    body_of,
+    finish_stream,
+    read_response,
+    send_unless_closed,
+    start_stream,
+)
+from tests.races.test_attempts import leave
+
+
+def retry_once(event: balancing.Event) -> list[balancing.Action]:
+    """Send each request, retry it once where that failed, and then fail it."""
+    if isinstance(event, balancing.Request):
+        return [balancing.SendAttempt(event.id, ENDPOINT_A, event.time_left_ns)]
+    if isinstance(event, balancing.AttemptFinished) and not event.request_finished:
+        if event.attempt:
+            return [balancing.FailRequest(event.request_id)]
+        return [balancing.SendAttempt(event.request_id, ENDPOINT_A, 5_000 * NS_PER_MS)]
+    return []
+
+
+@pytest.mark.parametrize(
+    ("framing", "how"),
+    # A body without length or chunks that ends by a close cannot be told from a complete one.
+    [("length", "close"), ("length", "reset"), ("chunked", "close"), ("chunked", "reset"), ("until close", "reset")],
+)
+@pytest.mark.parametrize("body_bytes", [0, 1, 60_000])
+def test_body_truncated_while_buffered_is_retried(body_bytes: int, framing: str, how: str, sidecar: Sidecar) -> None:
+    """Nothing of it has reached the client, so that another attempt can serve the request."""
+
+    def script() -> None:
+        address = sidecar.listen_with_one_endpoint()
+        sidecar.balancer.decide = retry_once
+        client = sidecar.client(address)
+        client.send(request("read"))
+        connection = sidecar.server.accept()
+        connection.read_head()
+        prefix = body_of(0, body_bytes)
+        if framing == "chunked":
+            prefix = b"%x\r\n%b" % (BODY_BYTES, prefix)
+        send_unless_closed(connection, HEADS[framing] + prefix)
+        leave(connection.sock, how)
+        retry = sidecar.server.accept()
+        retry.read_head()
+        start_stream(retry, 1, framing)
+        finish_stream(retry, 1, framing)
+        assert read_response(client).body() == body_of(1)
+
+    sidecar.run(script)
+    assert sidecar.balancer.attempt_results() == [balancing.AttemptResult.RESET, balancing.AttemptResult.OK]
+
+
+@pytest.mark.parametrize("framing", FRAMINGS)
+def test_body_stalled_while_buffered_fails_at_deadline(framing: str, sidecar: Sidecar) -> None:
+    """The request's deadline ends the attempt, and the client receives a 502."""
+
+    def script() -> None:
+        client = sidecar.client(sidecar.listen_with_one_endpoint())
+        client.send(request("read").replace(b"5.000", b"1.000"))
+        connection = sidecar.server.accept()
+        connection.read_head()
+        prefix = b"%x\r\nab" % BODY_BYTES if framing == "chunked" else b"ab"
+        send_unless_closed(connection, HEADS[framing] + prefix)
+        assert client.read().startswith(b"HTTP/1.1 502")
+
+    sidecar.run(script)
+    assert sidecar.balancer.attempt_results() == [balancing.AttemptResult.TIMEOUT]
+
+
+@pytest.mark.parametrize("framing", ["length", "chunked"])
+def test_bytes_after_streamed_body_are_discarded(framing: str, sidecar: Sidecar) -> None:
+    """Neither this client nor the next request on the upstream connection, which is closed, receives them."""
+
+    def script() -> None:
+        client = sidecar.client(sidecar.listen_with_one_endpoint())
+        client.send(request("read"))
+        connection = sidecar.server.accept()
+        connection.read_head()
+        start_stream(connection, 0, framing)
+        finish_stream(connection, 0, framing)
+        send_unless_closed(connection, b"b" * 100)
+        assert read_response(client).body() == body_of(0)
+        assert connection.read_to_end() == b""
+
+    sidecar.run(script)
+    assert sidecar.upstream.open_connections == 0
