--- a/tests/races/fakes.py
+++ b/tests/races/fakes.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 import socket
+import struct
 from collections.abc import Callable
 from typing import Any
 
@@ -171,6 +172,12 @@
         )
         return PeerConnection(self.loop, self.sock.accept()[0])
 
+    def accept_request(self) -> PeerConnection:
+        """Wait for the next connection and read one request, which has no body."""
+        connection = self.accept()
+        connection.read_head()
+        return connection
+
     def is_idle(self) -> bool:
         """Whether no connection waits, as far as the kernel knows by now."""
         try:
@@ -197,7 +204,7 @@
         )
         self.dispatcher.set_handlers(self.upstream.close_idle_connections, self.endpoint_watcher.watch)
         self.downstream = DownstreamServer(self.loop, self.dispatcher, self.upstream, CLASSES, max_clients)
-        self.stopped = False
+        self.stopped = self.has_shut_down = False
 
     def endpoint_row(self, name: str, state: str = "ready", **fields: Any) -> dict[str, Any]:
         """One row of an endpoint list; each has the address of the one upstream server."""
@@ -215,6 +222,18 @@
         """Whether the listening socket was opened and is closed again."""
         return self.downstream.listener is not None and self.downstream.listener.fileno() < 0
 
+    def keep_running_after_shutdown(self) -> None:
+        """Let the script continue when the sidecar has ended itself; ``has_shut_down`` says that it has."""
+        stop_loop = self.loop.stop
+
+        def stop_with_script() -> None:
+            if self.stopped:
+                stop_loop()
+            else:
+                self.has_shut_down = True
+
+        self.loop.stop = stop_with_script  # type: ignore[method-assign]
+
     def listen_with_one_endpoint(self) -> Address:
         """Accept clients, with one endpoint listed and each request sent there."""
         self.balancer.decide = send_each_request_to(ENDPOINT_A)
@@ -255,8 +274,21 @@
         assert self.stopped, "the loop stopped before the script was over"
 
 
-def request(path: str, request_id: str = "r1", *, method: str = "GET", headers: str = "") -> bytes:
+def request(
+    path: str, request_id: str = "r1", *, method: str = "GET", headers: str = "", time_left_s: float = 5.0
+) -> bytes:
     """Serialize a valid request; ``headers`` are further lines, each with its end."""
     return (
-        f"{method} /{path} HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: {request_id}\r\nX-Time-Left: 5.000\r\n{headers}\r\n"
+        f"{method} /{path} HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: {request_id}\r\n"
+        f"X-Time-Left: {time_left_s:.3f}\r\n{headers}\r\n"
     ).encode()
+
+
+def disconnect(sock: socket.socket, how: str) -> None:
+    """End one side of a connection: by ``close``, by ``reset``, or by ``half`` for a half-close."""
+    if how == "half":
+        sock.shutdown(socket.SHUT_WR)
+        return
+    if how == "reset":
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    sock.close()
--- a/tests/races/streaming.py
+++ b/tests/races/streaming.py
@@ -9,8 +9,7 @@
 
 from lugtally import balancing
 from lugtally.eventloop import READABLE, WakeReason
-from tests.races.fakes import ENDPOINT_A, MAX_WAIT_NS, PeerConnection, Sidecar, request
-from tests.races.test_attempts import leave
+from tests.races.fakes import ENDPOINT_A, MAX_WAIT_NS, PeerConnection, Sidecar, disconnect, request
 
 BODY_BYTES = 100_000
 STREAMED_PREFIX_BYTES = 70_000
@@ -102,7 +101,7 @@
 
 def truncate_stream(connection: PeerConnection, framing: str) -> None:
     """End the connection within the body: by a reset where a close would mark the end of the body."""
-    leave(connection.sock, "reset" if framing == "until close" else "close")
+    disconnect(connection.sock, "reset" if framing == "until close" else "close")
 
 
 def hedge_each_request(event: balancing.Event) -> list[balancing.Action]:
--- a/tests/races/test_after_end.py
+++ b/tests/races/test_after_end.py
@@ -13,8 +13,8 @@
 from lugtally.units import NS_PER_MS, NS_PER_S
 from lugtally.upstream import pool
 from lugtally.upstream.connection import UpstreamConnection
-from tests.races.fakes import ENDPOINT_A, MAX_WAIT_NS, PeerConnection, Sidecar, request
-from tests.races.test_attempts import leave, serve_one
+from tests.races.fakes import ENDPOINT_A, MAX_WAIT_NS, PeerConnection, Sidecar, disconnect, request
+from tests.races.test_attempts import serve_one
 
 LONG_NS = 9 * NS_PER_S
 """What a balancer at fault gives an attempt: far more than its request has left."""
@@ -47,9 +47,10 @@
     monkeypatch.setattr(UpstreamConnection, "connect", connect_held)
 
 
-def test_a_connection_that_comes_up_after_the_deadline_carries_no_request(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_connection_that_comes_up_after_the_deadline_carries_no_request(
+    monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar
+) -> None:
     """The time that the balancer gave the attempt was asked for, not the request's own."""
-    sidecar = Sidecar()
     hold_dials(monkeypatch, lambda _: end_time_left(sidecar))
 
     def script() -> None:
@@ -65,9 +66,8 @@
     assert sidecar.balancer.attempt_results()[0] in balancing.NOT_PROCESSED
 
 
-def test_an_attempt_decided_on_before_a_stall_is_not_begun_after_the_deadline() -> None:
+def test_an_attempt_decided_on_before_a_stall_is_not_begun_after_the_deadline(sidecar: Sidecar) -> None:
     """The process stood still between the decision and the attempt."""
-    sidecar = Sidecar()
 
     def decide(event: balancing.Event) -> list[balancing.Action]:
         if isinstance(event, balancing.Request):
@@ -85,9 +85,7 @@
     assert sidecar.balancer.attempt_results() == NOT_BEGUN
 
 
-def test_a_retry_whose_backoff_ends_after_the_deadline_is_not_begun() -> None:
-    sidecar = Sidecar()
-
+def test_a_retry_whose_backoff_ends_after_the_deadline_is_not_begun(sidecar: Sidecar) -> None:
     def decide(event: balancing.Event) -> list[balancing.Action]:
         if isinstance(event, balancing.AttemptFinished) and event.attempt == 0:
             return [balancing.SetTimer(NS_PER_MS, balancing.RetryTimer(event.request_id))]
@@ -100,8 +98,7 @@
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         sidecar.balancer.decide = decide
         client.send(request("read"))
-        connection = sidecar.server.accept()
-        connection.read_head()
+        connection = sidecar.server.accept_request()
         connection.sock.close()
         assert client.read().startswith(b"HTTP/1.1 50")
         sidecar.wait_until(lambda: not sidecar.dispatcher.in_progress)
@@ -110,16 +107,14 @@
     sidecar.run(script)
 
 
-def test_an_attempt_in_flight_ends_with_its_request() -> None:
+def test_an_attempt_in_flight_ends_with_its_request(sidecar: Sidecar) -> None:
     """The client's time is over; the server's answer could go nowhere."""
-    sidecar = Sidecar()
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         sidecar.balancer.decide = send_to_endpoint
-        client.send(request("read").replace(b"5.000", b"1.000"))
-        connection = sidecar.server.accept()
-        connection.read_head()
+        client.send(request("read", time_left_s=1.0))
+        connection = sidecar.server.accept_request()
         assert connection.read_to_end() == b""
         assert client.read().startswith(b"HTTP/1.1 503")
 
@@ -129,9 +124,8 @@
 
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
 def test_nothing_is_written_for_a_client_that_leaves_while_its_attempt_dials(
-    how: str, monkeypatch: pytest.MonkeyPatch
+    how: str, monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar
 ) -> None:
-    sidecar = Sidecar()
     may_go_on = Event(sidecar.loop)
     hold_dials(monkeypatch, lambda loop: may_go_on.wait(loop.now() + MAX_WAIT_NS) and None)
 
@@ -139,7 +133,7 @@
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         client.send(request("read"))
         sidecar.wait_until(lambda: sidecar.upstream.open_connections == 1)
-        leave(client.sock, how)
+        disconnect(client.sock, how)
         may_go_on.set()  # in the same turn: the loop has not heard of the client's end yet
         assert sidecar.server.accept().read_to_end() == b""
         sidecar.wait_until(lambda: not sidecar.dispatcher.in_progress)
@@ -150,10 +144,8 @@
 
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
 def test_nothing_is_written_for_a_client_that_leaves_while_its_connection_settles(
-    how: str, monkeypatch: pytest.MonkeyPatch
+    how: str, monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar
 ) -> None:
-    sidecar = Sidecar()
-
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
         kept = serve_one(sidecar, sidecar.client(address))
@@ -161,7 +153,7 @@
         client = sidecar.client(address)
         client.send(request("read"))
         sidecar.wait_until(lambda: ENDPOINT_A in sidecar.upstream._settling)
-        leave(client.sock, how)
+        disconnect(client.sock, how)
         sidecar.wait_until(lambda: not sidecar.dispatcher.in_progress)
         assert not sidecar.loop.is_ready(kept.sock.fileno(), READABLE)
         assert sidecar.server.is_idle()
@@ -171,16 +163,15 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
-def test_nothing_is_begun_for_a_client_that_leaves_in_backoff(how: str) -> None:
+def test_nothing_is_begun_for_a_client_that_leaves_in_backoff(how: str, sidecar: Sidecar) -> None:
     """Its retry is due at the moment of its end; the balancer knows no better than to send it."""
-    sidecar = Sidecar()
     clients: list[PeerConnection] = []
 
     def decide(event: balancing.Event) -> list[balancing.Action]:
         if isinstance(event, balancing.AttemptFinished) and event.attempt == 0:
             return [balancing.SetTimer(NS_PER_MS, balancing.RetryTimer(event.request_id))]
         if isinstance(event, balancing.TimerFired) and isinstance(event.timer, balancing.RetryTimer):
-            leave(clients[0].sock, how)  # since the loop's last poll
+            disconnect(clients[0].sock, how)  # since the loop's last poll
             return [balancing.SendAttempt(event.timer.request_id, ENDPOINT_A, LONG_NS)]
         return send_to_endpoint(event)
 
@@ -188,8 +179,7 @@
         clients.append(sidecar.client(sidecar.listen_with_one_endpoint()))
         sidecar.balancer.decide = decide
         clients[0].send(request("read"))
-        connection = sidecar.server.accept()
-        connection.read_head()
+        connection = sidecar.server.accept_request()
         connection.sock.close()
         sidecar.wait_until(lambda: len(sidecar.balancer.attempt_results()) == 2)
         while sidecar.loop.is_ready(sidecar.server.sock.fileno(), READABLE):  # it may have been dialled, no more
@@ -202,10 +192,9 @@
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
 @pytest.mark.parametrize("ordered_on", [balancing.Request, balancing.ClientDisconnected])
 def test_an_attempt_decided_on_in_the_turn_of_its_clients_end_is_not_begun(
-    ordered_on: type[balancing.Event], how: str
+    ordered_on: type[balancing.Event], how: str, sidecar: Sidecar
 ) -> None:
     """The order to start it lies before the end in the queue of decisions, and its task is started all the same."""
-    sidecar = Sidecar()
 
     def decide(event: balancing.Event) -> list[balancing.Action]:
         if not isinstance(event, ordered_on):
@@ -223,7 +212,7 @@
         sidecar.balancer.decide = decide
         client.send(request("read"))
         sidecar.wait_until(lambda: len(sidecar.balancer.events) > 1)
-        leave(client.sock, how)
+        disconnect(client.sock, how)
         sidecar.wait_until(lambda: bool(sidecar.balancer.attempt_results()))
         assert sidecar.server.is_idle(), "a connection was opened for it"
         assert not sidecar.dispatcher.in_progress
@@ -232,9 +221,8 @@
     assert sidecar.balancer.attempt_results() == NOT_BEGUN
 
 
-def test_a_request_that_the_balancer_fails_on_is_answered_and_the_next_one_served() -> None:
+def test_a_request_that_the_balancer_fails_on_is_answered_and_the_next_one_served(sidecar: Sidecar) -> None:
     """It waited for its deadline, and got 502, which says that it may have run."""
-    sidecar = Sidecar()
 
     def decide(event: balancing.Event) -> list[balancing.Action]:
         if isinstance(event, balancing.Request) and event.id == "1":
@@ -249,8 +237,7 @@
         assert client.read().startswith(b"HTTP/1.1 503")
         assert sidecar.loop.now() - began_ns < LONG_NS, "it waited for its deadline"
         client.send(request("read", "r2"))
-        connection = sidecar.server.accept()
-        connection.read_head()
+        connection = sidecar.server.accept_request()
         connection.respond()
         assert client.read().startswith(b"HTTP/1.1 200")
 
@@ -268,8 +255,7 @@
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         client.send(request("read"))
-        connection = sidecar.server.accept()
-        connection.read_head()
+        connection = sidecar.server.accept_request()
         monkeypatch.setattr(Dispatcher, "attempt_finished", fail_before_result)
         connection.respond()
         assert client.read().startswith(b"HTTP/1.1 502")
--- a/tests/races/test_arrival.py
+++ b/tests/races/test_arrival.py
@@ -14,13 +14,15 @@
 from tests.races.fakes import PeerConnection, Sidecar, request
 from tests.races.processes import SidecarProcess
 
-TIME_LEFT = "X-Time-Left: 0.300"
+SHORT_TIME_LEFT_S = 0.3
 STALL_S = 0.5
+STALL_NS = 500 * NS_PER_MS
+"""Longer than a short request has."""
 
 
 def short_request(request_id: str) -> bytes:
     """Serialize a request whose client waits for 0.3 s."""
-    return request("read", request_id).replace(b"X-Time-Left: 5.000", TIME_LEFT.encode())
+    return request("read", request_id, time_left_s=SHORT_TIME_LEFT_S)
 
 
 def requests_submitted(sidecar: Sidecar) -> list[balancing.Request]:
@@ -37,17 +39,15 @@
 def serve_first_request(sidecar: Sidecar, client: PeerConnection) -> PeerConnection:
     """Serve one request of a client; return the endpoint's connection."""
     client.send(request("read", "first"))
-    connection = sidecar.server.accept()
-    connection.read_head()
+    connection = sidecar.server.accept_request()
     connection.respond()
     assert client.read().startswith(b"HTTP/1.1 200")
     return connection
 
 
 @pytest.mark.parametrize("kept", [False, True], ids=["new connection", "kept connection"])
-def test_a_request_that_waited_for_a_busy_process_keeps_its_deadline(kept: bool) -> None:
+def test_a_request_that_waited_for_a_busy_process_keeps_its_deadline(kept: bool, sidecar: Sidecar) -> None:
     """Its whole time began anew when it was read: forwarded 0.5 s after its last byte, with 0.3 s to go."""
-    sidecar = Sidecar()
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
@@ -64,16 +64,13 @@
     assert_late_one_was_not_submitted(sidecar)
 
 
-def test_a_pipelined_request_keeps_its_deadline_while_it_waits_for_the_one_before() -> None:
-    sidecar = Sidecar()
-
+def test_a_pipelined_request_keeps_its_deadline_while_it_waits_for_the_one_before(sidecar: Sidecar) -> None:
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         client.send(request("read", "slow"))
-        connection = sidecar.server.accept()
-        connection.read_head()
+        connection = sidecar.server.accept_request()
         client.send(short_request("late"))
-        sidecar.loop.sleep(int(STALL_S * 1000) * NS_PER_MS)
+        sidecar.loop.sleep(STALL_NS)
         connection.respond()
         received = client.read_until(lambda data: data.count(b"HTTP/1.1 ") == 2)
         assert received.startswith(b"HTTP/1.1 200")
@@ -83,15 +80,12 @@
     assert_late_one_was_not_submitted(sidecar)
 
 
-def test_requests_pipelined_at_once_share_the_moment_of_their_arrival() -> None:
-    sidecar = Sidecar()
-
+def test_requests_pipelined_at_once_share_the_moment_of_their_arrival(sidecar: Sidecar) -> None:
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         client.send(request("read", "slow") + short_request("late"))
-        connection = sidecar.server.accept()
-        connection.read_head()
-        sidecar.loop.sleep(int(STALL_S * 1000) * NS_PER_MS)
+        connection = sidecar.server.accept_request()
+        sidecar.loop.sleep(STALL_NS)
         connection.respond()
         received = client.read_until(lambda data: data.count(b"HTTP/1.1 ") == 2)
         assert b"HTTP/1.1 503" in received
@@ -108,11 +102,10 @@
         address = sidecar.listen_with_one_endpoint()
         first = sidecar.client(address)
         first.send(request("read", "slow"))
-        connection = sidecar.server.accept()
-        connection.read_head()
+        connection = sidecar.server.accept_request()
         second = sidecar.client(address)
         second.send(short_request("late"))
-        sidecar.loop.sleep(int(STALL_S * 1000) * NS_PER_MS)
+        sidecar.loop.sleep(STALL_NS)
         connection.respond()
         assert first.read().startswith(b"HTTP/1.1 200")
         first.sock.close()
@@ -122,16 +115,13 @@
     assert_late_one_was_not_submitted(sidecar)
 
 
-def test_the_time_told_to_an_endpoint_is_what_the_client_has_left() -> None:
-    sidecar = Sidecar()
-
+def test_the_time_told_to_an_endpoint_is_what_the_client_has_left(sidecar: Sidecar) -> None:
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         sidecar.loop.sleep(2 * NS_PER_MS)
         client.send(request("read"))
         time.sleep(STALL_S)
-        connection = sidecar.server.accept()
-        connection.read_head()
+        connection = sidecar.server.accept_request()
         connection.respond()
         assert client.read().startswith(b"HTTP/1.1 200")
 
@@ -139,17 +129,15 @@
     assert requests_submitted(sidecar)[0].time_left_ns <= (5_000 - 490) * NS_PER_MS
 
 
-def test_a_request_that_is_read_at_once_has_its_whole_time() -> None:
+def test_a_request_that_is_read_at_once_has_its_whole_time(sidecar: Sidecar) -> None:
     """The bound must not cost a request its time where nothing held it up, however long the loop has been idle."""
-    sidecar = Sidecar()
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         serve_first_request(sidecar, client)
         sidecar.loop.sleep(700 * NS_PER_MS)
         client.send(request("read", "second"))
-        connection = sidecar.server.accept()
-        connection.read_head()
+        connection = sidecar.server.accept_request()
         connection.respond()
         assert client.read().startswith(b"HTTP/1.1 200")
 
@@ -162,16 +150,14 @@
     ]
 
 
-def test_the_time_of_a_slow_response_is_not_taken_from_the_next_request() -> None:
+def test_the_time_of_a_slow_response_is_not_taken_from_the_next_request(sidecar: Sidecar) -> None:
     """The connection was not read from meanwhile, but the loop watched it."""
-    sidecar = Sidecar()
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         client.send(request("read", "slow"))
-        connection = sidecar.server.accept()
-        connection.read_head()
-        sidecar.loop.sleep(int(STALL_S * 1000) * NS_PER_MS)
+        connection = sidecar.server.accept_request()
+        sidecar.loop.sleep(STALL_NS)
         connection.respond()
         assert client.read().startswith(b"HTTP/1.1 200")
         client.send(request("read", "second"))
@@ -192,7 +178,7 @@
             assert client.recv(65536).startswith(b"HTTP/1.1 200")
         time.sleep(0.3)  # the process waits in its poll
         sidecar.process.send_signal(signal.SIGSTOP)
-        client.sendall(request("campaign-read", "late").replace(b"X-Time-Left: 5.000", TIME_LEFT.encode()))
+        client.sendall(request("campaign-read", "late", time_left_s=SHORT_TIME_LEFT_S))
         time.sleep(2 * STALL_S)
         sidecar.process.send_signal(signal.SIGCONT)
         assert client.recv(65536).startswith(b"HTTP/1.1 503")
@@ -213,11 +199,10 @@
 
         clients = [sidecar.client(address) for _ in range(3)]
         clients[0].send(request("read", "slow"))
-        connection = sidecar.server.accept()
-        connection.read_head()
+        connection = sidecar.server.accept_request()
         for number, client in enumerate(clients[1:]):
             client.send(short_request(f"late{number}"))
-        sidecar.loop.sleep(int(STALL_S * 1000) * NS_PER_MS)
+        sidecar.loop.sleep(STALL_NS)
         sidecar.loop._poll_once = poll_slowly  # type: ignore[method-assign]
         connection.respond()
         assert clients[0].read().startswith(b"HTTP/1.1 200")
--- a/tests/races/test_attempts.py
+++ b/tests/races/test_attempts.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import socket
-import struct
 from typing import Any
 
 import pytest
@@ -15,33 +14,21 @@
 from lugtally.units import NS_PER_MS, NS_PER_S
 from lugtally.upstream import attempt, pool
 from lugtally.upstream.connection import UpstreamConnection
-from tests.races.fakes import CLASSES, ENDPOINT_A, ENDPOINT_B, PeerConnection, Sidecar, request
-
-
-def leave(client: socket.socket, how: str) -> None:
-    """End the client's side of a connection: closed, reset, or half closed."""
-    if how == "half":
-        client.shutdown(socket.SHUT_WR)
-        return
-    if how == "reset":
-        client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    client.close()
+from tests.races.fakes import CLASSES, ENDPOINT_A, ENDPOINT_B, PeerConnection, Sidecar, disconnect, request
 
 
 def serve_one(sidecar: Sidecar, client: PeerConnection) -> PeerConnection:
     """Serve a first request; return its upstream connection, which is pooled now."""
     client.send(request("read", "r0"))
-    connection = sidecar.server.accept()
-    connection.read_head()
+    connection = sidecar.server.accept_request()
     connection.respond()
     assert b"200 OK" in client.read()
     return connection
 
 
 @pytest.mark.parametrize("kind", ["new connection", "pooled connection"])
-def test_an_attempt_that_may_no_longer_begin_is_not_written(kind: str) -> None:
+def test_an_attempt_that_may_no_longer_begin_is_not_written(kind: str, sidecar: Sidecar) -> None:
     """While its connection came up the server drained, or the window closed: the request went out all the same."""
-    sidecar = Sidecar()
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
@@ -64,9 +51,8 @@
     assert balancing.AttemptResult.NEVER_SENT in sidecar.balancer.attempt_results()
 
 
-def test_a_long_request_is_broken_off_where_it_may_not_go_on() -> None:
+def test_a_long_request_is_broken_off_where_it_may_not_go_on(sidecar: Sidecar) -> None:
     """A keyed repeat whose last byte waits for a slow reader would come after its window."""
-    sidecar = Sidecar()
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
@@ -97,9 +83,10 @@
 
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
 @pytest.mark.parametrize("pooled", [True, False], ids=["pooled connection", "new connection"])
-def test_nothing_is_begun_for_a_client_that_left_before_its_request_was_read(how: str, pooled: bool) -> None:
+def test_nothing_is_begun_for_a_client_that_left_before_its_request_was_read(
+    how: str, pooled: bool, sidecar: Sidecar
+) -> None:
     """Its end was looked for at the next poll only: over a pooled connection the request had gone out by then."""
-    sidecar = Sidecar()
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
@@ -107,7 +94,7 @@
         connection = serve_one(sidecar, earlier) if earlier is not None else None
         leaver = socket.create_connection(address)  # request and end lie in the backlog together
         leaver.sendall(request("read"))
-        leave(leaver, how)
+        disconnect(leaver, how)
         sidecar.loop.sleep(NS_PER_MS)  # its connection lies in the backlog, which the poll of this turn sees
         sidecar.wait_until(lambda: sidecar.downstream.open == (1 if pooled else 0))
         assert how == "reset" or sidecar.balancer.client_disconnects()
@@ -128,9 +115,8 @@
     assert not results.count(balancing.AttemptResult.CANCELLED), "it was written before it was cancelled"
 
 
-def test_a_client_that_leaves_while_its_request_waits_to_be_sent_again_is_sent_nothing_for() -> None:
+def test_a_client_that_leaves_while_its_request_waits_to_be_sent_again_is_sent_nothing_for(sidecar: Sidecar) -> None:
     """Its backoff ends with it."""
-    sidecar = Sidecar()
 
     def script() -> None:
         def decide(event: balancing.Event) -> list[balancing.Action]:
@@ -145,8 +131,7 @@
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         sidecar.balancer.decide = decide
         client.send(request("read"))
-        connection = sidecar.server.accept()
-        connection.read_head()
+        connection = sidecar.server.accept_request()
         client.sock.close()  # in the same poll as the end of its attempt, whichever is handled first
         connection.sock.close()
         sidecar.wait_until(lambda: bool(sidecar.balancer.client_disconnects()))
@@ -158,16 +143,14 @@
     sidecar.run(script)
 
 
-def test_a_second_answer_some_milliseconds_late_is_nobodys() -> None:
+def test_a_second_answer_some_milliseconds_late_is_nobodys(sidecar: Sidecar) -> None:
     """Second answers came 0.9 to 3.8 ms after the first; connections were used again after 1 ms."""
     assert pool.SETTLE_NS >= 5 * NS_PER_MS
-    sidecar = Sidecar()
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         client.send(request("read", "r0"))
-        connection = sidecar.server.accept()
-        connection.read_head()
+        connection = sidecar.server.accept_request()
         connection.respond(b"first")
         assert client.read().endswith(b"first")
         client.send(request("read", "r1"))
@@ -185,9 +168,8 @@
         sidecar.run(script)
 
 
-def test_attempts_do_not_queue_behind_a_connection_that_settles() -> None:
+def test_attempts_do_not_queue_behind_a_connection_that_settles(sidecar: Sidecar) -> None:
     """One attempt may wait for it; where requests come faster, the next takes a connection of its own."""
-    sidecar = Sidecar()
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
@@ -203,8 +185,7 @@
         first.send(request("read", "r1"))
         sidecar.wait_until(lambda: ENDPOINT_A in sidecar.upstream._settling)
         second.send(request("read", "r2"))
-        other = sidecar.server.accept()
-        other.read_head()
+        other = sidecar.server.accept_request()
         other.respond()
         assert b"200 OK" in second.read()
         assert ENDPOINT_A in sidecar.upstream._settling
--- a/tests/races/test_closing.py
+++ b/tests/races/test_closing.py
@@ -39,15 +39,15 @@
 
 @pytest.mark.parametrize("body", [60_000, 100_004])
 @pytest.mark.parametrize("draining", [False, True], ids=["connection close", "draining"])
-def test_a_client_that_sends_on_still_gets_all_of_the_answer_that_closes(body: int, draining: bool) -> None:
+def test_a_client_that_sends_on_still_gets_all_of_the_answer_that_closes(
+    body: int, draining: bool, sidecar: Sidecar
+) -> None:
     """Closing over unread bytes resets the connection, and the reset takes along what is still on its way."""
-    sidecar = Sidecar()
 
     def script() -> None:
         client = slow_reader(sidecar, sidecar.listen_with_one_endpoint())
         client.send(request("read", headers="" if draining else "Connection: close\r\n"))
-        connection = sidecar.server.accept()
-        connection.read_head()
+        connection = sidecar.server.accept_request()
         if draining:
             sidecar.downstream.drain()
         connection.respond(b"x" * body)
@@ -67,10 +67,11 @@
     sidecar.run(script)
 
 
-def test_a_request_that_comes_as_its_resting_connection_is_closed_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_request_that_comes_as_its_resting_connection_is_closed_is_answered(
+    monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar
+) -> None:
     """It came between the poll that saw nothing and the closing: the client got a reset."""
     monkeypatch.setattr(downstream_connection, "CLIENT_IDLE_TIMEOUT_NS", 20 * NS_PER_MS)
-    sidecar = Sidecar()
     waited = Event.wait
     sent: list[int] = []
 
@@ -91,8 +92,7 @@
 
         monkeypatch.setattr(Event, "wait", wait)
         client = sidecar.client(address)
-        connection = sidecar.server.accept()
-        connection.read_head()
+        connection = sidecar.server.accept_request()
         connection.respond()
         assert client.read().startswith(b"HTTP/1.1 200")
         client.send(request("read", "r2"))  # it is kept, as any other that has just been answered
@@ -111,8 +111,7 @@
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         client.send(request("read"))
-        connection = sidecar.server.accept()
-        connection.read_head()
+        connection = sidecar.server.accept_request()
         sidecar.downstream.drain()
         sidecar.wait_until(sidecar.has_closed_listener)
         # past the last time at which the accepting task looks for room
@@ -120,11 +119,9 @@
         connection.respond()
         assert client.read_to_end().startswith(b"HTTP/1.1 200")
         client.sock.close()
-        sidecar.wait_until(lambda: ended == [True])
+        sidecar.wait_until(lambda: sidecar.has_shut_down)
 
-    ended: list[bool] = []
-    stop = sidecar.loop.stop
-    sidecar.loop.stop = lambda: stop() if sidecar.stopped else ended.append(True)  # type: ignore[method-assign]
+    sidecar.keep_running_after_shutdown()
     sidecar.run(script)
 
 
@@ -136,8 +133,7 @@
         address = sidecar.listen_with_one_endpoint()
         first = sidecar.client(address)
         first.send(request("read"))
-        connection = sidecar.server.accept()
-        connection.read_head()
+        connection = sidecar.server.accept_request()
         second = sidecar.client(address)  # waits in the backlog: the one place is taken
         sidecar.downstream.drain()
         sidecar.wait_until(lambda: sidecar.downstream._shutdown.state.closing)
@@ -149,25 +145,21 @@
         if connection.read_more():
             connection.read_head()
         else:
-            connection = sidecar.server.accept()
-            connection.read_head()
+            connection = sidecar.server.accept_request()
         connection.respond()
         assert second.read_to_end().startswith(b"HTTP/1.1 200")
 
-    stop = sidecar.loop.stop
-    sidecar.loop.stop = lambda: stop() if sidecar.stopped else None  # type: ignore[method-assign]
+    sidecar.keep_running_after_shutdown()
     sidecar.run(script)
 
 
-def test_a_request_sent_on_a_connection_that_is_being_closed_goes_nowhere() -> None:
+def test_a_request_sent_on_a_connection_that_is_being_closed_goes_nowhere(sidecar: Sidecar) -> None:
     """It came after our end of the connection: its client sends it anew, so it must not run here as well."""
-    sidecar = Sidecar()
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         client.send(request("once", method="POST", headers="Connection: close\r\nContent-Length: 0\r\n"))
-        connection = sidecar.server.accept()
-        connection.read_head()
+        connection = sidecar.server.accept_request()
         connection.respond()
         assert client.read_to_end().startswith(b"HTTP/1.1 200")
         client.send(request("once", "r2", method="POST", headers="Content-Length: 0\r\n"))
@@ -249,8 +241,7 @@
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
         sidecar.endpoint_watcher.watch()
-        connection = sidecar.discovery.accept()
-        connection.read_head()
+        connection = sidecar.discovery.accept_request()
         connection.send_endpoint_list(1, False)
         connection.read_head()
         idle_clients = [sidecar.client(address) for _ in range(max_clients + 20)]
@@ -263,8 +254,7 @@
         assert open_descriptors() <= before + 2
         late_client = sidecar.client(address)  # work is served all the same: an idle one is evicted
         late_client.send(request("read"))
-        server = sidecar.server.accept()
-        server.read_head()
+        server = sidecar.server.accept_request()
         server.respond()
         assert late_client.read().startswith(b"HTTP/1.1 200")
         for client in idle_clients:
@@ -275,17 +265,15 @@
 
 @pytest.mark.parametrize("how", ["end", "half a line"])
 def test_a_pledge_connection_that_ends_as_it_is_taken_is_no_reason_to_send_again(
-    how: str, monkeypatch: pytest.MonkeyPatch
+    how: str, monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar
 ) -> None:
     """The other side ends it between the look at it and the write: the request may have run, so it fails, once."""
-    sidecar = Sidecar()
     write_request = attempt.write_request
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         client.send(request("once", "r0", method="POST", headers="Content-Length: 0\r\n"))
-        connection = sidecar.server.accept()
-        connection.read_head()
+        connection = sidecar.server.accept_request()
         connection.respond()
         assert client.read().startswith(b"HTTP/1.1 200")
 
@@ -304,20 +292,20 @@
     assert sidecar.balancer.attempt_results() == [balancing.AttemptResult.OK, balancing.AttemptResult.RESET]
 
 
-def test_a_client_that_never_reads_its_answer_does_not_hold_up_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_client_that_never_reads_its_answer_does_not_hold_up_the_end(
+    monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar
+) -> None:
     """An answer that is not taken for a while is given up, at a planned restart too."""
     monkeypatch.setattr(downstream_connection, "WRITE_STALL_TIMEOUT_NS", 50 * NS_PER_MS)
-    sidecar = Sidecar()
 
     def script() -> None:
         client = slow_reader(sidecar, sidecar.listen_with_one_endpoint())
         client.send(request("read"))
-        connection = sidecar.server.accept()
-        connection.read_head()
+        connection = sidecar.server.accept_request()
         sidecar.downstream.drain()
         connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: 20000000\r\n\r\n")
         sidecar.loop.spawn(lambda: pour(connection))
-        sidecar.wait_until(lambda: ended == [True])
+        sidecar.wait_until(lambda: sidecar.has_shut_down)
 
     def pour(connection: PeerConnection) -> None:
         while (
@@ -328,7 +316,5 @@
             except OSError:
                 return
 
-    ended: list[bool] = []
-    stop = sidecar.loop.stop
-    sidecar.loop.stop = lambda: stop() if sidecar.stopped else ended.append(True)  # type: ignore[method-assign]
+    sidecar.keep_running_after_shutdown()
     sidecar.run(script)
--- a/tests/races/test_connection_limit.py
+++ b/tests/races/test_connection_limit.py
@@ -49,8 +49,7 @@
     held = []
     for number, client in enumerate(clients):
         client.send(request("read", f"{prefix}{number}"))
-        connection = sidecar.server.accept()
-        connection.read_head()
+        connection = sidecar.server.accept_request()
         held.append(connection)
     return held
 
@@ -145,7 +144,7 @@
         sidecar.wait_until(lambda: sidecar.downstream.open == max_clients)
         began_ns = sidecar.loop.now()
         late = sidecar.client(address)
-        late.send(request("read").replace(b"X-Time-Left: 5.000", b"X-Time-Left: 2.000"))
+        late.send(request("read", time_left_s=2.0))
         assert late.read().startswith(b"HTTP/1.1 200")
         waited_ns = sidecar.loop.now() - began_ns
         assert waited_ns < 2 * NS_PER_S, f"it was answered after {waited_ns / NS_PER_MS:.0f} ms"
@@ -201,10 +200,8 @@
 
 @pytest.mark.parametrize("draining", [False, True], ids=["serving", "draining"])
 def test_accepting_goes_on_after_a_time_without_a_free_descriptor(
-    draining: bool, monkeypatch: pytest.MonkeyPatch
+    draining: bool, monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar
 ) -> None:
-    sidecar = Sidecar()
-
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
         respond_to_all(sidecar)
@@ -219,14 +216,14 @@
             client.sock.close()
         assert len(failures) == 5
 
-    stop = sidecar.loop.stop
-    sidecar.loop.stop = lambda: stop() if sidecar.stopped else None  # type: ignore[method-assign]
+    sidecar.keep_running_after_shutdown()
     sidecar.run(script)
 
 
-def test_idle_connections_give_up_their_descriptors_where_none_is_free(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_connections_give_up_their_descriptors_where_none_is_free(
+    monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar
+) -> None:
     """Below the limit on connections nothing was evicted: whoever waited did so until one had rested for 2 s."""
-    sidecar = Sidecar()
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
@@ -266,7 +263,7 @@
         began_ns = sidecar.loop.now()
         crowd = connect(sidecar, address, 20)
         for number, client in enumerate(crowd):
-            client.send(request("read", f"new{number}").replace(b"X-Time-Left: 5.000", b"X-Time-Left: 2.000"))
+            client.send(request("read", f"new{number}", time_left_s=2.0))
         for client in crowd:
             assert client.read().startswith(b"HTTP/1.1 200")
             client.sock.close()
--- a/tests/races/test_discovery.py
+++ b/tests/races/test_discovery.py
@@ -49,9 +49,7 @@
 @pytest.mark.parametrize(
     "death", ["silent at once", "silent later", "half an answer", "reset at rest", "end in a call", "cut answer"]
 )
-def test_a_dead_watch_is_called_anew_at_once(death: str) -> None:
-    sidecar = Sidecar()
-
+def test_a_dead_watch_is_called_anew_at_once(death: str, sidecar: Sidecar) -> None:
     def script() -> None:
         start_watch(sidecar)
         connection = sidecar.discovery.accept()
@@ -82,8 +80,7 @@
 
 @pytest.mark.usefixtures("short_timeouts")
 @pytest.mark.parametrize("death", ["503", "first answer cut", "no JSON", "silent twice", "refused", "never up"])
-def test_a_failed_call_is_reported_to_the_balancer_which_paces_the_next(death: str) -> None:
-    sidecar = Sidecar()
+def test_a_failed_call_is_reported_to_the_balancer_which_paces_the_next(death: str, sidecar: Sidecar) -> None:
     refused = sidecar.discovery.address
 
     def script() -> None:
@@ -97,8 +94,7 @@
                 filler.sock.connect_ex(refused)
         start_watch(sidecar)
         if death not in ("refused", "never up"):
-            connection = sidecar.discovery.accept()
-            connection.read_head()
+            connection = sidecar.discovery.accept_request()
             if death == "503":
                 connection.respond(b"", "503 Busy")
             elif death == "first answer cut":
@@ -135,14 +131,12 @@
 
 
 @pytest.mark.usefixtures("short_timeouts")
-def test_a_move_in_the_pause_after_a_failure_polls_the_new_discovery_at_once() -> None:
+def test_a_move_in_the_pause_after_a_failure_polls_the_new_discovery_at_once(sidecar: Sidecar) -> None:
     """The follower of the old one, waking last, took the wake-up meant for the new one's."""
-    sidecar = Sidecar()
 
     def script() -> None:
         start_watch(sidecar)
-        connection = sidecar.discovery.accept()
-        connection.read_head()
+        connection = sidecar.discovery.accept_request()
         connection.respond(b"", "503 Busy")
         sidecar.wait_until(lambda: sidecar.balancer.endpoint_updates()[-1][0] == "failed")
         sidecar.endpoint_watcher.move_to(sidecar.second_discovery.address)
@@ -167,13 +161,10 @@
 
 
 @pytest.mark.usefixtures("short_timeouts")
-def test_a_list_that_comes_in_the_instant_of_a_move_counts_for_nothing() -> None:
-    sidecar = Sidecar()
-
+def test_a_list_that_comes_in_the_instant_of_a_move_counts_for_nothing(sidecar: Sidecar) -> None:
     def script() -> None:
         start_watch(sidecar)
-        connection = sidecar.discovery.accept()
-        connection.read_head()
+        connection = sidecar.discovery.accept_request()
         connection.send_endpoint_list(
             9, True, sidecar.endpoint_row("s-b", "draining")
         )  # readable at the next poll, as the move is
@@ -188,14 +179,12 @@
 
 
 @pytest.mark.usefixtures("short_timeouts")
-def test_lower_versions_show_that_discovery_has_restarted() -> None:
+def test_lower_versions_show_that_discovery_has_restarted(sidecar: Sidecar) -> None:
     """Its changes would not follow the list at hand: a drain among them has to come with the whole list."""
-    sidecar = Sidecar()
 
     def script() -> None:
         start_watch(sidecar)
-        connection = sidecar.discovery.accept()
-        connection.read_head()
+        connection = sidecar.discovery.accept_request()
         connection.send_endpoint_list(41, False)
         assert "from=41&" in connection.read_head()
         connection.send_endpoint_list(3, False)
@@ -214,14 +203,12 @@
     ids=["cell", "addr", "started_ms", "state", "id"],
 )
 @pytest.mark.parametrize("full", [True, False], ids=["full list", "changes"])
-def test_one_bad_row_does_not_hide_the_drains_of_others(bad: dict[str, Any], full: bool) -> None:
+def test_one_bad_row_does_not_hide_the_drains_of_others(bad: dict[str, Any], full: bool, sidecar: Sidecar) -> None:
     """A whole list was dropped for one row: its drains were never heard of."""
-    sidecar = Sidecar()
 
     def script() -> None:
         start_watch(sidecar)
-        connection = sidecar.discovery.accept()
-        connection.read_head()
+        connection = sidecar.discovery.accept_request()
         connection.send_endpoint_list(
             2, full, sidecar.endpoint_row("s-b", "draining"), sidecar.endpoint_row("s-a", **bad)
         )
@@ -248,13 +235,10 @@
     ],
     ids=["no object", "version as text", "servers as number", "no JSON", "no sound row", "version as boolean"],
 )
-def test_a_list_without_one_sound_row_leaves_the_list_at_hand(body: bytes) -> None:
-    sidecar = Sidecar()
-
+def test_a_list_without_one_sound_row_leaves_the_list_at_hand(body: bytes, sidecar: Sidecar) -> None:
     def script() -> None:
         start_watch(sidecar)
-        connection = sidecar.discovery.accept()
-        connection.read_head()
+        connection = sidecar.discovery.accept_request()
         connection.respond(body)
         sidecar.wait_until(lambda: sidecar.balancer.endpoint_updates()[-1][0] == "failed")
         sidecar.endpoint_watcher.watch()
@@ -269,15 +253,15 @@
 
 
 @pytest.mark.usefixtures("short_timeouts")
-def test_an_update_that_could_not_be_applied_is_requested_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_update_that_could_not_be_applied_is_requested_again(
+    monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar
+) -> None:
     """The version counts as applied only when its list has been."""
-    sidecar = Sidecar()
     failing_apply = FailingApply(sidecar)
 
     def script() -> None:
         start_watch(sidecar)
-        connection = sidecar.discovery.accept()
-        connection.read_head()
+        connection = sidecar.discovery.accept_request()
         monkeypatch.setattr(sidecar.endpoint_watcher, "_apply_update", failing_apply.apply)
         connection.send_endpoint_list(2, False, sidecar.endpoint_row("s-b", "draining"))
         sidecar.wait_until(lambda: sidecar.balancer.endpoint_updates()[-1][0] == "failed")
@@ -318,9 +302,8 @@
     assert len({endpoint.zone for endpoint in endpoints}) == 2
 
 
-def test_two_tasks_may_wait_for_one_signal() -> None:
+def test_two_tasks_may_wait_for_one_signal(sidecar: Sidecar) -> None:
     """Whoever woke first forgot the other, which then slept for good."""
-    sidecar = Sidecar()
     event = Event(sidecar.loop)
     reasons: list[WakeReason] = []
 
--- a/tests/races/test_discovery_answers.py
+++ b/tests/races/test_discovery_answers.py
@@ -28,9 +28,8 @@
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
 
 
-def test_a_list_that_came_twice_does_not_hold_up_the_next() -> None:
+def test_a_list_that_came_twice_does_not_hold_up_the_next(sidecar: Sidecar) -> None:
     """The second copy was taken as the answer to the next call, whose own answer lay unread until more came."""
-    sidecar = Sidecar()
 
     def script() -> None:
         connection = start_watch(sidecar)
@@ -44,10 +43,9 @@
     sidecar.run(script)
 
 
-def test_a_list_that_comes_between_two_calls_answers_neither(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_list_that_comes_between_two_calls_answers_neither(monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar) -> None:
     """An unchanged list is followed by a pause; what comes in it was taken as the answer to the next call."""
     monkeypatch.setattr(timing, "EMPTY_RESPONSE_PAUSE_NS", MAX_WAIT_NS)
-    sidecar = Sidecar()
     loop_sleep = sidecar.loop.sleep
 
     def script() -> None:
--- a/tests/races/test_half_close.py
+++ b/tests/races/test_half_close.py
@@ -7,7 +7,6 @@
 from __future__ import annotations
 
 import socket
-import struct
 
 import pytest
 
@@ -16,7 +15,7 @@
 from lugtally.downstream.connection import DownstreamConnection
 from lugtally.eventloop import PEER_CLOSED, READABLE, WakeReason
 from lugtally.units import NS_PER_MS, NS_PER_S
-from tests.races.fakes import ENDPOINT_A, MAX_WAIT_NS, PeerConnection, Sidecar, request
+from tests.races.fakes import ENDPOINT_A, MAX_WAIT_NS, PeerConnection, Sidecar, disconnect, request
 
 SETTLED_NS = 20 * NS_PER_MS
 """After which a kept connection is used again without a wait."""
@@ -44,13 +43,6 @@
     assert b"Content-Length: %d" % len(body) in head, received
 
 
-def leave(sock: socket.socket, how: str) -> None:
-    """Close or reset the client's connection."""
-    if how == "reset":
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    sock.close()
-
-
 def keep_connections(sidecar: Sidecar, address: Address, count: int) -> list[PeerConnection]:
     """Have that many upstream connections kept, settled, from requests of clients that have gone."""
     clients = [sidecar.client(address) for _ in range(count)]
@@ -85,9 +77,8 @@
 
 
 @pytest.mark.parametrize("kept", [0, 1], ids=["new connection", "kept connection"])
-def test_nothing_begins_for_a_request_with_a_half_close_right_behind_it(kept: int) -> None:
+def test_nothing_begins_for_a_request_with_a_half_close_right_behind_it(kept: int, sidecar: Sidecar) -> None:
     """Read together, they ended the connection without an answer."""
-    sidecar = Sidecar()
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
@@ -102,9 +93,8 @@
     sidecar.run(script)
 
 
-def test_a_half_close_while_the_balancer_decides_begins_nothing() -> None:
+def test_a_half_close_while_the_balancer_decides_begins_nothing(sidecar: Sidecar) -> None:
     """It comes in the turn of the event loop in which the attempt would write."""
-    sidecar = Sidecar()
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
@@ -131,9 +121,7 @@
     sidecar.run(script)
 
 
-def test_a_half_close_while_the_request_waits_for_its_first_attempt_begins_nothing() -> None:
-    sidecar = Sidecar()
-
+def test_a_half_close_while_the_request_waits_for_its_first_attempt_begins_nothing(sidecar: Sidecar) -> None:
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
         sidecar.balancer.decide = lambda _: []
@@ -150,9 +138,8 @@
 
 
 @pytest.mark.parametrize("kept", [0, 1], ids=["new connection", "kept connection"])
-def test_a_half_close_behind_an_attempt_cancels_it_and_is_told_so(kept: int) -> None:
+def test_a_half_close_behind_an_attempt_cancels_it_and_is_told_so(kept: int, sidecar: Sidecar) -> None:
     """The attempt was cancelled, and the connection ended without an answer."""
-    sidecar = Sidecar()
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
@@ -177,10 +164,9 @@
 
 @pytest.mark.parametrize("how", ["close", "reset"])
 def test_a_client_that_leaves_behind_its_first_answer_has_its_second_request_not_forwarded(
-    how: str, monkeypatch: pytest.MonkeyPatch
+    how: str, monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar
 ) -> None:
     """Both were read together; it leaves right behind the write of the first answer."""
-    sidecar = Sidecar()
     write = DownstreamConnection.write
     left: list[bytes] = []
 
@@ -196,7 +182,7 @@
             written = write(accepted, data)
             if not left:
                 left.append(client.sock.recv(65536))
-                leave(client.sock, how)
+                disconnect(client.sock, how)
                 give_up_ns = sidecar.loop.now() + NS_PER_S
                 while not sidecar.loop.is_ready(accepted.fd, PEER_CLOSED):  # the kernel hands the end over
                     assert sidecar.loop.now() < give_up_ns
@@ -212,9 +198,9 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
-def test_a_client_that_leaves_before_its_first_answer_has_its_second_request_not_forwarded(how: str) -> None:
-    sidecar = Sidecar()
-
+def test_a_client_that_leaves_before_its_first_answer_has_its_second_request_not_forwarded(
+    how: str, sidecar: Sidecar
+) -> None:
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
         connections = keep_connections(sidecar, address, 2)
@@ -222,7 +208,7 @@
         client.send(request("read/one", "r1") + request("read/two", "r2"))
         connection = connections[1]
         assert connection.read_head().startswith("GET /read/one ")
-        leave(client.sock, how)
+        disconnect(client.sock, how)
         assert connection.read_to_end() == b"", "the first attempt went on"
         sidecar.wait_until(lambda: sidecar.downstream.open == 0)
         assert paths_sent(sidecar, [connections[0]]) == []
--- a/tests/races/test_hedged_streams.py
+++ b/tests/races/test_hedged_streams.py
@@ -12,7 +12,7 @@
 from lugtally.eventloop import Event, EventLoop
 from lugtally.units import NS_PER_MS
 from lugtally.upstream.connection import UpstreamConnection
-from tests.races.fakes import ENDPOINT_A, MAX_WAIT_NS, Sidecar, request
+from tests.races.fakes import ENDPOINT_A, MAX_WAIT_NS, Sidecar, disconnect, request
 from tests.races.streaming import (
     FRAMINGS,
     HEADS,
@@ -27,7 +27,6 @@
     start_hedged_request,
     start_stream,
 )
-from tests.races.test_attempts import leave
 
 RESET = None
 """In place of the attempt whose response is expected: the client sees a reset, as the response is truncated."""
@@ -64,7 +63,7 @@
 
 def second_is_reset_during_stream(hedged: HedgedRequest) -> None:
     hedged.start_stream(0)
-    leave(hedged.connections[1].sock, "reset")
+    disconnect(hedged.connections[1].sock, "reset")
     hedged.wait_for_result()
     hedged.finish_stream(0)
 
@@ -98,7 +97,7 @@
 
 def stream_reset_within_its_head(hedged: HedgedRequest) -> None:
     send_unless_closed(hedged.connections[0], HEADS[hedged.framing][:-2])
-    leave(hedged.connections[0].sock, "reset")
+    disconnect(hedged.connections[0].sock, "reset")
     hedged.wait_for_result()
     hedged.respond(1)
 
@@ -188,8 +187,7 @@
         sidecar.balancer.decide = hedge_each_request
         client = sidecar.client(address)
         client.send(request("read"))
-        connection = sidecar.server.accept()
-        connection.read_head()
+        connection = sidecar.server.accept_request()
         start_stream(connection, 0, "length")
         received = read_response(client, STREAMED_PREFIX_BYTES).data
         may_connect.set()
@@ -216,8 +214,7 @@
         sidecar.balancer.decide = hedge_the_stream
         client = sidecar.client(address)
         client.send(request("read"))
-        connection = sidecar.server.accept()
-        connection.read_head()
+        connection = sidecar.server.accept_request()
         start_stream(connection, 0, "length")
         sidecar.wait_until(lambda: bool(sidecar.balancer.attempt_results()))
         assert sidecar.server.is_idle(), "a connection was opened for it"
--- a/tests/races/test_pipelines.py
+++ b/tests/races/test_pipelines.py
@@ -30,18 +30,12 @@
     return connection
 
 
-def keep_loop_running(sidecar: Sidecar) -> None:
-    """Let the script go on where the shutdown is complete."""
-    stop = sidecar.loop.stop
-    sidecar.loop.stop = lambda: stop() if sidecar.stopped else None  # type: ignore[method-assign]
-
-
 @pytest.mark.parametrize("reason", ["draining", "many connections"])
 @pytest.mark.parametrize("count", [2, 5])
 def test_requests_read_together_are_all_answered_before_the_sidecar_closes(reason: str, count: int) -> None:
     """The first response closed the connection, and those behind it were dropped."""
     sidecar = Sidecar(max_clients=3 if reason == "many connections" else 64)
-    keep_loop_running(sidecar)
+    sidecar.keep_running_after_shutdown()
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
@@ -62,10 +56,9 @@
     sidecar.run(script)
 
 
-def test_the_rest_of_a_request_is_read_where_its_beginning_was() -> None:
+def test_the_rest_of_a_request_is_read_where_its_beginning_was(sidecar: Sidecar) -> None:
     """Its beginning came with the request before: only what is not read at all may be left to the close."""
-    sidecar = Sidecar()
-    keep_loop_running(sidecar)
+    sidecar.keep_running_after_shutdown()
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
@@ -85,9 +78,8 @@
     sidecar.run(script)
 
 
-def test_sound_requests_before_and_behind_one_at_fault_are_answered() -> None:
+def test_sound_requests_before_and_behind_one_at_fault_are_answered(sidecar: Sidecar) -> None:
     """A request of an unknown class is whole: what lies behind it can be told from it."""
-    sidecar = Sidecar()
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
@@ -100,9 +92,8 @@
     sidecar.run(script)
 
 
-def test_a_sound_request_before_a_malformed_one_is_answered() -> None:
+def test_a_sound_request_before_a_malformed_one_is_answered(sidecar: Sidecar) -> None:
     """What lies behind the malformed one cannot be told apart: the connection ends with its 400."""
-    sidecar = Sidecar()
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
@@ -155,9 +146,8 @@
 
 @pytest.mark.parametrize("framing", LONG_RESPONSES)
 @pytest.mark.parametrize("together", [True, False], ids=["read together", "sent later"])
-def test_a_connection_carries_on_behind_a_streamed_response(framing: str, together: bool) -> None:
+def test_a_connection_carries_on_behind_a_streamed_response(framing: str, together: bool, sidecar: Sidecar) -> None:
     """Each streamed response ended its connection, and the requests that had been read behind it were dropped."""
-    sidecar = Sidecar()
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
@@ -174,15 +164,13 @@
     sidecar.run(script)
 
 
-def test_a_cut_stream_takes_no_request_behind_it_along() -> None:
+def test_a_cut_stream_takes_no_request_behind_it_along(sidecar: Sidecar) -> None:
     """Passed on in part, it could only end in a reset of the connection: so it is held back, and fails by itself."""
-    sidecar = Sidecar()
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         client.send(request("read/1", "r1") + request("read/2", "r2"))
-        connection = sidecar.server.accept()
-        connection.read_head()
+        connection = sidecar.server.accept_request()
         connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + bytes(70_000))
         sidecar.wait_until(lambda: sidecar.dispatcher.in_progress == 1)
         connection.sock.close()
@@ -192,15 +180,13 @@
     sidecar.run(script)
 
 
-def test_a_cut_body_without_length_is_told_from_a_whole_one() -> None:
+def test_a_cut_body_without_length_is_told_from_a_whole_one(sidecar: Sidecar) -> None:
     """Its end was that of the connection: where a process is killed the kernel ends it in the ordinary way."""
-    sidecar = Sidecar()
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         client.send(request("read"))
-        connection = sidecar.server.accept()
-        connection.read_head()
+        connection = sidecar.server.accept_request()
         connection.send(b"HTTP/1.1 200 OK\r\n\r\n" + bytes(70_000))
         received = client.read_until(lambda data: len(data) >= 70_000)
         assert b"\r\nTransfer-Encoding: chunked\r\n" in received
@@ -211,17 +197,15 @@
     sidecar.run(script)
 
 
-def test_a_request_has_no_more_time_than_those_that_were_read_behind_it() -> None:
+def test_a_request_has_no_more_time_than_those_that_were_read_behind_it(sidecar: Sidecar) -> None:
     """The second had 0.3 s, and its answer waits for the first one's: 5 s later, if the endpoint is silent."""
-    sidecar = Sidecar()
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
-        second = request("read/2", "r2").replace(b"X-Time-Left: 5.000", b"X-Time-Left: 0.300")
+        second = request("read/2", "r2", time_left_s=0.3)
         began_ns = sidecar.loop.now()
         client.send(request("read/1", "r1") + second)
-        connection = sidecar.server.accept()
-        connection.read_head()
+        connection = sidecar.server.accept_request()
         assert [status for status, _ in read_responses(client, 2)] == [502, 503]
         assert sidecar.loop.now() - began_ns < 800 * NS_PER_MS
         assert connection.read_to_end() == b""
@@ -237,12 +221,10 @@
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         client.send(request("read/1", "r1"))
-        connection = sidecar.server.accept()
-        connection.read_head()
+        connection = sidecar.server.accept_request()
         began_ns = sidecar.loop.now()
         for number in (2, 3):
-            later = request(f"read/{number}", f"r{number}")
-            client.send(later.replace(b"X-Time-Left: 5.000", b"X-Time-Left: 0.300"))
+            client.send(request(f"read/{number}", f"r{number}", time_left_s=0.3))
             sidecar.loop.sleep(20 * NS_PER_MS)
         assert [status for status, _ in read_responses(client, 3)] == [502, 503, 503]
         assert sidecar.loop.now() - began_ns < 800 * NS_PER_MS
@@ -251,15 +233,13 @@
     sidecar.run(script)
 
 
-def test_an_endless_stream_with_a_request_behind_it_fails_by_itself() -> None:
+def test_an_endless_stream_with_a_request_behind_it_fails_by_itself(sidecar: Sidecar) -> None:
     """Passed on from 1 MiB on, it ended in a reset with the request behind it."""
-    sidecar = Sidecar()
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         client.send(request("read/1", "r1") + request("read/2", "r2"))
-        connection = sidecar.server.accept()
-        connection.read_head()
+        connection = sidecar.server.accept_request()
         connection.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         with contextlib.suppress(ConnectionError):  # it is closed in the end
             while sidecar.loop.wait(connection.sock.fileno(), WRITABLE) is WakeReason.READY:
@@ -288,10 +268,9 @@
 
 
 @pytest.mark.parametrize("reason", ["draining", "unknown class"])
-def test_a_request_that_comes_behind_the_last_response_is_not_read(reason: str) -> None:
+def test_a_request_that_comes_behind_the_last_response_is_not_read(reason: str, sidecar: Sidecar) -> None:
     """Read and thrown away, it was lost; unread, its client knows that it was never taken."""
-    sidecar = Sidecar()
-    keep_loop_running(sidecar)
+    sidecar.keep_running_after_shutdown()
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
--- a/tests/races/test_pool.py
+++ b/tests/races/test_pool.py
@@ -140,8 +140,7 @@
         if wait == "connecting":
             old = sidecar.server.accept()
         assert old.read_to_end() == b""
-        new = sidecar.second_discovery.accept()
-        new.read_head()
+        new = sidecar.second_discovery.accept_request()
         new.respond(b"from the new address")
         sidecar.wait_until(lambda: bool(ends))
 
@@ -188,8 +187,7 @@
         change_as_it_settles(sidecar, monkeypatch, lambda: sidecar.upstream.close_idle_connections(ENDPOINT))
         start_attempt(sidecar, ends)
         assert old.read_to_end() == b""
-        new = sidecar.server.accept()
-        new.read_head()
+        new = sidecar.server.accept_request()
         new.respond()
         sidecar.wait_until(lambda: bool(ends))
 
@@ -249,8 +247,7 @@
         change_as_it_settles(sidecar, monkeypatch, lambda: stop_for(3 * NS_PER_S))
         start_attempt(sidecar, ends)
         assert old.read_to_end() == b""
-        new = sidecar.server.accept()
-        new.read_head()
+        new = sidecar.server.accept_request()
         new.respond()
         sidecar.wait_until(lambda: bool(ends))
 
@@ -310,8 +307,7 @@
 
     def script() -> None:
         start_attempt(sidecar, ends)
-        peer = sidecar.server.accept()
-        peer.read_head()
+        peer = sidecar.server.accept_request()
         change(sidecar)
         peer.respond(b"from the old address")
         assert peer.read_to_end() == b""
@@ -344,8 +340,7 @@
         start_attempt(sidecar, ends)
         sidecar.wait_until(lambda: ENDPOINT in sidecar.upstream._settling)
         sidecar.loop.spawn(attempt_at_other)
-        peer = sidecar.second_discovery.accept()
-        peer.read_head()
+        peer = sidecar.second_discovery.accept_request()
         assert idle.read_to_end() == b""
         sidecar.loop.spawn(attempt_at_other)
         sidecar.wait_until(lambda: other_ends == ["NO_DESCRIPTOR"])
--- a/tests/races/test_pool_random.py
+++ b/tests/races/test_pool_random.py
@@ -124,9 +124,8 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_every_answer_is_its_own_and_every_connection_is_counted(seed: int) -> None:
+def test_every_answer_is_its_own_and_every_connection_is_counted(seed: int, sidecar: Sidecar) -> None:
     draws = random.Random(seed)
-    sidecar = Sidecar()
     sidecar.limits.max_connections = MAX_CONNECTIONS
     servers = [sidecar.server, sidecar.discovery, sidecar.second_discovery]
     user = PoolUser(sidecar, servers, draws)
--- a/tests/races/test_truncated_streams.py
+++ b/tests/races/test_truncated_streams.py
@@ -6,7 +6,7 @@
 
 from lugtally import balancing
 from lugtally.units import NS_PER_MS
-from tests.races.fakes import ENDPOINT_A, Sidecar, request
+from tests.races.fakes import ENDPOINT_A, Sidecar, disconnect, request
 from tests.races.streaming import (
     BODY_BYTES,
     FRAMINGS,
@@ -17,7 +17,6 @@
     send_unless_closed,
     start_stream,
 )
-from tests.races.test_attempts import leave
 
 
 def retry_once(event: balancing.Event) -> list[balancing.Action]:
@@ -45,15 +44,13 @@
         sidecar.balancer.decide = retry_once
         client = sidecar.client(address)
         client.send(request("read"))
-        connection = sidecar.server.accept()
-        connection.read_head()
+        connection = sidecar.server.accept_request()
         prefix = body_of(0, body_bytes)
         if framing == "chunked":
             prefix = b"%x\r\n%b" % (BODY_BYTES, prefix)
         send_unless_closed(connection, HEADS[framing] + prefix)
-        leave(connection.sock, how)
-        retry = sidecar.server.accept()
-        retry.read_head()
+        disconnect(connection.sock, how)
+        retry = sidecar.server.accept_request()
         start_stream(retry, 1, framing)
         finish_stream(retry, 1, framing)
         assert read_response(client).body() == body_of(1)
@@ -68,9 +65,8 @@
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
-        client.send(request("read").replace(b"5.000", b"1.000"))
-        connection = sidecar.server.accept()
-        connection.read_head()
+        client.send(request("read", time_left_s=1.0))
+        connection = sidecar.server.accept_request()
         prefix = b"%x\r\nab" % BODY_BYTES if framing == "chunked" else b"ab"
         send_unless_closed(connection, HEADS[framing] + prefix)
         assert client.read().startswith(b"HTTP/1.1 502")
@@ -86,8 +82,7 @@
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         client.send(request("read"))
-        connection = sidecar.server.accept()
-        connection.read_head()
+        connection = sidecar.server.accept_request()
         start_stream(connection, 0, framing)
         finish_stream(connection, 0, framing)
         send_unless_closed(connection, b"b" * 100)
--- a/tests/races/test_wrong_answers.py
+++ b/tests/races/test_wrong_answers.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import socket
-import struct
 from collections.abc import Callable
 
 import pytest
@@ -12,7 +11,7 @@
 from lugtally.http1 import Message
 from lugtally.units import NS_PER_MS
 from lugtally.upstream import AttemptResponse
-from tests.races.fakes import MAX_WAIT_NS, PeerConnection, Sidecar
+from tests.races.fakes import MAX_WAIT_NS, PeerConnection, Sidecar, disconnect
 from tests.races.pool_harness import change_at_wait, idle_peers, sidecar_with_endpoint, start_attempt
 
 STALE = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale"
@@ -26,17 +25,6 @@
     return sidecar_with_endpoint()
 
 
-def reset(peer: PeerConnection) -> None:
-    """Close the peer's end with a reset."""
-    peer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    peer.sock.close()
-
-
-def close(peer: PeerConnection) -> None:
-    """Close the peer's end."""
-    peer.sock.close()
-
-
 def test_bytes_that_come_between_the_look_and_the_first_byte_are_no_answer(sidecar: Sidecar) -> None:
     """A second response came as the balancer was asked for the last time: it was served to the next request."""
     ends: list[AttemptResponse] = []
@@ -51,8 +39,7 @@
             return True
 
         def serve_fresh() -> None:
-            fresh = sidecar.server.accept()
-            fresh.read_head()
+            fresh = sidecar.server.accept_request()
             fresh.respond(b"fresh")
 
         sidecar.loop.spawn(serve_fresh)
@@ -68,7 +55,7 @@
 GREETINGS: dict[str, Callable[[PeerConnection], None]] = {
     "response": lambda peer: peer.send(STALE),
     "end": lambda peer: peer.sock.shutdown(socket.SHUT_WR),
-    "reset": reset,
+    "reset": lambda peer: disconnect(peer.sock, "reset"),
 }
 
 
@@ -136,8 +123,7 @@
 
     def script() -> None:
         start_attempt(sidecar, ends)
-        peer = sidecar.server.accept()
-        peer.read_head()
+        peer = sidecar.server.accept_request()
         peer.send(b"HTTP/1.1 503 Busy\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n")
         give_up_ns = sidecar.loop.now() + MAX_WAIT_NS // 4
         while not ends and sidecar.loop.now() < give_up_ns:
@@ -160,8 +146,8 @@
 
 @pytest.mark.parametrize("status", [b"200", b"503"], ids=["200", "503"])
 @pytest.mark.parametrize("response", RESPONSES.values(), ids=RESPONSES)
-@pytest.mark.parametrize("end", ["end", "reset"])
-def test_a_response_cut_at_any_byte_is_none(end: str, response: bytes, status: bytes, sidecar: Sidecar) -> None:
+@pytest.mark.parametrize("how", ["close", "reset"])
+def test_a_response_cut_at_any_byte_is_none(how: str, response: bytes, status: bytes, sidecar: Sidecar) -> None:
     """A guard: it held before."""
     response %= status
     ends: list[AttemptResponse] = []
@@ -169,13 +155,9 @@
     def script() -> None:
         for count in range(len(response)):
             start_attempt(sidecar, ends)
-            peer = sidecar.server.accept()
-            peer.read_head()
+            peer = sidecar.server.accept_request()
             peer.send(response[:count])
-            if end == "end":
-                peer.sock.close()
-            else:
-                reset(peer)
+            disconnect(peer.sock, how)
             sidecar.wait_until(lambda: len(ends) == count + 1)  # noqa: B023
 
     sidecar.run(script)
@@ -189,12 +171,11 @@
     ends: list[AttemptResponse] = []
 
     def script() -> None:
-        for number, finish in enumerate((reset, close), 1):
+        for number, how in enumerate(("reset", "close"), 1):
             start_attempt(sidecar, ends)
-            peer = sidecar.server.accept()
-            peer.read_head()
+            peer = sidecar.server.accept_request()
             peer.send(b"HTTP/1.1 %s X\r\n\r\nbody" % status)
-            finish(peer)
+            disconnect(peer.sock, how)
             sidecar.wait_until(lambda: len(ends) == number)  # noqa: B023
 
     sidecar.run(script)
@@ -210,8 +191,7 @@
 
     def script() -> None:
         task = start_attempt(sidecar, ends)
-        peer = sidecar.server.accept()
-        peer.read_head()
+        peer = sidecar.server.accept_request()
         peer.send(STALE)  # it is there as the attempt is cancelled, in one turn of the loop
         sidecar.loop.interrupt(task)
         sidecar.wait_until(lambda: bool(ends))
@@ -228,8 +208,7 @@
 
     def script() -> None:
         start_attempt(sidecar, ends)
-        peer = sidecar.server.accept()
-        peer.read_head()
+        peer = sidecar.server.accept_request()
         peer.send(STALE + behind)
         assert peer.read_to_end() == b""
         sidecar.wait_until(lambda: bool(ends))
