--- a/lugtally/balancing/balancer.py
+++ b/lugtally/balancing/balancer.py
@@ -48,13 +48,13 @@
 
 
 class Balancer:
-    """One sidecar's decisions.  Its public attributes are for inspection; only events change them."""
+    """One sidecar's decisions.
 
-    def __init__(self, settings: Settings, seed: int) -> None:
-        """Build the concerns; each is given those that it uses, and none of them knows the balancer.
+    It builds the concerns, gives each those that it uses, and one stream of random numbers to all that draw.
+    Its public attributes are for inspection; only events change them.
+    """
 
-        One stream of random numbers serves all of them.
-        """
+    def __init__(self, settings: Settings, seed: int) -> None:
         rng = Random(seed)
         self._settings = settings
         self._refreshed_ns = 0
--- a/lugtally/dispatch/policy.py
+++ b/lugtally/dispatch/policy.py
@@ -15,8 +15,8 @@
     attempt may be written.  ``ejected_count(now_ns)`` returns the number of endpoints that are currently ejected.
     """
 
-    def handle(self, now: int, event: balancing.Event, /) -> list[balancing.Action]:
-        """Return the actions on an event that occurred at ``now`` (nanoseconds)."""
+    def handle(self, now_ns: int, event: balancing.Event, /) -> list[balancing.Action]:
+        """Return the actions on an event that occurred at ``now_ns``."""
 
 
 BalancingPolicyFactory = Callable[[balancing.Settings, int], BalancingPolicy]
--- a/lugtally/simulator/adapter.py
+++ b/lugtally/simulator/adapter.py
@@ -1,7 +1,7 @@
-"""Plays many balancers to the simulator on standard input and output; decides nothing.
+"""Runs many balancers for the simulator, over standard input and output.
 
-``python -m lugtally.simulator`` reads batches of events, one JSON array a line, and answers each batch.
-Exit status: 0 at the end of input, 2 on a line that cannot be understood.
+``python -m lugtally.simulator`` reads batches of events, one JSON array a line, and writes the actions
+that follow from each batch.  Exit status: 0 at the end of input, 2 on a malformed line.
 """
 
 from __future__ import annotations
@@ -20,17 +20,17 @@
 
 
 class SimulatorAdapter:
-    """The balancers of one process and the batch being read.  It shares nothing between balancers."""
+    """The balancers of one process, which share nothing, and the actions of the batch in progress."""
 
     def __init__(self, errors: TextIO) -> None:
         self._balancers: dict[int, Balancer] = {}
         self._endpoint_lists: dict[int, list[Message]] = {}
-        self._now = 0
+        self._now_ns = 0
         self._reply: list[str] = []
         self._errors = errors
 
     def handle_message(self, message: Message) -> bool:
-        """Handle one message; return whether it closed the batch.
+        """Handle one message; return whether it ended the batch.
 
         Raises:
             ValueError, KeyError, IndexError, TypeError, AttributeError: the message is malformed.
@@ -40,7 +40,7 @@
         if read_event is not None:
             self._handle_event(message[1], read_event(message))
         elif name == "mark":
-            self._now = int(message[1])
+            self._now_ns = int(message[1])
         elif name == "go":
             return True
         elif name == "define_list":
@@ -58,7 +58,7 @@
         return False
 
     def take_reply(self) -> bytes:
-        """Return the reply to the batch that was closed, and begin the next one."""
+        """Return the reply to the batch that ended, and start the next one."""
         lines, self._reply = [*self._reply, BATCH_END], []
         return "\n".join(lines).encode()
 
@@ -69,12 +69,12 @@
         self._handle_event(message[1], balancing.EndpointUpdate(kind, endpoints))
 
     def _handle_event(self, instance: int, event: balancing.Event | None) -> None:
-        """Hand an event to its balancer; an exception inside the balancer is reported as its ``bug``."""
+        """Pass an event to its balancer; an exception in the balancer is reported as a ``bug``."""
         balancer = self._balancers.get(instance)
         if balancer is None or event is None:
             return
         try:
-            for action in balancer.handle(self._now, event):
+            for action in balancer.handle(self._now_ns, event):
                 self._reply.append(json.dumps(write_action(instance, action), separators=(",", ":")))
         except Exception as error:
             traceback.print_exc(file=self._errors)
@@ -82,18 +82,18 @@
 
 
 def run(source: BinaryIO, out: BinaryIO, errors: TextIO) -> int:
-    """Answer batches until the input ends; return the exit status."""
+    """Reply to batches until the input ends; return the exit status."""
     adapter = SimulatorAdapter(errors)
     for line_number, line in enumerate(source, 1):
         try:
             message = json.loads(line)
             if not isinstance(message, list) or not message:
                 raise ValueError("not a message")
-            closed = adapter.handle_message(message)
+            ended = adapter.handle_message(message)
         except (ValueError, KeyError, IndexError, TypeError, AttributeError) as error:
             print(f"line {line_number}: {type(error).__name__}: {error}", file=errors)
             return MALFORMED_STATUS
-        if closed:
+        if ended:
             out.write(adapter.take_reply())
             out.flush()
     return 0
