--- a/lugtally/downstream/connection_policy.py
+++ b/lugtally/downstream/connection_policy.py
@@ -1,14 +1,17 @@
-"""Which connections may be evicted.
+"""Which connections may be evicted, and which may carry a further request.
 
-That depends only on the state of a connection and the time for which it has waited for its client.
+Eviction depends only on the state of a connection and the time for which it has waited for its client.
 """
 
 from __future__ import annotations
 
 from collections.abc import Collection
 
-from lugtally.downstream.connection import DownstreamConnection
+from lugtally.downstream.connection import ClientStatus, DownstreamConnection
 from lugtally.downstream.connection_state import ConnectionState
+from lugtally.downstream.request_reader import RequestReader
+from lugtally.downstream.shutdown_state import ShutdownState
+from lugtally.http1 import Message
 from lugtally.units import NS_PER_MS
 
 MIN_LINGER_BEFORE_EVICTION_NS = 20 * NS_PER_MS
@@ -52,3 +55,42 @@
         key=lambda connection: (_EVICTION_ORDER[connection.state], connection.since_ns),
         default=None,
     )
+
+
+class ReusePolicy:
+    """Decides whether a connection carries further requests after the one in progress."""
+
+    def __init__(
+        self, shutdown: ShutdownState, connections: Collection[DownstreamConnection], max_connections: int
+    ) -> None:
+        """``connections`` are the server's open connections; the server updates them."""
+        self._shutdown = shutdown
+        self._connections = connections
+        self._max_connections = max_connections
+
+    def closes_after(self, reader: RequestReader, request: Message) -> bool:
+        """Return whether the connection closes after the response to this request.
+
+        Requests that were already received are answered first.  The rest of a partly received request is read too,
+        unless the client is at fault: it may send any number of further invalid requests.
+        """
+        if not request.keep_alive:
+            return True
+        if reader.queue.has_request:
+            return False
+        if reader.connection.client_status is not ClientStatus.ACTIVE:
+            return True
+        return not (reader.queue.has_input or self._may_keep_alive())
+
+    def may_read_ahead(self, connection: DownstreamConnection, request: Message) -> bool:
+        """Return whether further requests may be read before this one is answered."""
+        is_at_fault = connection.client_status is ClientStatus.AT_FAULT
+        return request.keep_alive and not is_at_fault and not self._shutdown.draining
+
+    def _may_keep_alive(self) -> bool:
+        """Return whether a connection without further input may stay open.
+
+        When clients use more than half of the connections, each response closes its connection: idle connections
+        would keep new clients in the backlog.
+        """
+        return not self._shutdown.draining and len(self._connections) <= self._max_connections // 2
--- /dev/null
+++ b/lugtally/downstream/deadlines.py
@@ -0,0 +1,31 @@
+"""The deadline of a request, from its own time left, the requests behind it and the graceful shutdown."""
+
+from __future__ import annotations
+
+from lugtally.downstream.request_queue import RequestQueue
+from lugtally.downstream.shutdown_state import ShutdownState
+from lugtally.downstream.validation import RequestValidator, ValidatedRequest
+from lugtally.units import NS_PER_MS
+
+PIPELINE_SLACK_NS = 300 * NS_PER_MS
+"""How long after its deadline a pipelined request may be answered, as the response before it is sent first."""
+
+
+class RequestDeadlines:
+    """Computes deadlines; one instance serves all requests."""
+
+    def __init__(self, validator: RequestValidator, shutdown: ShutdownState) -> None:
+        self._validator = validator
+        self._shutdown = shutdown
+
+    def deadline_ns(self, request: ValidatedRequest, queue: RequestQueue) -> int:
+        """Return when the response to a request is due.
+
+        The time left counts from the arrival of the request's last byte.  The requests in ``queue`` were received
+        after it and are answered after it, so their deadlines limit its own.
+        """
+        deadline_ns = request.arrived_ns + request.time_left_ns
+        for queued in queue:
+            if (time_left_ns := self._validator.time_left_ns(queued.message)) is not None:
+                deadline_ns = min(deadline_ns, queued.arrived_ns + time_left_ns + PIPELINE_SLACK_NS)
+        return min(deadline_ns, self._shutdown.last_response_ns) if self._shutdown.closing else deadline_ns
--- a/lugtally/downstream/responses.py
+++ b/lugtally/downstream/responses.py
@@ -39,6 +39,9 @@
     """Whether its connection ends with it, as announced."""
 
 
+FinalResponse = Response | StreamedResponse
+
+
 def served_response(message: Message) -> Response:
     """Return the response of the endpoint that served the request."""
     return Response(200, message.body, forwarded_headers(message))
--- a/lugtally/downstream/validation.py
+++ b/lugtally/downstream/validation.py
@@ -1,11 +1,13 @@
-"""Checks of a request before anything is done for it."""
+"""Checks of a request before it is submitted."""
 
 from __future__ import annotations
 
 from collections.abc import Collection
 from typing import NamedTuple
 
-from lugtally.balancing import Idempotency, RequestClass
+from lugtally.balancing import Idempotency, RequestClass, Tenant
+from lugtally.dispatch import UNKNOWN_TENANT
+from lugtally.downstream.request_queue import ReceivedRequest
 from lugtally.http1 import METHODS, Message, ProtocolError
 from lugtally.units import NS_PER_S
 
@@ -13,10 +15,15 @@
 
 
 class ValidatedRequest(NamedTuple):
-    """What a sound request says of itself."""
+    """A valid request and what its headers say."""
 
-    class_index: int
+    message: Message
+    arrived_ns: int
+    """A time before which its last byte had not arrived; its time left counts from here."""
     time_left_ns: int
+    class_index: int
+    tenant_index: int
+    correlation_id: str
 
 
 class _IndexedClass(NamedTuple):
@@ -25,41 +32,54 @@
 
 
 class RequestValidator:
-    """Checks requests against the classes of the settings and the requests in progress."""
+    """Checks requests against the settings and the requests in progress."""
 
-    def __init__(self, classes: tuple[RequestClass, ...], ids_in_progress: Collection[str]) -> None:
-        """``ids_in_progress`` is the caller's own, and holds the correlation IDs at any time."""
+    def __init__(
+        self, classes: tuple[RequestClass, ...], tenants: tuple[Tenant, ...], ids_in_progress: Collection[str]
+    ) -> None:
+        """``ids_in_progress`` are the correlation IDs of the requests in progress; the caller updates them."""
         self._classes = {settings.name: _IndexedClass(index, settings) for index, settings in enumerate(classes)}
+        self._tenant_indexes = {tenant.name: index for index, tenant in enumerate(tenants)}
         self._ids_in_progress = ids_in_progress
 
-    def validate(self, message: Message) -> ValidatedRequest:
-        """Return the class and the time left of a request.
+    def validate(self, request: ReceivedRequest) -> ValidatedRequest:
+        """Return the request with its class, tenant and time left.
 
         Raises:
-            ProtocolError: what is wrong with the request, with the status of its response.
+            ProtocolError: the request is invalid; the error has the status of its response.
         """
+        message = request.message
         if message.method not in METHODS:
             raise ProtocolError(405, "the method is not allowed")
-        self._check_correlation_id(message.header_map.get("x-correlation-id"))
+        correlation_id = self._correlation_id(message)
         request_class = self._find_class(message)
         settings = request_class.settings
         if settings.idempotency is Idempotency.IDEMPOTENCY_KEY and not message.header_map.get("idempotency-key"):
-            raise ProtocolError(400, "Idempotency-Key is missing")  # without it, no duplicate would be dropped
-        return ValidatedRequest(request_class.class_index, _time_left_ns(message, settings.deadline_ns))
+            raise ProtocolError(400, "Idempotency-Key is missing")  # endpoints could not drop duplicates
+        return ValidatedRequest(
+            message,
+            request.arrived_ns,
+            _time_left_ns(message, settings.deadline_ns),
+            request_class.class_index,
+            self._tenant_indexes.get(message.header_map.get("x-account", ""), UNKNOWN_TENANT),
+            correlation_id,
+        )
 
     def time_left_ns(self, message: Message) -> int | None:
-        """Return the time left of a request; ``None`` where that is at fault."""
+        """Return the time left of a request; ``None`` if the request is invalid."""
         try:
             return _time_left_ns(message, self._find_class(message).settings.deadline_ns)
         except ProtocolError:
             return None
 
-    def _check_correlation_id(self, correlation_id: str | None) -> None:
+    def _correlation_id(self, message: Message) -> str:
+        correlation_id = message.header_map.get("x-correlation-id")
         if not correlation_id:
             raise ProtocolError(400, "X-Correlation-Id is missing")
         if correlation_id in self._ids_in_progress:
-            # Endpoints tell requests apart by their IDs: this one would disturb the first.
+            # Endpoints identify requests by this ID and would confuse the two.
             raise ProtocolError(409, "X-Correlation-Id is that of a request in progress")
+        return correlation_id
 
     def _find_class(self, message: Message) -> _IndexedClass:
         """Return the class that the header names, or else the first segment of the path."""
@@ -71,6 +91,7 @@
 
 
 def _time_left_ns(message: Message, default_ns: int) -> int:
+    """Return the value of ``X-Time-Left``, or the default if there is none."""
     text = message.header_map.get("x-time-left")
     try:
         time_left_ns = default_ns if text is None else int(float(text) * NS_PER_S)
