--- a/lugtally/downstream/__init__.py
+++ b/lugtally/downstream/__init__.py
@@ -1,5 +1,5 @@
-"""Connections of the application: requests in, exactly one final answer out for each.
+"""Client connections: requests are received, and each gets exactly one final response.
 
-It owns accepting, reading, validating and answering, and the graceful shutdown.  It must not decide anything, nor know
-how an attempt reaches an endpoint.
+The package owns accepting, reading, validating and answering, and the graceful shutdown.  It must not make balancing
+decisions, nor know how an attempt reaches an endpoint.  ``docs/connections.md`` describes the states of a connection.
 """
--- a/lugtally/downstream/acceptor.py
+++ b/lugtally/downstream/acceptor.py
@@ -1,4 +1,4 @@
-"""Accepting: connections up to a limit, and who makes room where others wait behind it."""
+"""Accepting client connections up to a limit, and evicting connections when more clients wait in the backlog."""
 
 from __future__ import annotations
 
@@ -15,14 +15,17 @@
 from lugtally.units import NS_PER_MS
 
 MAX_ACCEPTS_PER_TURN = 16
-"""Connections accepted in one turn of the loop: hundreds at once must not hold up requests in progress."""
+"""Connections accepted in one turn of the event loop; more would delay requests in progress."""
 EVICTION_INTERVAL_NS = 20 * NS_PER_MS
-"""How often to look for a connection to evict while as many as may be are open and others wait."""
+"""How often to select a connection for eviction while the limit is reached and clients wait in the backlog."""
 ACCEPT_ERROR_BACKOFF_NS = 20 * NS_PER_MS
+"""How long to wait after a failed ``accept``, unless a connection closes earlier."""
+DRAIN_CAPACITY_DIVISOR = 8
+"""While the backlog is drained for a shutdown, this part of the connection limit is allowed on top of it."""
 
 
 class ConnectionAcceptor:
-    """Accepts connections from one listener, and evicts what keeps others out."""
+    """Accepts connections from one listener and evicts connections for waiting clients."""
 
     def __init__(
         self,
@@ -33,9 +36,10 @@
         shutdown: ShutdownState,
         handle_connection: Callable[[DownstreamConnection], None],
     ) -> None:
-        """``connections`` are the server's own: accepted ones are added, and ``connection_closed`` says that one went.
+        """Create an acceptor without a listener.
 
-        ``handle_connection`` serves a connection, in a task of its own.
+        Accepted connections are added to ``connections``, the server's own set.  ``connection_closed`` is set when one
+        of them has closed.  ``handle_connection`` runs in a task for each connection.
         """
         self._loop = loop
         self._connections = connections
@@ -44,27 +48,27 @@
         self._shutdown = shutdown
         self._handle_connection = handle_connection
         self._backlog_empty_ns = loop.now()
-        """The last time at which no connection was known to wait in the backlog."""
+        """The last time at which the backlog was known to be empty."""
         self._backlog_is_drained = True
-        """Whether that was when it was last accepted from: else some may have waited since before."""
+        """Whether the last accept emptied the backlog.  Otherwise a client may have waited since before it."""
         self._task: Task | None = None
         self.listener: socket.socket | None = None
         self._listener_is_shared = False
 
     def start(self, listener: socket.socket, is_shared: bool) -> None:
-        """Accept from this listener; a shared one has a successor, which takes what waits in its backlog."""
+        """Accept from this listener; the backlog of a shared one is left to the successor process."""
         self.listener = listener
         self._listener_is_shared = is_shared
         self._task = self._loop.spawn(self._accept_connections, listener)
 
     def stop(self, deadline_ns: int) -> None:
-        """Accept what waits in the backlog, as far as there is room by the deadline, and close the listener."""
+        """Accept the clients in the backlog, as capacity allows until the deadline, and close the listener."""
         if self._task is not None:
-            # Race: waiting for a connection to close, it would take the event that others need.
+            # Race: the task may wait for a connection to close and consume the event that the shutdown needs.
             self._loop.interrupt(self._task)
         if self.listener is not None:
-            # What waits in the backlog has been taken too: closing the listener would reset it.  A shared one is
-            # the successor's, which takes its backlog: closing our copy resets nothing.
+            # Closing the listener resets the connections in its backlog.  Closing a shared one does not: the
+            # successor process has it open too.
             if not self._listener_is_shared:
                 self._drain_backlog(self.listener, deadline_ns)
             self.listener.close()
@@ -79,7 +83,7 @@
                 self._accept_batch(listener, self._max_connections, MAX_ACCEPTS_PER_TURN)
             else:
                 self._backlog_is_drained = False
-                reason = self._make_room(self._loop.now() + EVICTION_INTERVAL_NS)
+                reason = self._evict_and_wait(self._loop.now() + EVICTION_INTERVAL_NS)
 
     def _wait_for_clients(self, listener: socket.socket) -> WakeReason:
         watched_since_ns = self._loop.now()
@@ -90,7 +94,7 @@
         return reason
 
     def _accept_batch(self, listener: socket.socket, max_connections: int, max_accepts: int) -> None:
-        """Accept what waits, within these limits."""
+        """Accept the clients in the backlog, within these limits."""
         self._backlog_is_drained = False
         while listener.fileno() >= 0 and len(self._connections) < max_connections and max_accepts > 0:
             max_accepts -= 1
@@ -102,12 +106,12 @@
                 self._backlog_is_drained = True
                 return
             except ConnectionAbortedError:
-                continue  # that client has gone again
+                continue  # the client disconnected while it waited
             except OSError as error:
-                # Most likely no descriptor is free.  The backlog stays readable, so without a pause this
-                # would spin; and it must not raise, or nothing would be accepted any more.
+                # Usually no descriptor is free.  The backlog stays readable, so retrying immediately would use all of
+                # the CPU.  An exception would end the accepting task.
                 logger.warning("cannot accept: {reason}", event="downstream.accept_failed", reason=error.strerror)
-                self._make_room(self._loop.now() + ACCEPT_ERROR_BACKOFF_NS)
+                self._evict_and_wait(self._loop.now() + ACCEPT_ERROR_BACKOFF_NS)
                 return
             self._open_connection(sock)
 
@@ -118,16 +122,16 @@
         self._loop.spawn(self._handle_connection, connection)
 
     def _drain_backlog(self, listener: socket.socket, deadline_ns: int) -> None:
-        """Accept all that waits in the backlog, as connections close and leave capacity."""
-        max_connections = self._max_connections + self._max_connections // 8
+        """Accept all clients in the backlog, as connections close, until the deadline."""
+        max_connections = self._max_connections + self._max_connections // DRAIN_CAPACITY_DIVISOR
         while self._loop.is_ready(listener.fileno(), READABLE) and self._loop.now() < deadline_ns:
             if len(self._connections) >= max_connections:
-                self._make_room(min(deadline_ns, self._loop.now() + EVICTION_INTERVAL_NS))
+                self._evict_and_wait(min(deadline_ns, self._loop.now() + EVICTION_INTERVAL_NS))
             else:
                 self._accept_batch(listener, max_connections, LISTEN_BACKLOG)
 
-    def _make_room(self, deadline_ns: int) -> WakeReason:
-        """Evict a connection, if one may be, and wait until any has closed, at most until the deadline."""
+    def _evict_and_wait(self, deadline_ns: int) -> WakeReason:
+        """Evict a connection, if any may be, and wait until one has closed or the deadline passed."""
         connection = select_for_eviction(self._connections, self._loop.now())
         if connection is not None:
             connection.evict()
--- a/lugtally/downstream/closing.py
+++ b/lugtally/downstream/closing.py
@@ -70,7 +70,7 @@
 
 
 def _wait_for_client_close(connection: DownstreamConnection, deadline_ns: int) -> bool:
-    """Wait until the client closes, the connection is evicted or the time is over; return whether the client closed."""
+    """Wait for the client's close, an eviction or the deadline; return whether the client closed."""
     loop = connection.loop
     loop.register(connection.fd, PEER_CLOSED, lambda _: connection.wake_up.set())
     deadline_ns = connection.client_deadline_ns(deadline_ns)
--- a/lugtally/downstream/connection.py
+++ b/lugtally/downstream/connection.py
@@ -102,7 +102,7 @@
         self.wake_up.set()
 
     def close_when_idle(self) -> None:
-        """Request the close as soon as no request is in progress and no further input is available."""
+        """Request the close at the time when no request is in progress and no further input is available."""
         match self.state:
             case ConnectionState.AWAITING_FIRST_REQUEST:
                 # Race: the first request of a new connection may be on its way.
--- a/lugtally/downstream/graceful_shutdown.py
+++ b/lugtally/downstream/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: go on accepting for a while, answer all that was taken, close, stop the event loop."""
+"""Graceful shutdown: accept for a limited time, answer all received requests, close, stop the event loop."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         state: ShutdownState,
         longest_deadline_ns: int,
     ) -> None:
-        """``connections`` are the server's own; ``connection_closed`` is set whenever one of them has gone."""
+        """``connections`` are the server's open connections; ``connection_closed`` is set when one has closed."""
         self._loop = loop
         self._connections = connections
         self._connection_closed = connection_closed
@@ -33,10 +33,10 @@
         self.state = state
 
     def start(self) -> None:
-        """Begin to drain, where that has not begun."""
+        """Start draining; do nothing if it has already started."""
         if not self.state.draining:
             self.state.start_draining(self._loop.now(), self._longest_deadline_ns)
-            logger.info("told to stop: draining", event="sidecar.draining")
+            logger.info("graceful shutdown started: draining", event="sidecar.draining")
             self._loop.spawn(self._run)
 
     def _run(self) -> None:
--- a/lugtally/downstream/health.py
+++ b/lugtally/downstream/health.py
@@ -1,4 +1,4 @@
-"""The pace of health checks."""
+"""Rate limit of health checks."""
 
 from __future__ import annotations
 
@@ -7,24 +7,25 @@
 
 HEALTH_PATH = "/_health"
 MAX_HEALTH_CHECKS_PER_S = 200
-"""Health checks that are answered at once, on all connections together."""
+"""Health checks answered without delay, on all connections together."""
 HEALTH_CHECK_DELAY_NS = 50 * NS_PER_MS
-"""How long each further one waits: a tight loop of them must not eat the core."""
+"""Delay of each health check beyond that rate, so that a client in a tight loop cannot use all of the CPU."""
 
 
-class HealthCheckPacer:
-    """Counts health checks; all of them are answered, but beyond a rate only after a delay."""
+class HealthCheckRateLimiter:
+    """Counts health checks and delays those beyond a rate; none is rejected."""
 
     def __init__(self, loop: EventLoop) -> None:
         self._loop = loop
         self._second_started_ns = 0
         self._checks = 0
 
-    def pace(self) -> None:
-        """Count a health check, and block for a while where there were too many."""
+    def acquire(self) -> None:
+        """Count a health check, and block for the delay if the rate is exceeded."""
         now_ns = self._loop.now()
         if now_ns - self._second_started_ns >= NS_PER_S:
-            self._second_started_ns, self._checks = now_ns, 0
+            self._second_started_ns = now_ns
+            self._checks = 0
         self._checks += 1
         if self._checks > MAX_HEALTH_CHECKS_PER_S:
             self._loop.sleep(HEALTH_CHECK_DELAY_NS)
--- a/lugtally/downstream/listener.py
+++ b/lugtally/downstream/listener.py
@@ -1,4 +1,4 @@
-"""Listening sockets: bound here, or inherited from the platform."""
+"""Listening sockets: bound by this process, or inherited from its parent."""
 
 from __future__ import annotations
 
@@ -7,13 +7,14 @@
 from lugtally.address import Address
 
 LISTEN_BACKLOG = 1024
+"""Clients that may wait to be accepted; the kernel may limit it further."""
 
 
 def bind_listener(address: Address) -> socket.socket:
-    """Return a non-blocking socket that listens at this address and no other.
+    """Return a non-blocking socket that listens on this address only.
 
     Raises:
-        OSError: the address cannot be had.
+        OSError: the address cannot be bound.
     """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     listener = socket.socket(family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
@@ -24,10 +25,10 @@
 
 
 def adopt_listener(fd: int) -> socket.socket:
-    """Return the listening socket of a descriptor that the platform passed; it is never bound here.
+    """Return the listening socket of an inherited descriptor.
 
     Raises:
-        ValueError: in one line, why that descriptor cannot be used.  It is not closed.
+        ValueError: the descriptor cannot be used; the message is one line.  The descriptor stays open.
     """
     try:
         listener = socket.socket(fileno=fd)
--- a/lugtally/downstream/request_reader.py
+++ b/lugtally/downstream/request_reader.py
@@ -23,7 +23,7 @@
 
 
 class RequestTimeoutError(ProtocolError):
-    """The request was not complete in time."""
+    """The request was not complete in time; the text is the body of the 408."""
 
     def __init__(self) -> None:
         super().__init__(408, "the request did not become whole in time")
@@ -77,7 +77,7 @@
             connection.transition(TransitionCause.READING_STARTED)
             return None
         connection.since_ns = connection.loop.now()
-        request = self.queue.take()
+        request = self.queue.pop()
         if request is not None:
             connection.transition(TransitionCause.RESPONSE_COMPLETE_REQUEST_BUFFERED)
         elif self.queue.has_input:
@@ -106,7 +106,7 @@
                 return None
             self._start_or_check_request_time()
             self.queue.feed(data, self.arrival.received_after_ns)
-            request = self.queue.take()
+            request = self.queue.pop()
         connection.transition(TransitionCause.REQUEST_COMPLETE)
         return request
 
--- a/lugtally/downstream/responses.py
+++ b/lugtally/downstream/responses.py
@@ -1,4 +1,4 @@
-"""The final responses that clients get."""
+"""The final responses to clients."""
 
 from __future__ import annotations
 
@@ -8,7 +8,6 @@
 from lugtally.http1 import Message, ProtocolError
 from lugtally.units import NS_PER_S
 
-# Headers of an endpoint's response that concern its connection to the sidecar alone.
 _NOT_FORWARDED = frozenset(
     {
         "connection",
@@ -22,6 +21,7 @@
         "x-unprocessed",
     }
 )
+"""Headers of an endpoint's response that concern only its connection to the sidecar."""
 
 
 class Response(NamedTuple):
@@ -33,13 +33,14 @@
 
 
 class StreamedResponse(NamedTuple):
-    """A final response that has been passed on whole."""
+    """A final response that was streamed to the client completely."""
 
     closes: bool
-    """Whether its connection ends with it, as announced."""
+    """Whether it announced the close of its connection."""
 
 
 FinalResponse = Response | StreamedResponse
+"""The one final response to a request."""
 
 
 def served_response(message: Message) -> Response:
@@ -54,17 +55,17 @@
 
 
 def failed_response() -> Response:
-    """Return the response to a request that failed and may have run."""
+    """Return the response to a request that failed and may have been processed."""
     return Response(502, b"failed\n", [])
 
 
 def internal_error_response() -> Response:
-    """Return the response to a request that met a fault of the sidecar itself."""
+    """Return the response to a request that failed because of a fault of the sidecar."""
     return Response(500, b"internal error\n", [])
 
 
 def protocol_error_response(error: ProtocolError) -> Response:
-    """Return the response to a client at fault."""
+    """Return the response to an invalid request."""
     return Response(error.status, f"{error}\n".encode(), [("Content-Type", "text/plain")])
 
 
@@ -74,5 +75,5 @@
 
 
 def forwarded_headers(message: Message) -> list[tuple[str, str]]:
-    """Return the headers of an endpoint's response that the client gets."""
+    """Return the headers of an endpoint's response that are forwarded to the client."""
     return [(name, value) for name, value in message.headers if name.lower() not in _NOT_FORWARDED]
--- a/lugtally/downstream/server.py
+++ b/lugtally/downstream/server.py
@@ -1,4 +1,4 @@
-"""The server for the application: it accepts connections and gives each request its one final response."""
+"""The server for the application: accepts connections and sends each request its one final response."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from lugtally.downstream.deadlines import RequestDeadlines
 from lugtally.downstream.exchange import Exchange, ExchangeServices
 from lugtally.downstream.graceful_shutdown import GracefulShutdown
-from lugtally.downstream.health import HEALTH_PATH, HealthCheckPacer
+from lugtally.downstream.health import HEALTH_PATH, HealthCheckRateLimiter
 from lugtally.downstream.listener import adopt_listener, bind_listener
 from lugtally.downstream.request_queue import ReceivedRequest
 from lugtally.downstream.request_reader import RequestReader, RequestTimeoutError
@@ -39,7 +39,7 @@
 
 
 class DownstreamServer:
-    """All connections of the application to this sidecar."""
+    """Serves all client connections of one sidecar."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
         self._ids_in_progress: set[str] = set()
         """The correlation IDs of the requests in progress."""
         self._validator = RequestValidator(classes, tenants, self._ids_in_progress)
-        self._health_checks = HealthCheckPacer(loop)
+        self._health_checks = HealthCheckRateLimiter(loop)
         self._connection_closed = Event(loop)
         state = ShutdownState()
         self._reuse_policy = ReusePolicy(state, self._open, max_connections)
@@ -70,36 +70,36 @@
             loop, self._open, self._connection_closed, self._acceptor, state, longest_deadline_ns
         )
         self.ready = False
-        """Whether there are endpoints to send requests to; set by the owner."""
+        """Whether requests can be sent to an endpoint, as health checks report it; set by the owner."""
 
     def listen(self, address: Address) -> None:
-        """Accept connections at this address and no other.
+        """Accept connections on this address only.
 
         Raises:
-            OSError: the address cannot be had.
+            OSError: the address cannot be bound.
         """
         self._acceptor.start(bind_listener(address), is_shared=False)
 
     def adopt(self, fd: int) -> None:
-        """Accept connections on a listening socket that the platform passed; it is never bound here.
+        """Accept connections on an inherited listening socket.
 
         Raises:
-            ValueError: in one line, why that descriptor cannot be used.
+            ValueError: the descriptor cannot be used; the message is one line.
         """
         self._acceptor.start(adopt_listener(fd), is_shared=True)
 
     def drain(self) -> None:
-        """Begin the graceful shutdown: at its end the event loop is stopped."""
+        """Start the graceful shutdown, which stops the event loop when it is complete."""
         self._shutdown.start()
 
     @property
     def draining(self) -> bool:
-        """Whether the graceful shutdown has begun."""
+        """Whether the graceful shutdown has started."""
         return self._shutdown.state.draining
 
     @property
     def listener(self) -> socket.socket | None:
-        """The listening socket, once there is one; closed in the course of the shutdown."""
+        """The listening socket; ``None`` before the start.  The graceful shutdown closes it."""
         return self._acceptor.listener
 
     @property
@@ -166,7 +166,7 @@
     def _respond(self, reader: RequestReader, received: ReceivedRequest) -> FinalResponse | None:
         """Return the final response to one request; ``None`` if its connection is to be closed without one."""
         if received.message.target.partition("?")[0] == HEALTH_PATH:
-            self._health_checks.pace()
+            self._health_checks.acquire()
             return health_response(self.ready and not self.draining)
         try:
             request = self._validator.validate(received)
