--- a/tests/downstream/test_guards.py
+++ b/tests/downstream/test_guards.py
@@ -1,4 +1,4 @@
-"""Guards of client connections that no other test would miss: each test fails where its guard is taken out."""
+"""Guards of client connections that no other test covers: each test fails if its guard is removed."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from tests.races.fakes import ENDPOINT_A, Sidecar, request
 
 NEVER_NS = 60 * NS_PER_S
-"""As a time limit: longer than any test waits."""
+"""A time limit that no test reaches."""
 
 
-def test_a_client_that_left_since_the_last_poll_is_seen_right_before_the_write() -> None:
-    """It leaves while the balancer decides, in the turn of the event loop in which the attempt writes."""
+def test_disconnect_after_last_poll_is_noticed_before_write() -> None:
+    """The client disconnects while the balancer decides, in the same turn of the event loop as the write."""
     sidecar = Sidecar()
 
     def script() -> None:
@@ -26,31 +26,37 @@
         connection.read_head()
         connection.respond()
         assert b"200 OK" in first.read()
-        sidecar.loop.sleep(20 * NS_PER_MS)  # its connection has settled: the next attempt need not wait for it
-        leaver = sidecar.client(address)
+        sidecar.loop.sleep(20 * NS_PER_MS)  # the upstream connection may be reused without a wait
+        disconnecting = sidecar.client(address)
         sidecar.wait_until(lambda: sidecar.downstream.open == 2)
-        accepted = next(one for one in sidecar.downstream._open if one.sock.getpeername() == leaver.sock.getsockname())
+        accepted = next(
+            candidate
+            for candidate in sidecar.downstream._open
+            if candidate.sock.getpeername() == disconnecting.sock.getsockname()
+        )
 
-        def leave_and_send(event: balancing.Event) -> list[balancing.Action]:
+        def disconnect_and_send(event: balancing.Event) -> list[balancing.Action]:
             if not isinstance(event, balancing.Request):
                 return []
-            leaver.sock.close()
-            give_up_ns = sidecar.loop.now() + NS_PER_S
-            while not sidecar.loop.is_ready(accepted.fd, PEER_CLOSED):  # the kernel hands the end over
-                assert sidecar.loop.now() < give_up_ns
+            disconnecting.sock.close()
+            test_deadline_ns = sidecar.loop.now() + NS_PER_S
+            while not sidecar.loop.is_ready(accepted.fd, PEER_CLOSED):  # until the kernel has delivered the close
+                assert sidecar.loop.now() < test_deadline_ns
             return [balancing.SendAttempt(event.id, ENDPOINT_A, event.time_left_ns)]
 
-        sidecar.balancer.decide = leave_and_send
-        leaver.send(request("read", "r1"))
+        sidecar.balancer.decide = disconnect_and_send
+        disconnecting.send(request("read", "r1"))
         sidecar.wait_until(lambda: len(sidecar.balancer.attempt_results()) == 2)
-        assert not sidecar.loop.is_ready(connection.sock.fileno(), 1), "the request of a client that left was written"
+        assert not sidecar.loop.is_ready(connection.sock.fileno(), 1), (
+            "the request of a disconnected client was written"
+        )
 
     sidecar.run(script)
     assert sidecar.balancer.attempt_results() == [balancing.AttemptResult.OK, balancing.AttemptResult.NEVER_SENT]
     assert len(sidecar.balancer.client_disconnects()) == 1
 
 
-def test_idle_connections_are_evicted_where_they_keep_a_request_out(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_connection_is_evicted_at_connection_limit(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(request_reader, "CLIENT_IDLE_TIMEOUT_NS", NEVER_NS)
     sidecar = Sidecar(max_clients=2)
 
@@ -58,20 +64,20 @@
         address = sidecar.listen_with_one_endpoint()
         idle = [sidecar.client(address) for _ in range(2)]
         sidecar.wait_until(lambda: sidecar.downstream.open == 2)
-        late = sidecar.client(address)
-        late.send(request("read"))
+        waiting = sidecar.client(address)
+        waiting.send(request("read"))
         connection = sidecar.server.accept()
         connection.read_head()
         connection.respond()
-        assert late.read().startswith(b"HTTP/1.1 200")
+        assert waiting.read().startswith(b"HTTP/1.1 200")
         for client in idle:
             client.sock.close()
 
     sidecar.run(script)
 
 
-def test_a_fresh_connection_is_given_time_for_its_first_request_at_shutdown() -> None:
-    """Accepted before the end, its first bytes still on their way, it was not idle but new."""
+def test_new_connection_may_send_first_request_during_shutdown() -> None:
+    """A connection that was accepted before the shutdown and has not sent a request is new, not idle."""
     sidecar = Sidecar()
 
     def script() -> None:
@@ -79,7 +85,7 @@
         sidecar.wait_until(lambda: sidecar.downstream.open == 1)
         sidecar.downstream.drain()
         sidecar.wait_until(sidecar.has_closed_listener)
-        sidecar.loop.sleep(NS_PER_MS)  # the task of each connection has been told, and has run
+        sidecar.loop.sleep(NS_PER_MS)  # the task of each connection has been notified and has run
         client.send(request("read"))
         connection = sidecar.server.accept()
         connection.read_head()
@@ -91,8 +97,8 @@
     sidecar.run(script)
 
 
-def test_the_close_after_a_408_does_not_wait_for_the_client(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A request that took so long to be given up has held its connection long enough."""
+def test_close_after_408_does_not_wait_for_client(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A request that timed out has used its connection for long enough."""
     monkeypatch.setattr(request_reader, "REQUEST_TIMEOUT_NS", 20 * NS_PER_MS)
     monkeypatch.setattr(closing, "LINGER_SILENCE_TIMEOUT_NS", NEVER_NS)
     monkeypatch.setattr(closing, "MAX_LINGER_NS", NEVER_NS)
@@ -107,8 +113,8 @@
     sidecar.run(script)
 
 
-def test_a_request_whose_bytes_trickle_in_has_no_more_time_than_another(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A byte is there at each poll, so that no wait for one ever lasts until the time is over."""
+def test_slow_bytes_do_not_extend_request_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A byte is available at each poll, so that no wait for input reaches the request timeout."""
     monkeypatch.setattr(request_reader, "REQUEST_TIMEOUT_NS", 20 * NS_PER_MS)
     sidecar = Sidecar()
     answered: list[bytes] = []
@@ -117,9 +123,9 @@
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         client.send(b"GET /read HTTP/1.1\r\nX-Fill: ")
         sidecar.loop.spawn(lambda: answered.append(client.read()))
-        give_up_ns = sidecar.loop.now() + 10 * NS_PER_S
+        test_deadline_ns = sidecar.loop.now() + 10 * NS_PER_S
         while not answered:
-            assert sidecar.loop.now() < give_up_ns, "it goes on for good"
+            assert sidecar.loop.now() < test_deadline_ns, "the request never timed out"
             client.send(b"x")
             sidecar.loop.sleep(0)
 
--- a/tests/downstream/test_server.py
+++ b/tests/downstream/test_server.py
@@ -1,4 +1,4 @@
-"""The downstream server alone: a fault while it responds, tenants, adopted sockets."""
+"""The downstream server alone: exceptions while it responds, tenants, inherited sockets."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
     return UpstreamPool(loop, ConnectionLimits(NS_PER_MS, NS_PER_MS, 9), ())
 
 
-def test_a_fault_while_answering_still_gives_one_answer(loop: EventLoop) -> None:
-    """It used to close the client's connection without a response: the request was accepted and lost."""
+def test_exception_while_responding_gives_one_500(loop: EventLoop) -> None:
+    """Regression: the connection was closed without a response to the received request."""
     downstream = DownstreamServer(loop, Any, Any, (), 9)  # type: ignore[arg-type]
     downstream._respond = lambda *_: 1 / 0  # type: ignore[method-assign,assignment]
     server = listener()
@@ -52,10 +52,10 @@
     server.close()
 
 
-def test_the_server_passes_the_tenant_of_each_request_to_the_balancer(
+def test_tenant_of_each_request_reaches_balancer(
     loop: EventLoop, upstream: UpstreamPool, balancer: ScriptedBalancer
 ) -> None:
-    """The account reached no decision: all requests passed for those of the first tenant."""
+    """Regression: every request was treated as one of the first tenant."""
     dispatcher = dispatch.Dispatcher(balancing.Settings(), 1, loop)
     classes = (
         balancing.RequestClass("first", deadline_ns=50 * NS_PER_MS),
@@ -85,14 +85,14 @@
     ]
 
 
-def test_only_a_listening_tcp_socket_is_adopted(loop: EventLoop, upstream: UpstreamPool) -> None:
+def test_only_listening_tcp_socket_is_adopted(loop: EventLoop, upstream: UpstreamPool) -> None:
     dispatcher = dispatch.Dispatcher(read_settings(SETTINGS), 1, loop)
     downstream = DownstreamServer(loop, dispatcher, upstream, (), 8)
     for sock in (socket.socket(), socket.socket(type=socket.SOCK_DGRAM), *socket.socketpair()):
         with sock:
             with pytest.raises(ValueError, match=r"PROXY_SOCKET_FD: .* no listening TCP socket"):
                 downstream.adopt(sock.fileno())
-            os.fstat(sock.fileno())  # a refused descriptor is not closed behind its owner
+            os.fstat(sock.fileno())  # a rejected descriptor stays open
     with listener() as inherited:
         downstream.adopt(inherited.fileno())
         assert downstream.listener is not None
