--- a/lugtally/__init__.py
+++ b/lugtally/__init__.py
@@ -1,4 +1,4 @@
-"""lugtally: the decisions of a sidecar balancer, without the sidecar."""
+"""lugtally: a load-balancing sidecar.  The public API is the balancer, without the sidecar around it."""
 
 from lugtally.balancing import Balancer
 
--- a/lugtally/__main__.py
+++ b/lugtally/__main__.py
@@ -1,19 +1,21 @@
 """``python -m lugtally``: the command line.
 
-Exit status: 0 after a planned stop, 1 where the address cannot be listened on, 2 for a bad command line or
-configuration; the rehearsal commands have more, see ``lugtally rehearse --help``.
+Exit status: 0 after a graceful shutdown, 1 if the sidecar cannot listen at an address, 2 for an invalid command line or
+configuration.  The testbed's commands have further ones, see ``lugtally.cli.rehearse``.
 """
 
 from __future__ import annotations
 
 import sys
 
+EXIT_INTERRUPTED = 130
+
 
 def main(arguments: list[str] | None = None) -> int:
     """Run one command; return the exit status."""
     command_line = sys.argv[1:] if arguments is None else arguments
     if command_line[:1] == ["serve"]:
-        # A sidecar may be limited to 32 MB of memory: it loads its own command and no other group.
+        # A sidecar may be limited to 32 MB of memory, so it imports only its own command.
         from lugtally.cli.daemon import serve
 
         return run(serve, command_line[1:], "lugtally serve")
@@ -23,7 +25,7 @@
 
 
 def run(command: object, arguments: list[str], name: str) -> int:
-    """Run a click command; return its exit status, or 2 for a bad command line."""
+    """Run a click command; return its exit status, 2 for an invalid command line, or 130 after an interrupt."""
     import click
 
     assert isinstance(command, click.Command)
@@ -33,7 +35,7 @@
         error.show()
         return error.exit_code
     except click.Abort:
-        return 130
+        return EXIT_INTERRUPTED
     return status if isinstance(status, int) else 0
 
 
--- a/lugtally/address.py
+++ b/lugtally/address.py
@@ -1,4 +1,4 @@
-"""A network address, as the socket module takes it."""
+"""A network address in the form that the socket module uses."""
 
 from __future__ import annotations
 
--- a/lugtally/cli/__init__.py
+++ b/lugtally/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line, on click: one module for each group of commands, with imports inside the commands.
+"""The command line, built with click: one module for each group of commands.  Commands import what they use when run.
 
-It owns names, options, texts and exit statuses.  It must not know how anything works.
+It owns the names, options, texts and exit statuses of the commands.  It must not know how the program works.
 """
--- a/lugtally/cli/daemon.py
+++ b/lugtally/cli/daemon.py
@@ -1,49 +1,82 @@
-"""The commands of the daemon: ``serve``, ``check-config`` and ``version``."""
+"""The commands of the daemon: ``serve``, ``check-config``, ``status`` and ``version``."""
 
 from __future__ import annotations
 
 import os
 import sys
-from typing import TYPE_CHECKING, Literal
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, Any
 
 import click
 
 if TYPE_CHECKING:
+    from lugtally.balancing import Settings
     from lugtally.config.operator import Operator
+    from lugtally.logs import Format
+    from lugtally.overload.admission import OverloadLimits
 
 LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
 FORMATS = ("text", "json")
+EXIT_UNREACHABLE = 1
+EXIT_BAD_INPUT = 2
 STATUS_TIMEOUT_S = 5
+STATUS_READ_BYTES = 64 * 1024
+
+
+@dataclass(frozen=True, slots=True)
+class _OperatorOptions:
+    """The options of ``serve`` that the operator's file can set; these defaults apply without a file."""
+
+    log_level: str = "INFO"
+    log_format: Format = "text"
+    overload: OverloadLimits | None = None
+    status_path: str = ""
 
 
 @click.command()
-@click.option("--log-level", type=click.Choice(LEVELS), help="goes before the operator's file  [default: INFO]")
-@click.option("--log-format", type=click.Choice(FORMATS), help="goes before the operator's file  [default: text]")
-@click.option("--operator", metavar="FILE", help="the operator's own file, in TOML")
-def serve(log_level: str | None, log_format: Literal["text", "json"] | None, operator: str | None) -> int:
-    """Run the sidecar in the foreground, as the PROXY_* variables say."""
+@click.option(
+    "--log-level", type=click.Choice(LEVELS), help="takes precedence over the operator's file  [default: INFO]"
+)
+@click.option(
+    "--log-format", type=click.Choice(FORMATS), help="takes precedence over the operator's file  [default: text]"
+)
+@click.option("--operator", metavar="FILE", help="the operator's file, in TOML")
+def serve(log_level: str | None, log_format: Format | None, operator: str | None) -> int:
+    """Run the sidecar in the foreground, configured by the PROXY_* variables."""
     from lugtally.config import sidecar
-    from lugtally.daemon.overload_protection import overload_limits
     from lugtally.daemon.sidecar import serve as run
 
-    level: str = "INFO"
-    file_format: Literal["text", "json"] = "text"
-    limits, status_path = None, ""
+    options = _OperatorOptions()
     try:
         config = sidecar.load(os.environ)
         if operator is not None:
-            operator_file = _load_operator_file(operator)
-            level, file_format = operator_file.log.level, operator_file.log.format
-            limits = overload_limits(operator_file.overload, config.settings)
-            status_path = operator_file.control.socket
+            options = _load_operator_options(operator, config.settings)
     except ValueError as error:
         print(f"lugtally: {error}", file=sys.stderr)
-        return 2
-    return run(config, log_level or level, log_format or file_format, overload=limits, status_path=status_path)
+        return EXIT_BAD_INPUT
+    return run(
+        config,
+        log_level or options.log_level,
+        log_format or options.log_format,
+        overload=options.overload,
+        status_path=options.status_path,
+    )
+
+
+def _load_operator_options(path: str, settings: Settings) -> _OperatorOptions:
+    from lugtally.daemon.overload_protection import overload_limits
+
+    operator_file = _load_operator_file(path)
+    return _OperatorOptions(
+        log_level=operator_file.log.level,
+        log_format=operator_file.log.format,
+        overload=overload_limits(operator_file.overload, settings),
+        status_path=operator_file.control.socket,
+    )
 
 
 def _load_operator_file(path: str) -> Operator:
-    """Read the operator's file; its decoder is loaded only where there is one."""
+    """Load the operator's file.  Its decoder is imported only if there is such a file."""
     from lugtally.config import operator
 
     return operator.load(path)
@@ -51,36 +84,40 @@
 
 @click.command("check-config")
 @click.argument("file", required=False)
-@click.option("--operator", metavar="FILE", help="check this operator's file as well, or alone")
+@click.option(
+    "--operator",
+    metavar="FILE",
+    help="also check this operator's file; without FILE and PROXY_CONFIG, check only this file",
+)
 def check_config(file: str | None, operator: str | None) -> int:
-    """Check the configuration and say what it holds.  FILE: config.json; default: what PROXY_CONFIG names."""
+    """Check the configuration and print a summary.  FILE: config.json  [default: $PROXY_CONFIG]."""
     from lugtally.config import sidecar
 
     try:
         if operator is not None:
             operator_file = _load_operator_file(operator)
             print(
-                f"{operator}: log {operator_file.log.format} from {operator_file.log.level} on, "
-                f"own overload {'guarded' if operator_file.overload.enabled else 'not guarded'}"
+                f"{operator}: log format {operator_file.log.format}, level {operator_file.log.level}, "
+                f"overload protection {'enabled' if operator_file.overload.enabled else 'disabled'}"
             )
             if file is None and "PROXY_CONFIG" not in os.environ:
                 return 0
         config = sidecar.load(os.environ, file)
     except ValueError as error:
         print(f"lugtally: {error}", file=sys.stderr)
-        return 2
+        return EXIT_BAD_INPUT
     print(
         f"{config.name}: {len(config.settings.classes)} classes,"
-        f" {len(config.cached_endpoints.records)} known destinations, listens at {config.listen}"
+        f" {len(config.cached_endpoints.records)} cached endpoints, listens at {config.listen}"
     )
     return 0
 
 
 @click.command()
 @click.argument("socket")
-@click.option("--json", "as_json", is_flag=True, help="the object as it came")
+@click.option("--json", "as_json", is_flag=True, help="print the JSON object unchanged")
 def status(socket: str, as_json: bool) -> int:
-    """Say how a running sidecar is.  SOCKET: the path that its operator's file names under [control]."""
+    """Print the state of a running sidecar.  SOCKET: the path in [control] of its operator's file."""
     import ujson
 
     try:
@@ -88,25 +125,35 @@
         state = ujson.loads(text)
     except (OSError, ValueError) as error:
         print(f"lugtally: {socket}: {getattr(error, 'strerror', None) or error}", file=sys.stderr)
-        return 1
+        return EXIT_UNREACHABLE
     if as_json:
         print(text.decode().rstrip())
-        return 0
+    else:
+        _print_state(state)
+    return 0
+
+
+def _print_state(state: dict[str, Any]) -> None:
+    """Print one line per member; members of nested objects are on the line of their object."""
     for name, value in state.items():
-        text_value = value
+        text = value
         if isinstance(value, dict):
-            text_value = ", ".join(f"{key} {member}" for key, member in value.items() if not isinstance(member, dict))
-        print(f"{name:14} {text_value}")
-    return 0
+            text = ", ".join(f"{key} {member}" for key, member in value.items() if not isinstance(member, dict))
+        print(f"{name:14} {text}")
 
 
 def _read_status(path: str) -> bytes:
+    """Return all bytes that the status socket sends.
+
+    Raises:
+        OSError: The socket cannot be opened or does not respond within ``STATUS_TIMEOUT_S``.
+    """
     import socket
 
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as client:
         client.settimeout(STATUS_TIMEOUT_S)
         client.connect(path)
-        return b"".join(iter(lambda: client.recv(65536), b""))
+        return b"".join(iter(lambda: client.recv(STATUS_READ_BYTES), b""))
 
 
 @click.command()
--- a/lugtally/cli/root.py
+++ b/lugtally/cli/root.py
@@ -1,4 +1,4 @@
-"""The root of the command line: the module of a command is imported with the command."""
+"""The root of the command line, which imports the module of a command only when it is used."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 
 import click
 
+# Module and function in ``lugtally.cli`` by the name of the command.
 COMMANDS = {
     "serve": "daemon.serve",
     "check-config": "daemon.check_config",
@@ -17,14 +18,14 @@
 
 
 class LazyGroup(click.Group):
-    """Imports the module of a command when the command is run."""
+    """A group of commands that are imported when they are used."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Return all names, in the order of the table."""
+        """Return the names of all commands, in the order of the table."""
         return list(COMMANDS)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Return the command of that name."""
+        """Import and return the command ``cmd_name``, or return ``None`` if it is unknown."""
         if cmd_name not in COMMANDS:
             return None
         module, name = COMMANDS[cmd_name].split(".")
@@ -35,4 +36,4 @@
 
 @click.command(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 def root() -> None:
-    """A load-balancing sidecar, and the kit to rehearse its worst days."""
+    """A load-balancing sidecar, and a testbed to rehearse outages and overload."""
--- a/lugtally/logs.py
+++ b/lugtally/logs.py
@@ -1,6 +1,6 @@
-"""The daemon's log on standard error: lines for people, or one JSON object a line with stable names.
+"""The daemon's log on standard error: plain text, or one JSON object per line.
 
-An event's name and fields, as docs/logging.md lists them, are an interface; its text is not.
+The names and fields of events are a stable interface, which docs/logging.md lists.  Texts can change.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 TEXT_FORMAT = "{time:HH:mm:ss.SSS} {level: <7} {message}"
 Format = Literal["text", "json"]
 UNNAMED_EVENT = "unnamed"
-"""In the place of an event's name; a line without one would be a mistake in this program."""
+"""Event name of a line that has none, which is a bug in the program."""
 
 
 def _write_json(message: Message) -> None:
-    """Write one object: time, level, event, text, the event's fields, and the traceback of an exception."""
+    """Write one JSON object: time, level, event, text, the fields of the event, and the traceback of an exception."""
     record = message.record
     fields = dict(record["extra"])
     line = {
@@ -40,7 +40,7 @@
 
 
 def start(level: str, log_format: Format) -> None:
-    """Log events of this level and above, in this format; replaces what was set before."""
+    """Configure the log: events of ``level`` and above, in ``log_format``.  Replaces the previous configuration."""
     logger.remove()
     if log_format == "json":
         logger.add(_write_json, level=level, format="{message}", backtrace=False, diagnose=False)
