--- a/lugtally/__main__.py
+++ b/lugtally/__main__.py
@@ -8,7 +8,7 @@
 
 import sys
 
-EXIT_INTERRUPTED = 130
+from lugtally.cli.errors import EXIT_INTERRUPTED
 
 
 def main(arguments: list[str] | None = None) -> int:
--- a/lugtally/cli/daemon.py
+++ b/lugtally/cli/daemon.py
@@ -9,6 +9,8 @@
 
 import click
 
+from lugtally.cli.errors import print_error
+
 if TYPE_CHECKING:
     from lugtally.balancing import Settings
     from lugtally.config.operator import Operator
@@ -18,7 +20,6 @@
 LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
 FORMATS = ("text", "json")
 EXIT_UNREACHABLE = 1
-EXIT_BAD_INPUT = 2
 STATUS_TIMEOUT_S = 5
 STATUS_READ_BYTES = 64 * 1024
 
@@ -52,8 +53,7 @@
         if operator is not None:
             options = _load_operator_options(operator, config.settings)
     except ValueError as error:
-        print(f"lugtally: {error}", file=sys.stderr)
-        return EXIT_BAD_INPUT
+        return print_error(error)
     return run(
         config,
         log_level or options.log_level,
@@ -104,8 +104,7 @@
                 return 0
         config = sidecar.load(os.environ, file)
     except ValueError as error:
-        print(f"lugtally: {error}", file=sys.stderr)
-        return EXIT_BAD_INPUT
+        return print_error(error)
     print(
         f"{config.name}: {len(config.settings.classes)} classes,"
         f" {len(config.cached_endpoints.records)} cached endpoints, listens at {config.listen}"
--- a/lugtally/cli/experiment.py
+++ b/lugtally/cli/experiment.py
@@ -8,14 +8,8 @@
 
 import click
 
-from lugtally.cli.testbed_common import (
-    EXIT_INTERRUPTED,
-    exit_status,
-    interrupt_on_sigterm,
-    print_error,
-    progress_bar,
-    require_kit,
-)
+from lugtally.cli.errors import EXIT_INTERRUPTED, print_error
+from lugtally.cli.testbed_common import exit_status, interrupt_on_sigterm, progress_bar, require_kit
 
 if TYPE_CHECKING:
     from lugtally.testbed.experiments.experiment import Experiment
--- a/lugtally/cli/rehearse.py
+++ b/lugtally/cli/rehearse.py
@@ -13,21 +13,17 @@
 
 import click
 
+from lugtally.cli.errors import EXIT_INTERRUPTED, print_error
 from lugtally.cli.experiment import play_experiment
-from lugtally.cli.testbed_common import (
-    EXIT_INTERRUPTED,
-    exit_status,
-    interrupt_on_sigterm,
-    parse_seeds,
-    print_error,
-    progress_bar,
-    require_kit,
-)
+from lugtally.cli.testbed_common import exit_status, interrupt_on_sigterm, parse_seeds, progress_bar, require_kit
 
 if TYPE_CHECKING:
     from lugtally.testbed.reporting.report import Report
     from lugtally.testbed.scenario.scenario import Scenario
 
+MAX_SERVERS_SHOWN = 6
+"""Server names that ``check`` prints for a fault."""
+
 
 @click.group()
 def rehearse() -> None:
@@ -83,7 +79,7 @@
         f"endpoint list delayed by {schedule.propagation_s:.1f} s"
     )
     for event in schedule.events:
-        names = ", ".join(schedule.machines[index].name for index in event.server_indices[:6])
+        names = ", ".join(schedule.machines[index].name for index in event.server_indices[:MAX_SERVERS_SHOWN])
         print(f"{event.at:7.2f} s  {'begin' if event.begins else 'end  '} {event.fault.kind:14} {names}")
     return 0
 
@@ -94,11 +90,13 @@
 
     seeds: tuple[int, ...]
     policy: str
-    operator: Path | None
+    operator_file: Path | None
     json_file: Path | None
     html_file: Path | None
-    keep: Path | None
-    progress: bool | None
+    output_folder: Path | None
+    """The folder of the runs' event logs, process logs and configurations; ``None`` to delete these files."""
+    show_progress: bool | None
+    """``None`` to show it if standard error is a terminal."""
 
 
 @rehearse.command()
@@ -107,15 +105,25 @@
     "--seed", "--seeds", "seeds", default="1", show_default=True, callback=parse_seeds, help="3, 1-5 or 1,4,9"
 )
 @click.option("--policy", default="module", show_default=True, help="module, or the name of a baseline")
-@click.option("--operator", type=click.Path(path_type=Path, exists=True), help="operator's file of the sidecars")
+@click.option(
+    "--operator", "operator_file", type=click.Path(path_type=Path, exists=True), help="operator's file of the sidecars"
+)
 @click.option("--json", "json_file", type=click.Path(path_type=Path), help="write the reports to this file")
 @click.option(
     "--html", "html_file", type=click.Path(path_type=Path), help="write a page about the last run to this file"
 )
 @click.option(
-    "--keep", type=click.Path(path_type=Path), help="keep event logs, process logs and configurations in this folder"
+    "--keep",
+    "output_folder",
+    type=click.Path(path_type=Path),
+    help="keep event logs, process logs and configurations in this folder",
+)
+@click.option(
+    "--progress/--no-progress",
+    "show_progress",
+    default=None,
+    help="progress bar  [default: if standard error is a terminal]",
 )
-@click.option("--progress/--no-progress", default=None, help="progress bar  [default: if standard error is a terminal]")
 def run(names: tuple[str, ...], **options: Any) -> int:
     """Play scenarios and print the verdict of each run.  NAMES: shipped scenarios or files."""
     require_kit()
@@ -162,14 +170,14 @@
 def _play_run(scenario: Scenario, seed: int, options: RunOptions) -> Report:
     from lugtally.testbed.experiments.runner import Run
 
-    folder = options.keep / f"{scenario.name}.{options.policy}.{seed}" if options.keep else None
-    is_shown = sys.stderr.isatty() if options.progress is None else options.progress
+    folder = options.output_folder / f"{scenario.name}.{options.policy}.{seed}" if options.output_folder else None
+    is_shown = sys.stderr.isatty() if options.show_progress is None else options.show_progress
     with progress_bar(is_shown, f"{scenario.name} {seed}", scenario.length_s) as on_progress:
         return Run(
             scenario,
             seed,
             policy=options.policy,
-            operator=options.operator,
+            operator=options.operator_file,
             folder=folder,
             on_progress=on_progress,
         ).play()
--- a/lugtally/cli/testbed_common.py
+++ b/lugtally/cli/testbed_common.py
@@ -1,9 +1,8 @@
-"""What the commands of the testbed share: exit statuses, options, the progress bar and the interrupt."""
+"""What the commands of the testbed share: options, the verdict's exit status, the progress bar and the interrupt."""
 
 from __future__ import annotations
 
 import signal
-import sys
 from collections.abc import Callable
 from contextlib import contextmanager
 from typing import TYPE_CHECKING, Any
@@ -15,18 +14,10 @@
 
     from lugtally.testbed.reporting.report import Report
 
-EXIT_BAD_INPUT = 2
-EXIT_INTERRUPTED = 130
 OnProgress = Callable[[float, str], None]
 """Called with the completed part of the total, and the current phase."""
 
 
-def print_error(error: Exception) -> int:
-    """Print an error of the input on one line; return its exit status."""
-    print(f"lugtally: {error}", file=sys.stderr)
-    return EXIT_BAD_INPUT
-
-
 def require_kit() -> None:
     """Check that the libraries of the extra ``kit`` are installed.
 
--- a/lugtally/eventloop/loop.py
+++ b/lugtally/eventloop/loop.py
@@ -188,10 +188,10 @@
             deadline_ns = self._timers.next_deadline()
             if deadline_ns is not None and (due_ns is None or deadline_ns < due_ns):
                 due_ns = deadline_ns
-            self._poll_once(due_ns)
+            self._poll_descriptors(due_ns)
             self._fire_timers()
 
-    def _poll_once(self, due_ns: int | None) -> None:
+    def _poll_descriptors(self, due_ns: int | None) -> None:
         """Poll the descriptors until ``due_ns`` at the latest, and call the handlers of those that are ready."""
         before_ns = self.now()
         timeout_ns = MAX_POLL_NS if due_ns is None else min(MAX_POLL_NS, max(0, due_ns - before_ns))
--- a/lugtally/http1/parser.py
+++ b/lugtally/http1/parser.py
@@ -44,7 +44,7 @@
             responses: Whether the messages are responses.
             max_body_bytes: Largest body of a message that is returned with its body.
             streams: Whether a 200 response whose body is chunked, has no length or is longer than ``MAX_BODY_BYTES``
-                is returned as soon as its head is complete.  :meth:`detach_body` then hands over its body.
+                is returned when its head is complete.  :meth:`detach_body` then hands over its body.
         """
         self._responses = responses
         self._max_body_bytes = max_body_bytes
--- a/tests/races/test_arrival.py
+++ b/tests/races/test_arrival.py
@@ -191,7 +191,7 @@
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
-        poll_once = sidecar.loop._poll_once
+        poll_once = sidecar.loop._poll_descriptors
 
         def poll_slowly(due_ns: int | None) -> None:
             poll_once(due_ns)
@@ -203,7 +203,7 @@
         for number, client in enumerate(clients[1:]):
             client.send(short_request(f"late{number}"))
         sidecar.loop.sleep(STALL_NS)
-        sidecar.loop._poll_once = poll_slowly  # type: ignore[method-assign]
+        sidecar.loop._poll_descriptors = poll_slowly  # type: ignore[method-assign]
         connection.respond()
         assert clients[0].read().startswith(b"HTTP/1.1 200")
         for client in clients[1:]:
