--- a/lugtally/admin/server.py
+++ b/lugtally/admin/server.py
@@ -160,6 +160,12 @@
                 return message
 
     def _wait_for_data(self, caller: _Caller) -> None:
+        """Block until data is received.
+
+        Raises:
+            _CallerDisconnected: The caller was evicted.
+            _CallTimeout: The time for the call has expired.
+        """
         fd = caller.sock.fileno()
         self._loop.register(fd, READABLE, lambda _: caller.wake.set())
         reason = caller.wake.wait(caller.connected_ns + CALL_TIMEOUT_NS)
--- a/lugtally/config/sidecar.py
+++ b/lugtally/config/sidecar.py
@@ -130,6 +130,7 @@
 
 
 def _decode_settings(raw_settings: JsonObject) -> _DecodedSettings:
+    """Decode the ``settings`` object, which also has the timeouts of connections in ``ceilings``."""
     ceilings = _typed(raw_settings, "ceilings", dict)
     if not isinstance(raw_settings.get("grades"), list) or not raw_settings["grades"]:
         raise ValueError("settings.grades: must be a non-empty list of classes")
--- a/lugtally/daemon/status_socket.py
+++ b/lugtally/daemon/status_socket.py
@@ -23,6 +23,7 @@
 """Pause after an error of ``accept``.  Without it, a backlog that remains readable would keep the loop busy."""
 LISTEN_BACKLOG = 4
 Snapshot = Callable[[], dict[str, Any]]
+"""Returns the state of the sidecar as a JSON object."""
 
 
 class StatusSocket:
--- a/lugtally/http1/parser.py
+++ b/lugtally/http1/parser.py
@@ -69,7 +69,8 @@
     def feed(self, data: bytes) -> Message | None:
         """Add received bytes, and return the next message if it is complete.
 
-        Call again with ``b""`` until the result is ``None``: the bytes may complete several messages.
+        Call again with ``b""`` until the result is ``None``: the bytes may complete several messages.  A streamed
+        response is returned when its head is complete.  Interim responses are skipped.
 
         Raises:
             ProtocolError: The bytes are not an HTTP message or exceed a limit.
@@ -81,7 +82,9 @@
                 if message is None or message.streamed:
                     return message
                 self._head = message
-            if not (self._read_plain_body() if self._chunks is None else self._read_chunked_body(self._chunks)):
+            chunks = self._chunks
+            is_complete = self._read_plain_body() if chunks is None else self._read_chunked_body(chunks)
+            if not is_complete:
                 return None
             self._head = None
             message.body = bytes(self._body)
--- a/lugtally/overload/admission.py
+++ b/lugtally/overload/admission.py
@@ -9,6 +9,7 @@
 from dataclasses import dataclass
 from enum import Enum
 from random import Random
+from typing import NamedTuple
 
 from lugtally import balancing
 from lugtally.overload.delay_meter import DelayMeter, DelayPeriod, ResourceUsage
@@ -19,6 +20,9 @@
 """``Retry-After`` while nothing is shed, before jitter."""
 MAX_RETRY_AFTER_NS = 2000 * NS_PER_MS
 """Upper limit of :attr:`OverloadLimits.max_retry_after_ns`."""
+MIN_RETRY_AFTER_JITTER = 0.5
+MAX_RETRY_AFTER_JITTER = 1.5
+S_PER_NS = 1e-9
 DELAY_GAIN = 1.25
 """Change of the shed fraction per period, for each second of delay above the target (alpha in RFC 8033)."""
 DELAY_GROWTH_GAIN = 6.25
@@ -33,6 +37,17 @@
 """A smaller fraction becomes 0 when it decays."""
 
 
+class ScaleStep(NamedTuple):
+    """The scale of changes while the shed fraction is below a value."""
+
+    below_fraction: float
+    scale: float
+
+
+SCALE_STEPS = (ScaleStep(0.01, 0.25), ScaleStep(0.1, 0.5))
+"""Changes are smaller while the shed fraction is small (RFC 8033, 4.2); above the last step the scale is 1."""
+
+
 @dataclass(frozen=True, slots=True)
 class OverloadLimits:
     """The limits that the operator can set.  Fractions of resources refer to the configured resource limits."""
@@ -161,7 +176,7 @@
         if not max_ns:
             return 0
         retry_after_ns = max(0.0, MIN_RETRY_AFTER_NS + self.shed_fraction * (max_ns - MIN_RETRY_AFTER_NS))
-        return int(min(max_ns, retry_after_ns * self._random.uniform(0.5, 1.5)))
+        return int(min(max_ns, retry_after_ns * self._random.uniform(MIN_RETRY_AFTER_JITTER, MAX_RETRY_AFTER_JITTER)))
 
     def update_when_idle(self, now_ns: int) -> None:
         """Adjust the shed fraction while no requests arrive, so that it decays after an overload.
@@ -200,13 +215,14 @@
         growth_ns = standing_ns - self._last_standing_ns
         if standing_ns < target_ns:
             growth_ns = min(0.0, growth_ns)  # growth below the target does not indicate an overload
-        return 1e-9 * (DELAY_GAIN * (standing_ns - target_ns) + DELAY_GROWTH_GAIN * growth_ns)
+        return S_PER_NS * (DELAY_GAIN * (standing_ns - target_ns) + DELAY_GROWTH_GAIN * growth_ns)
 
     def _scale(self) -> float:
-        """Return the scale of a change, which is smaller for a small shed fraction (RFC 8033, 4.2)."""
-        if self.shed_fraction < 0.01:
-            return 0.25
-        return 0.5 if self.shed_fraction < 0.1 else 1.0
+        """Return the scale of a change at the current shed fraction."""
+        for step in SCALE_STEPS:
+            if self.shed_fraction < step.below_fraction:
+                return step.scale
+        return 1.0
 
     def _decay(self) -> None:
         """Decrease the shed fraction by one step."""
