--- a/lugtally/http1/parser.py
+++ b/lugtally/http1/parser.py
@@ -44,7 +44,7 @@
             responses: Whether the messages are responses.
             max_body_bytes: Largest body of a message that is returned with its body.
             streams: Whether a 200 response whose body is chunked, has no length or is longer than ``MAX_BODY_BYTES``
-                is returned as soon as its head is complete.  :meth:`detach_body` then hands over its body.
+                is returned when its head is complete.  :meth:`detach_body` then hands over its body.
         """
         self._responses = responses
         self._max_body_bytes = max_body_bytes
@@ -69,7 +69,8 @@
     def feed(self, data: bytes) -> Message | None:
         """Add received bytes, and return the next message if it is complete.
 
-        Call again with ``b""`` until the result is ``None``: the bytes may complete several messages.
+        Call again with ``b""`` until the result is ``None``: the bytes may complete several messages.  A streamed
+        response is returned when its head is complete.  Interim responses are skipped.
 
         Raises:
             ProtocolError: The bytes are not an HTTP message or exceed a limit.
@@ -81,7 +82,9 @@
                 if message is None or message.streamed:
                     return message
                 self._head = message
-            if not (self._read_plain_body() if self._chunks is None else self._read_chunked_body(self._chunks)):
+            chunks = self._chunks
+            is_complete = self._read_plain_body() if chunks is None else self._read_chunked_body(chunks)
+            if not is_complete:
                 return None
             self._head = None
             message.body = bytes(self._body)
