--- /dev/null
+++ b/lugtally/testbed/emulator/cold_overload.py
@@ -0,0 +1,43 @@
+"""Overload of a server that is warming up: the work that reached it in a sliding window.  Does no I/O."""
+
+from __future__ import annotations
+
+from collections import deque
+from typing import NamedTuple
+
+REQUESTS_OF_SLACK = 2  # requests above the limit, as arrivals are random
+
+
+class _Arrival(NamedTuple):
+    """A request that reached the server, and its work in core-seconds."""
+
+    at: float
+    work: float
+    sidecar: int
+
+
+class ColdOverloadDetector:
+    """Detector of more work than a server that is warming up survives.  Times are in seconds."""
+
+    def __init__(self, capacity_multiple: float, window_s: float) -> None:
+        """Allow ``capacity_multiple`` times the capacity, averaged over ``window_s``."""
+        self._capacity_multiple = capacity_multiple
+        self._window_s = window_s
+        self._arrivals: deque[_Arrival] = deque()  # of the last window
+        self._work = 0.0  # of these arrivals
+
+    def is_overloaded_by(self, now: float, work: float, sidecar: int, capacity: float) -> bool:
+        """Add an arrival and return whether the window has too much work for the present capacity."""
+        self._arrivals.append(_Arrival(now, work, sidecar))
+        self._work += work
+        while self._arrivals and self._arrivals[0].at < now - self._window_s:
+            self._work -= self._arrivals.popleft().work
+        limit = self._capacity_multiple * capacity * self._window_s + REQUESTS_OF_SLACK * work
+        return self._work > limit
+
+    def work_by_sidecar(self) -> dict[int, float]:
+        """Return the work of the last window, by the sidecar that sent it."""
+        by_sidecar: dict[int, float] = {}
+        for arrival in self._arrivals:
+            by_sidecar[arrival.sidecar] = by_sidecar.get(arrival.sidecar, 0.0) + arrival.work
+        return by_sidecar
--- a/tests/balancing/fleet.py
+++ b/tests/balancing/fleet.py
@@ -93,7 +93,7 @@
 
     def choked_count(self) -> int:
         """Return how many servers are choked now."""
-        return sum(server.model.choked_since >= 0 for server in self.servers.values())
+        return sum(server.model.choke.is_active for server in self.servers.values())
 
     def send_endpoint_list(self, sidecar: int, kind: balancing.EndpointUpdateKind) -> None:
         """Give one sidecar the endpoint list."""
--- a/tests/testbed/test_server_model.py
+++ b/tests/testbed/test_server_model.py
@@ -143,15 +143,15 @@
     for number in range(20):
         server.offer(0.0, Job(str(number), 0.5))
     server.advance(1.5)
-    assert server.choked_since >= 0
+    assert server.choke.is_active
     done = len(server.advance(4.5))
     assert done == pytest.approx(3.0 / 3 / 0.5, abs=1), "a choked server is three times slower"
     for job in [*server.queue, *server.in_service]:
         server.cancel(4.5, job)
     server.advance(6.4)
-    assert server.choked_since >= 0
+    assert server.choke.is_active
     server.advance(6.7)
-    assert server.choked_since < 0
+    assert not server.choke.is_active
 
 
 def test_congestion_a_neighbour_and_a_full_connection_table_slow_it_down() -> None:
