--- a/lugtally/testbed/emulator/__init__.py
+++ b/lugtally/testbed/emulator/__init__.py
@@ -1,5 +1,5 @@
-"""Emulated servers, discovery and network on loopback, driven by a model of servers and a script of faults.
+"""Emulated servers, discovery service and network on loopback, driven by a server model and a script of faults.
 
-It owns everything that a sidecar talks to behind it, and the records of what arrived there.  It must not know the
-sidecar but by its bytes: HTTP is read by another parser, on another event loop.
+It owns everything upstream of a sidecar, and the records of the requests that arrive there.  It knows the sidecar by
+its bytes alone and uses another HTTP parser and another event loop than the sidecar.
 """
--- a/lugtally/testbed/emulator/fault_script.py
+++ b/lugtally/testbed/emulator/fault_script.py
@@ -1,4 +1,4 @@
-"""The script of a run's faults: each begins and ends at its time."""
+"""Script of the faults of a run, each with its begin and end."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 
 class FaultScript:
-    """Applies the scheduled faults to a fleet.  Those of the load and of sidecars belong to other processes."""
+    """Applies the scheduled faults of servers and discovery to a fleet.
+
+    Other processes apply the faults of the load and of sidecars.
+    """
 
     def __init__(self, fleet: EmulatedFleet) -> None:
         self._fleet = fleet
@@ -42,7 +45,7 @@
         }
 
     def start(self, start: float) -> None:
-        """Schedule all events of a run that begins ``start`` seconds after the base."""
+        """Schedule the events of a run that begins ``start`` seconds after the base."""
         for event in self._fleet.schedule.events:
             self._call_later(max(0.0, start + event.at - self._fleet.clock()), self._apply, event)
 
@@ -63,34 +66,31 @@
         self._fleet.discovery.set_down(event.begins)
 
     def _slow_discovery(self, event: FaultEvent) -> None:
-        self._fleet.discovery.extra_call_s = event.fault.size if event.begins else 0.0
+        self._fleet.discovery.extra_call_s = event.active_size
 
     def _silence(self, server: EmulatedServer, event: FaultEvent) -> None:
-        server.advance()
-        server.model.silent = event.begins
-        server.model_changed()
+        with server.change_model() as model:
+            model.silent = event.begins
 
     def _take_cpu_share(self, server: EmulatedServer, event: FaultEvent) -> None:
-        server.advance()
-        server.model.neighbour_share = event.fault.size if event.begins else 0.0
-        server.model_changed()
+        with server.change_model() as model:
+            model.neighbour_share = event.active_size
 
     def _slow_shared_resource(self, server: EmulatedServer, event: FaultEvent) -> None:
-        server.advance()
-        server.model.slowdown = event.fault.size if event.begins else 1.0
-        server.model_changed()
+        with server.change_model() as model:
+            model.slowdown = event.fault.size if event.begins else 1.0
 
     def _fail_responses(self, server: EmulatedServer, event: FaultEvent) -> None:
-        server.faults.error_share = event.fault.size if event.begins else 0.0
+        server.faults.error_share = event.active_size
 
     def _reset_connections(self, server: EmulatedServer, event: FaultEvent) -> None:
-        server.faults.reset_share = event.fault.size if event.begins else 0.0
+        server.faults.reset_share = event.active_size
 
     def _malform_responses(self, server: EmulatedServer, event: FaultEvent) -> None:
-        server.faults.malformed_share = event.fault.size if event.begins else 0.0
+        server.faults.malformed_share = event.active_size
 
     def _slow_responses(self, server: EmulatedServer, event: FaultEvent) -> None:
-        server.faults.slow_response_s = event.fault.size if event.begins else 0.0
+        server.faults.slow_response_s = event.active_size
 
     def _refuse_connections(self, server: EmulatedServer, event: FaultEvent) -> None:
         if event.begins:
@@ -123,7 +123,7 @@
             self._call_later(event.fault.takes_s + event.fault.size, self._fleet.boot, server)
 
     def _replace(self, server: EmulatedServer, event: FaultEvent) -> None:
-        """Drain and remove a machine, and put another at its address under a new name."""
+        """Drain and remove a machine, and start another with a new name at its address."""
         self._drain(server, event)
         if event.begins:
             self._call_later(event.fault.takes_s + event.fault.size, self._fleet.replace, server)
--- a/lugtally/testbed/emulator/fleet.py
+++ b/lugtally/testbed/emulator/fleet.py
@@ -1,4 +1,4 @@
-"""The emulated fleet: all servers of a run and the discovery service that lists them."""
+"""Emulated fleet: all servers of a run and the discovery service that lists them."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class EmulatedFleet:
-    """The servers by index, their life cycle, and what the endpoint list says of them."""
+    """The servers by index, their life cycle and their entries in the endpoint list."""
 
     def __init__(self, specification: ProcessSpecification) -> None:
         self.schedule: Schedule = make_schedule(specification.scenario, specification.seed)
@@ -37,17 +37,17 @@
         self.discovery = self._build_discovery()
 
     def clock(self) -> float:
-        """Seconds since the base."""
+        """Return the seconds since the base."""
         return time.monotonic() - self._specification.base
 
     async def start(self) -> None:
-        """Start the servers that run from the beginning, and the discovery service."""
+        """Start the initial servers and the discovery service."""
         for server in self._first_servers():
             server.start(cold=False)
         await self.discovery.start()
 
     def stop(self) -> None:
-        """Stop all servers, record how late the timers ran, and close the event log."""
+        """Stop all servers, record the timer lag and close the event log."""
         for server in self.servers.values():
             if server.running:
                 server.stop()
@@ -55,44 +55,42 @@
         self._event_log.close()
 
     def sample(self) -> None:
-        """Record the load of each server, and end those that have collapsed."""
+        """Record the load of each server, and shut down those that have collapsed."""
         for server in self.servers.values():
             if server.running:
-                server.model_changed()
+                server.update_model()
                 server.record_load()
                 if server.model.collapsed:
-                    # It stays down; the list learns so as of any process that has ended.
                     self.shut_down(server)
         self._event_log.flush()
 
     def boot(self, server: EmulatedServer) -> None:
-        """Start a server cold, and list it."""
+        """Start a server cold and list it as ready."""
         self._restarted_ms[server.name] = int(time.time() * 1000)
         server.start(cold=True)
         self.announce(server, READY)
 
     def begin_drain(self, server: EmulatedServer) -> None:
-        """Let a server reject new requests, and list it as draining."""
-        server.advance()
-        server.model.draining = True
-        server.model_changed()
+        """Make a server reject new requests and list it as draining."""
+        with server.change_model() as model:
+            model.draining = True
         self.announce(server, DRAINING)
 
     def shut_down(self, server: EmulatedServer) -> None:
-        """End a server's process, and remove it from the list."""
+        """Stop a server and remove it from the list.  Does nothing if it does not run."""
         if server.running:
             server.stop()
             self.announce(server, REMOVED)
 
     def replace(self, server: EmulatedServer) -> None:
-        """Start another machine at the index and address of a server, under a new name."""
+        """Start another machine with a new name at the index and address of a server."""
         specification = self._specification
         machine = draw_machine(specification.scenario, specification.seed, server.server_index, f"{server.name}x")
         self.servers[server.server_index] = successor = EmulatedServer(self._context, machine, server.server_index)
         self.boot(successor)
 
     def announce(self, server: EmulatedServer, state: str, *, silent: bool = False) -> None:
-        """Put a state into the list after the delay of the run; ``silent`` machines are noticed later."""
+        """Enter a state into the list after the propagation delay, which is longer for ``silent`` machines."""
         delay = self.schedule.silent_propagation_s if silent else self.schedule.propagation_s
         asyncio.get_running_loop().call_later(delay, self.discovery.update, self._entry(server, state))
 
@@ -104,12 +102,13 @@
         return EndpointEntry(server.name, server.zone, cell, state, self._restarted_ms.get(server.name, 0))
 
     def _address_of(self, name: str, sidecar: int) -> str:
-        """Where a sidecar finds a server."""
-        # One that was replaced has no index any more: its entry removes it, and the address no longer matters.
+        """Return the address at which a sidecar reaches a server."""
+        # A replaced server has no index.  Its entry only removes it, so that any address will do.
         server_index = next((server_index for server_index, server in self.servers.items() if server.name == name), 0)
         return f"{loopback.server_host(self._specification.loopback_block, server_index, sidecar)}:{loopback.PORT}"
 
     def _work_of(self, request_id: str) -> float | None:
+        """Return the work of a request in core-seconds, None if no client sends this id."""
         serial = serial_of(request_id, self._run_digits)
         try:
             return None if serial is None else self.schedule.arrivals[serial].work
@@ -136,7 +135,7 @@
             record=self._event_log.write,
             timer_lag=self._timer_lag,
             work_of=self._work_of,
-            methods={one.name: METHODS[one.effect] for one in scenario.classes},
+            methods={request_class.name: METHODS[request_class.effect] for request_class in scenario.classes},
             sidecar_zones=self.schedule.sidecar_zones,
             network=_network_times(scenario.network),
             attempt_noise=scenario.fleet.attempt_noise,
@@ -156,8 +155,8 @@
 
 
 def _idempotency_store(scenario: Scenario) -> IdempotencyStore:
-    keyed = [one for one in scenario.classes if one.effect == "keyed"]
+    keyed = [request_class for request_class in scenario.classes if request_class.effect == "keyed"]
     return IdempotencyStore(
-        {one.name: one.deduplication_window_ms / 1000 for one in keyed},
-        frozenset(one.name for one in keyed if one.deduplication_scope == "all"),
+        {request_class.name: request_class.deduplication_window_ms / 1000 for request_class in keyed},
+        frozenset(request_class.name for request_class in keyed if request_class.deduplication_scope == "all"),
     )
--- a/lugtally/testbed/emulator/idempotency.py
+++ b/lugtally/testbed/emulator/idempotency.py
@@ -1,29 +1,44 @@
-"""Deduplication by idempotency key, as the emulated servers do it."""
+"""Deduplication by idempotency key on the emulated servers."""
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
+ALL_ZONES = ""
+
+
+class _ScopedKey(NamedTuple):
+    """An idempotency key within a zone or within all zones."""
+
+    scope: str
+    key: str
+
 
 class IdempotencyStore:
-    """Keys seen by all servers: a repeat is recognized within its window, in its zone or in the whole fleet."""
+    """Idempotency keys that the servers of a fleet have seen.
+
+    A repeat is recognized within the window of its class, by the servers of the same zone or of all zones.
+    """
 
     def __init__(self, window_s: dict[str, float], fleet_scoped: frozenset[str]) -> None:
-        """``window_s`` is by class name; ``fleet_scoped`` are the classes whose repeats all servers recognize."""
+        """Deduplicate the classes of ``window_s``; those in ``fleet_scoped`` across all zones."""
         self._window_s = window_s
         self._fleet_scoped = fleet_scoped
-        self._first_seen_at: dict[tuple[str, str], float] = {}  # by scope and key
+        self._first_seen_at: dict[_ScopedKey, float] = {}
 
     def requires_key(self, class_name: str) -> bool:
-        """Whether requests of this class carry an idempotency key."""
+        """Return whether requests of this class carry an idempotency key."""
         return class_name in self._window_s
 
     def is_first(self, class_name: str, key: str, zone: str, at: float) -> bool:
-        """Whether an execution has an effect of its own; remembers its key if so."""
+        """Return whether an execution has an effect of its own, and store its key if so."""
         window_s = self._window_s.get(class_name)
         if window_s is None or not key:
             return True
-        scope = "" if class_name in self._fleet_scoped else zone
-        first_seen_at = self._first_seen_at.get((scope, key))
+        scope = ALL_ZONES if class_name in self._fleet_scoped else zone
+        scoped_key = _ScopedKey(scope, key)
+        first_seen_at = self._first_seen_at.get(scoped_key)
         if first_seen_at is not None and at - first_seen_at <= window_s:
             return False
-        self._first_seen_at[scope, key] = at
+        self._first_seen_at[scoped_key] = at
         return True
--- a/lugtally/testbed/emulator/listeners.py
+++ b/lugtally/testbed/emulator/listeners.py
@@ -10,21 +10,21 @@
 
 BACKLOG = 512
 MAX_ACCEPTS_PER_EVENT = 64
-FILLERS = 3  # connections that fill a backlog of length 0
+FILLERS = 3  # connections that fill a backlog of size 0
 
 
 class ServerListeners:
-    """Listeners that can be closed, so that connections are refused, or blocked, so that they never come up."""
+    """Listeners that can be closed, so that connections are refused, or blocked, so that handshakes time out."""
 
     def __init__(self, hosts: list[str], on_accept: Callable[[socket.socket, int], None]) -> None:
-        """``hosts`` are the addresses by sidecar; ``on_accept`` takes a connection and its sidecar."""
+        """Listen at ``hosts``, one for each sidecar; call ``on_accept`` with each connection and its sidecar."""
         self._hosts = hosts
         self._on_accept = on_accept
         self._listeners: dict[int, socket.socket] = {}
         self._fillers: list[socket.socket] = []
 
     def open(self) -> None:
-        """Accept connections."""
+        """Open the listeners that are closed."""
         for sidecar, host in enumerate(self._hosts):
             if sidecar in self._listeners:
                 continue
@@ -36,7 +36,7 @@
             self._listeners[sidecar] = listener
 
     def close(self) -> None:
-        """Refuse connections."""
+        """Close all listeners, so that connections are refused."""
         for listener in self._listeners.values():
             asyncio.get_running_loop().remove_reader(listener)
             listener.close()
@@ -44,7 +44,7 @@
         self._close_fillers()
 
     def block(self) -> None:
-        """Fill each backlog, so that further handshakes are dropped: connections never come up."""
+        """Fill each backlog, so that the kernel drops further handshakes."""
         for listener in self._listeners.values():
             asyncio.get_running_loop().remove_reader(listener)
             listener.listen(0)
@@ -55,7 +55,7 @@
                 self._fillers.append(filler)
 
     def unblock(self) -> None:
-        """Accept again; peers that waited meanwhile are reset or come up."""
+        """Accept again.  Handshakes that waited meanwhile complete or are reset."""
         self._close_fillers()
         for sidecar, listener in self._listeners.items():
             self._listen(listener, sidecar)
@@ -69,7 +69,7 @@
             try:
                 accepted, _ = listener.accept()
             except OSError:
-                return  # none is left, or the peer has disconnected
+                return  # the backlog is empty, or the peer has disconnected
             accepted.setblocking(False)
             accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self._on_accept(accepted, sidecar)
--- a/lugtally/testbed/emulator/process.py
+++ b/lugtally/testbed/emulator/process.py
@@ -1,8 +1,7 @@
-"""The process of the emulated fleet.
+"""Process of the emulated fleet.
 
-It is started with the path of a specification, prints ``ready``, and is sent ``go SECONDS`` and ``stop`` on standard
-input; when that ends, it ends.  Its clock counts seconds from the base in the specification, on the machine's
-monotonic clock.
+It is started with the path of a specification and prints ``ready``.  It reads ``go SECONDS`` and ``stop`` from
+standard input and ends with it.  Times are seconds of the monotonic clock since the base in the specification.
 """
 
 from __future__ import annotations
@@ -20,7 +19,7 @@
 
 
 async def run_fleet(fleet: EmulatedFleet) -> None:
-    """Serve until the command to stop, or the end of the commands."""
+    """Serve until the command to stop or the end of standard input."""
     await fleet.start()
     loop = asyncio.get_running_loop()
     commands = asyncio.StreamReader()
--- a/lugtally/testbed/emulator/server.py
+++ b/lugtally/testbed/emulator/server.py
@@ -9,6 +9,8 @@
 
 import asyncio
 import socket
+from collections.abc import Iterator
+from contextlib import contextmanager
 from math import inf
 
 import msgspec
@@ -159,11 +161,18 @@
                 self._complete(request, job)
         return now
 
-    def model_changed(self) -> None:
-        """Reschedule the timer after a change to the model."""
+    def update_model(self) -> None:
+        """Advance the model to the present and reschedule its timer."""
         self.advance()
         self._schedule_tick()
 
+    @contextmanager
+    def change_model(self) -> Iterator[ServerModel]:
+        """Yield the model, advanced to the present, for a change.  Reschedule its timer afterwards."""
+        self.advance()
+        yield self.model
+        self.update_model()
+
     def record_load(self) -> None:
         """Record a sample of the load."""
         model = self.model
--- a/lugtally/testbed/emulator/timer_lag.py
+++ b/lugtally/testbed/emulator/timer_lag.py
@@ -1,4 +1,7 @@
-"""How late the timers of a process of the testbed run: else a busy machine would be taken for a bad sidecar."""
+"""Lag of the timers of a testbed process.
+
+A busy machine delays the testbed as well, and the delay must not be attributed to the sidecar.
+"""
 
 from __future__ import annotations
 
@@ -20,11 +23,11 @@
         self._histogram = HdrHistogram(1, MAX_LAG_US, SIGNIFICANT_FIGURES)
 
     def add(self, seconds: float) -> None:
-        """Record that something was done that long after it was due."""
+        """Record the lag of an action behind its due time."""
         self._histogram.record_value(min(MAX_LAG_US, max(1, int(seconds * 1e6))))
 
     def report(self) -> TimerLagReport:
-        """Summarize the lags and this process's use of the processor."""
+        """Summarize the lags and the processor time of this process."""
         used = resource.getrusage(resource.RUSAGE_SELF)
         return TimerLagReport(
             self._process,
--- a/lugtally/testbed/scenario/fault_events.py
+++ b/lugtally/testbed/scenario/fault_events.py
@@ -20,6 +20,11 @@
     fault: Fault
     server_indices: tuple[int, ...]
 
+    @property
+    def active_size(self) -> float:
+        """Size of the fault from this event on; 0 after its end."""
+        return self.fault.size if self.begins else 0.0
+
 
 def draw_fault_events(scenario: Scenario, seed: int, zones: tuple[str, ...]) -> tuple[FaultEvent, ...]:
     """Draw all events in order of time; ``zones`` are the servers' by index."""
