--- a/lugtally/testbed/scenario/arrivals.py
+++ b/lugtally/testbed/scenario/arrivals.py
@@ -1,4 +1,4 @@
-"""Arrivals of a run: when each first attempt is sent, by which sidecar's client, and the work that it costs."""
+"""Arrivals of a run: time, sidecar, class and work of each first attempt."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from lugtally.testbed.scenario.random_streams import stream
 from lugtally.testbed.scenario.scenario import RequestClass, Scenario
 
-PROFILE_STEP_S = 0.01  # at which the highest rate is looked for
-PROFILE_MARGIN = 1.001  # over the highest rate found
-BURST_STEP_S = 0.5  # for which a bursty rate stays
+PROFILE_INTERVAL_S = 0.01  # between the times at which the maximum rate is sought
+PROFILE_MARGIN = 1.001  # factor on the maximum rate
+BURST_INTERVAL_S = 0.5  # over which a bursty rate is constant
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,7 +28,7 @@
 def draw_arrivals(scenario: Scenario, seed: int, rate: float, mean_work: tuple[float, ...]) -> tuple[Arrival, ...]:
     """Draw a Poisson process for each sidecar, thinned to the profile (Lewis and Shedler, 1979)."""
     weights = _sidecar_weights(scenario, seed)
-    grid = np.arange(0, scenario.length_s, PROFILE_STEP_S)
+    grid = np.arange(0, scenario.length_s, PROFILE_INTERVAL_S)
     max_factor = float(_profile(scenario, seed, grid).max()) * PROFILE_MARGIN
     arrivals: list[Arrival] = []
     for sidecar, weight in enumerate(weights):
@@ -37,7 +37,7 @@
 
 
 def draw_work(request_class: RequestClass, mean: float, random: np.random.Generator, count: int) -> np.ndarray:
-    """Draw core-seconds of ``count`` requests, with that mean whatever the shape."""
+    """Draw the core-seconds of ``count`` requests.  Every shape has the same mean."""
     spread = request_class.spread
     if request_class.shape == "fixed":
         return np.full(count, mean)
@@ -49,7 +49,7 @@
 
 
 def _sidecar_weights(scenario: Scenario, seed: int) -> list[float]:
-    """The share of the load that each sidecar gets."""
+    """Draw the share of the load of each sidecar."""
     sigma = sqrt(log(1 + scenario.load.sidecar_cv**2))
     sidecars = range(scenario.fleet.sidecars)
     weights = np.array([stream(seed, "weight", sidecar).lognormal(0, sigma) for sidecar in sidecars])
@@ -60,7 +60,7 @@
 def _draw_sidecar(
     scenario: Scenario, seed: int, sidecar: int, rate: float, max_factor: float, mean_work: tuple[float, ...]
 ) -> list[Arrival]:
-    """Draw the arrivals of one sidecar: candidates at the highest rate, which the profile thins out."""
+    """Draw the arrivals of one sidecar: candidates at the maximum rate, thinned to the profile."""
     random = stream(seed, "arrivals", sidecar)
     length_s, max_rate = scenario.length_s, rate * max_factor
     count = int(max_rate * length_s + 10 * sqrt(max_rate * length_s) + 20)
@@ -84,7 +84,7 @@
 
 
 def _profile(scenario: Scenario, seed: int, times: np.ndarray) -> np.ndarray:
-    """The rate at each time as a multiple of the mean, with the bursts on top."""
+    """Return the rate at each time as a multiple of the mean rate, bursts included."""
     load = scenario.load
     factor = np.ones_like(times)
     random = stream(seed, "profile")
@@ -92,8 +92,8 @@
         phase = random.random()
         factor += load.swing * np.sin(2 * np.pi * (times / load.wave_s + phase))
     elif load.shape == "bursty":
-        steps = random.lognormal(0, load.swing, int(scenario.length_s / BURST_STEP_S) + 2)
-        factor *= (steps / steps.mean())[(times / BURST_STEP_S).astype(int)]
+        factors = random.lognormal(0, load.swing, int(scenario.length_s / BURST_INTERVAL_S) + 2)
+        factor *= (factors / factors.mean())[(times / BURST_INTERVAL_S).astype(int)]
     for fault in scenario.faults:
         if fault.kind == "burst":
             end = fault.at_s + (fault.for_s or scenario.length_s)
--- a/lugtally/testbed/scenario/fault_events.py
+++ b/lugtally/testbed/scenario/fault_events.py
@@ -1,4 +1,4 @@
-"""Events of a run's faults: when each begins and ends, and for which servers."""
+"""Events of a run: the begin and end of each fault, and the servers that it affects."""
 
 from __future__ import annotations
 
@@ -7,18 +7,20 @@
 
 import numpy as np
 
-from lugtally.testbed.scenario.random_streams import between, stream
-from lugtally.testbed.scenario.scenario import Fault, Scenario
+from lugtally.testbed.scenario.random_streams import draw_from, stream
+from lugtally.testbed.scenario.scenario import Bounds, Fault, Scenario
+
+ServerIndices = tuple[int, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class FaultEvent:
-    """A fault begins or ends at ``at`` seconds, for the servers of these indices."""
+    """Begin or end of a fault, ``at`` seconds into the run, for the servers of these indices."""
 
     at: float
     begins: bool
     fault: Fault
-    server_indices: tuple[int, ...]
+    server_indices: ServerIndices
 
     @property
     def active_size(self) -> float:
@@ -27,19 +29,21 @@
 
 
 def draw_fault_events(scenario: Scenario, seed: int, zones: tuple[str, ...]) -> tuple[FaultEvent, ...]:
-    """Draw all events in order of time; ``zones`` are the servers' by index."""
+    """Draw all events, in order of time; ``zones`` has the zone of each server."""
     events: list[FaultEvent] = []
-    for index, (fault, server_indices) in enumerate(_choose_servers(scenario, seed, zones)):
+    targets = _choose_servers(scenario, seed, zones)
+    for index, (fault, server_indices) in enumerate(zip(scenario.faults, targets, strict=True)):
         if not fault.every_s:
             events += _begin_and_end(seed, index, fault, fault.at_s, server_indices)
             continue
-        for turn, server_index in enumerate(server_indices):
-            events += _begin_and_end(seed, index, fault, fault.at_s + turn * fault.every_s, (server_index,))
+        for position, server_index in enumerate(server_indices):
+            events += _begin_and_end(seed, index, fault, fault.at_s + position * fault.every_s, (server_index,))
     return tuple(sorted(events, key=lambda event: event.at))
 
 
-def _choose_servers(scenario: Scenario, seed: int, zones: tuple[str, ...]) -> Iterator[tuple[Fault, tuple[int, ...]]]:
-    chosen: list[tuple[int, ...]] = []
+def _choose_servers(scenario: Scenario, seed: int, zones: tuple[str, ...]) -> list[ServerIndices]:
+    """Return the servers of each fault."""
+    chosen: list[ServerIndices] = []
     next_index = scenario.fleet.servers  # of a server that joins
     for index, fault in enumerate(scenario.faults):
         if fault.kind == "join":
@@ -50,10 +54,11 @@
         else:
             server_indices = _draw_servers(scenario, seed, index, fault, zones)
         chosen.append(server_indices)
-        yield fault, server_indices
+    return chosen
 
 
-def _draw_servers(scenario: Scenario, seed: int, index: int, fault: Fault, zones: tuple[str, ...]) -> tuple[int, ...]:
+def _draw_servers(scenario: Scenario, seed: int, index: int, fault: Fault, zones: tuple[str, ...]) -> ServerIndices:
+    """Draw the servers of a fault among those of its zone."""
     eligible = [
         server_index for server_index in range(scenario.fleet.servers) if fault.zone in (None, zones[server_index])
     ]
@@ -67,8 +72,9 @@
 
 
 def _begin_and_end(
-    seed: int, index: int, fault: Fault, start: float, server_indices: tuple[int, ...]
+    seed: int, index: int, fault: Fault, start: float, server_indices: ServerIndices
 ) -> list[FaultEvent]:
+    """Return the events of a fault that begins at ``start``."""
     begin = FaultEvent(start, True, fault, server_indices)
     if fault.for_s is None:
         return [begin]
@@ -84,15 +90,15 @@
 
 def _alternate(
     random: np.random.Generator,
-    on_off_s: tuple[float, float],
+    on_off_s: Bounds,
     begin: FaultEvent,
     end: FaultEvent,
-    server_indices: tuple[int, ...],
+    server_indices: ServerIndices,
 ) -> Iterator[FaultEvent]:
-    """One server goes on and off by itself, between the begin and the end of the fault."""
+    """Yield the alternating begins and ends of a fault that goes on and off."""
     at, begins = begin.at, True
     while at < end.at:
         yield FaultEvent(at, begins, begin.fault, server_indices)
-        at += between(random, on_off_s)
+        at += draw_from(random, on_off_s)
         begins = not begins
     yield FaultEvent(end.at, False, begin.fault, server_indices)
--- a/lugtally/testbed/scenario/random_streams.py
+++ b/lugtally/testbed/scenario/random_streams.py
@@ -1,8 +1,8 @@
-"""Random streams by name: each process draws from its own, so that adding one moves no other draw.
+"""Named random streams: each purpose draws from its own stream, so that a new one changes no other draw.
 
 A stream is numpy's ``Generator`` over Philox (Salmon et al., "Parallel random numbers: as easy as 1, 2, 3", 2011),
-keyed by a 128-bit hash of the seed and the name.  Two names share no numbers, whatever the order of use.  The names
-are part of what a seed means: another name, or another order of draws, is another run.
+keyed by a 128-bit hash of the seed and the name.  Streams are independent of each other and of their order of use.
+A seed stands for the same run only as long as the names and the order of draws within a stream stay the same.
 """
 
 from __future__ import annotations
@@ -10,23 +10,25 @@
 import numpy as np
 import xxhash
 
+from lugtally.testbed.scenario.scenario import Bounds, Range
+
 
 def stream(seed: int, *name: object) -> np.random.Generator:
-    """Return the generator of that name under that seed: the same at every call, from its first number on."""
+    """Return a new generator of that name and seed, at its first number."""
     return np.random.Generator(np.random.Philox(key=xxhash.xxh3_128_intdigest(_key(seed, name))))
 
 
 def unit(seed: int, *name: object) -> float:
-    """Return one number in [0, 1) that belongs to the name alone: for draws by key, where no order exists."""
+    """Return the number in [0, 1) of a name, for draws without a fixed order."""
     return float((xxhash.xxh3_64_intdigest(_key(seed, name)) >> 11) * 2.0**-53)
 
 
-def between(random: np.random.Generator, bounds: float | tuple[float, float]) -> float:
-    """Draw a number evenly from a range, or return the number itself; a draw is used up either way."""
+def draw_from(random: np.random.Generator, values: Range) -> float:
+    """Draw uniformly between the bounds, or return the number itself.  Both advance the stream by one draw."""
     draw = float(random.random())
-    if isinstance(bounds, tuple):
-        return bounds[0] + (bounds[1] - bounds[0]) * draw
-    return float(bounds)
+    if isinstance(values, Bounds):
+        return values.lower + (values.upper - values.lower) * draw
+    return float(values)
 
 
 def _key(seed: int, name: tuple[object, ...]) -> bytes:
--- a/lugtally/testbed/scenario/scenario_file.py
+++ b/lugtally/testbed/scenario/scenario_file.py
@@ -1,4 +1,4 @@
-"""Scenario files: decoding, checks beyond the types, and the scenarios that are shipped."""
+"""Scenario files: decoding, validation, and the scenarios that are shipped."""
 
 from __future__ import annotations
 
@@ -13,6 +13,7 @@
 from lugtally.testbed.scenario.scenario import (
     DEFAULT_CLASSES,
     SIDECAR_PREFIX,
+    Bounds,
     Fault,
     RequestClass,
     Scenario,
@@ -35,13 +36,13 @@
         text = path.read_text(encoding="utf-8")
     except OSError as error:
         raise ScenarioError(f"{name}: {error.strerror}") from error
-    if path.suffix == ".json":  # as experiments write them
+    if path.suffix == ".json":  # written by an experiment
         return from_tree(msgspec.json.decode(text), path.name)
     return decode(text, path.name)
 
 
 def shipped() -> dict[str, str]:
-    """The scenarios that are shipped: name to text."""
+    """Return the text of each shipped scenario by its name."""
     folder = resources.files("lugtally.testbed") / "scenarios"
     return {
         entry.name.removesuffix(SUFFIX): entry.read_text(encoding="utf-8")
@@ -64,7 +65,7 @@
     try:
         scenario = msgspec.convert(tree, Scenario)
     except msgspec.ValidationError as error:
-        raise ScenarioError(f"{name}: {_with_place_first(str(error))}") from error
+        raise ScenarioError(f"{name}: {_with_path_first(str(error))}") from error
     if not scenario.classes:
         scenario = msgspec.structs.replace(scenario, classes=DEFAULT_CLASSES)
     try:
@@ -74,15 +75,15 @@
     return scenario
 
 
-def _with_place_first(error: str) -> str:
+def _with_path_first(error: str) -> str:
     """Move ``$.fleet.servers`` from the end of msgspec's message to its start, as table and field."""
-    text, _, place = error.partition(" - at `$")
-    place = place.rstrip("`").lstrip(".")
-    return f"{place}: {text}" if place else text
+    text, _, path = error.partition(" - at `$")
+    path = path.rstrip("`").lstrip(".")
+    return f"{path}: {text}" if path else text
 
 
 def _check(scenario: Scenario) -> None:
-    """Check what types alone do not say.  Raises ScenarioError, without the name of the file."""
+    """Check what the types do not.  Raises ScenarioError, without the name of the file."""
     tables = {
         "fleet": scenario.fleet,
         "network": scenario.network,
@@ -90,8 +91,8 @@
         "load": scenario.load,
         "clients": scenario.clients,
     }
-    for place, table in tables.items():
-        _check_ranges(place, table)
+    for path, table in tables.items():
+        _check_ranges(path, table)
     for index, request_class in enumerate(scenario.classes):
         _check_class(f"classes[{index}]", request_class)
     _check_classes(scenario.classes)
@@ -101,22 +102,20 @@
         _check_fault(f"troubles[{index}]", index, fault, scenario)
 
 
-def _check_ranges(place: str, table: Struct) -> None:
-    """Check that each pair of numbers is in order."""
+def _check_ranges(path: str, table: Struct) -> None:
+    """Check the order of all bounds in a table."""
     for field, key in zip(table.__struct_fields__, table.__struct_encode_fields__, strict=True):
         value = getattr(table, field)
-        if not isinstance(value, tuple) or len(value) != 2 or not all(isinstance(bound, float) for bound in value):
-            continue
-        if not 0 <= value[0] <= value[1]:
-            raise ScenarioError(f"{place}.{key}: {list(value)} is no range [least, most]")
+        if isinstance(value, Bounds) and not 0 <= value.lower <= value.upper:
+            raise ScenarioError(f"{path}.{key}: {list(value)} is no range [lower, upper]")
 
 
-def _check_class(place: str, request_class: RequestClass) -> None:
-    _check_ranges(place, request_class)
+def _check_class(path: str, request_class: RequestClass) -> None:
+    _check_ranges(path, request_class)
     if request_class.latency_objective_ms > request_class.deadline_ms:
-        raise ScenarioError(f"{place}.aim_ms: is longer than the deadline")
+        raise ScenarioError(f"{path}.aim_ms: exceeds the deadline")
     if request_class.shape == "pareto" and request_class.spread <= 1:
-        raise ScenarioError(f"{place}.spread: a pareto index must be above 1 for a mean to exist")
+        raise ScenarioError(f"{path}.spread: a pareto index must be above 1 for a mean to exist")
 
 
 def _check_classes(classes: tuple[RequestClass, ...]) -> None:
@@ -127,17 +126,17 @@
         raise ScenarioError("classes: two have the same name")
 
 
-def _check_fault(place: str, index: int, fault: Fault, scenario: Scenario) -> None:
+def _check_fault(path: str, index: int, fault: Fault, scenario: Scenario) -> None:
     fleet = scenario.fleet
     if fault.at_s >= scenario.length_s:
-        raise ScenarioError(f"{place}.at_s: {fault.at_s} is not within the {scenario.length_s} s of the run")
+        raise ScenarioError(f"{path}.at_s: {fault.at_s} is not within the {scenario.length_s} s of the run")
     if fault.zone is not None and fault.zone not in fleet.zones:
-        raise ScenarioError(f"{place}.zone: {fault.zone!r} is no zone of the fleet")
+        raise ScenarioError(f"{path}.zone: {fault.zone!r} is no zone of the fleet")
     if fault.same_as is not None and fault.same_as >= index:
-        raise ScenarioError(f"{place}.same_as: names no earlier trouble")
+        raise ScenarioError(f"{path}.same_as: names no earlier fault")
     if fault.kind == "sidecar-starved" and not (fleet.pinned and fault.size < 1):
-        raise ScenarioError(f"{place}: sidecar-starved needs fleet.pinned and a size, the share taken, under 1")
+        raise ScenarioError(f"{path}: sidecar-starved needs fleet.pinned and a size, the share taken, under 1")
     if fault.kind.startswith(SIDECAR_PREFIX) and fault.sidecar >= fleet.sidecars:
-        raise ScenarioError(f"{place}.sidecar: there are {fleet.sidecars} sidecars")
+        raise ScenarioError(f"{path}.sidecar: there are {fleet.sidecars} sidecars")
     if fault.servers is not None and fault.servers > fleet.servers and fault.kind != "join":
-        raise ScenarioError(f"{place}.servers: there are {fleet.servers} servers")
+        raise ScenarioError(f"{path}.servers: there are {fleet.servers} servers")
--- a/lugtally/testbed/scenario/schedule.py
+++ b/lugtally/testbed/scenario/schedule.py
@@ -1,7 +1,6 @@
-"""The schedule of a run: all that a seed draws from a scenario, ahead of the run.
+"""Schedule of a run: everything that a seed draws from a scenario before the run.
 
-The schedule is a pure function: the load generator and the emulated fleet each make it for themselves and agree
-without an exchange.
+The schedule is a pure function of both.  The load generator and the emulated fleet each compute it.
 """
 
 from __future__ import annotations
@@ -12,7 +11,7 @@
 from lugtally.testbed.emulator.server_model import ServerTraits
 from lugtally.testbed.scenario.arrivals import Arrival, draw_arrivals
 from lugtally.testbed.scenario.fault_events import FaultEvent, draw_fault_events
-from lugtally.testbed.scenario.random_streams import between, stream
+from lugtally.testbed.scenario.random_streams import draw_from, stream
 from lugtally.testbed.scenario.scenario import Scenario
 
 
@@ -27,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """All that is drawn before a run starts."""
+    """Everything that is drawn before a run."""
 
     scenario: Scenario
     seed: int
@@ -37,20 +36,20 @@
     events: tuple[FaultEvent, ...]
     mean_work: tuple[float, ...]  # by class, core-seconds
     rate: float  # first attempts a second
-    propagation_s: float  # until the endpoint list shows a change
-    silent_propagation_s: float  # the same for a machine that sends nothing any more
+    propagation_s: float  # from a change until the endpoint list has it
+    silent_propagation_s: float  # the same for a machine that disappears silently
 
 
 def make_schedule(scenario: Scenario, seed: int) -> Schedule:
-    """Draw the run of that seed."""
+    """Draw the schedule of a scenario and seed."""
     mean_work = tuple(
-        between(stream(seed, "class", request_class.name), request_class.work_ms) / 1000
+        draw_from(stream(seed, "class", request_class.name), request_class.work_ms) / 1000
         for request_class in scenario.classes
     )
     machines = _draw_machines(scenario, seed)
     discovery = stream(seed, "discovery")
-    propagation_s = between(discovery, scenario.discovery.propagation_s)
-    silent_propagation_s = between(discovery, scenario.discovery.silent_propagation_s)
+    propagation_s = draw_from(discovery, scenario.discovery.propagation_s)
+    silent_propagation_s = draw_from(discovery, scenario.discovery.silent_propagation_s)
     rate = _rate(scenario, machines, mean_work)
     zones = scenario.fleet.zones
     return Schedule(
@@ -68,11 +67,11 @@
 
 
 def draw_machine(scenario: Scenario, seed: int, server_index: int, name: str = "") -> Machine:
-    """Draw the server of that index; a replacement at the same index is drawn under its own name."""
+    """Draw the server of an index.  A replacement at the same index is drawn by its own ``name``."""
     fleet, network = scenario.fleet, scenario.network
     name = name or f"s-{server_index:03d}"
     random = stream(seed, "server", name)
-    speed = between(stream(seed, "speed"), fleet.speed)
+    speed = draw_from(stream(seed, "speed"), fleet.speed)
     sigma = sqrt(log(1 + fleet.speed_cv**2))
     speed *= exp(sigma * float(random.standard_normal()) - sigma**2 / 2)
     traits = ServerTraits(
@@ -94,29 +93,32 @@
         collapse_window_s=fleet.collapse_window_s,
         max_connections=network.max_connections,
         full_table_loss=network.full_table_loss,
-        handshake_work=between(random, network.handshake_ms) / 1000,
+        handshake_work=draw_from(random, network.handshake_ms) / 1000,
         drops_expired=fleet.drops_expired,
     )
     return Machine(name, _zone(scenario, server_index), traits)
 
 
 def _zone(scenario: Scenario, server_index: int) -> str:
-    """The zone of a server: spread by index, so that one more server moves none of the others."""
+    """Return the zone of a server.  It depends on the index alone, so that a further server moves no other."""
     fleet = scenario.fleet
     is_first = (server_index + 0.5) * fleet.zone_skew % 1 < fleet.zone_skew or len(fleet.zones) == 1
     return fleet.zones[0] if is_first else fleet.zones[1 + server_index % (len(fleet.zones) - 1)]
 
 
 def _draw_machines(scenario: Scenario, seed: int) -> tuple[Machine, ...]:
+    """Draw the initial servers and those that join during the run."""
     joining = sum(fault.servers or 1 for fault in scenario.faults if fault.kind == "join")
     return tuple(draw_machine(scenario, seed, server_index) for server_index in range(scenario.fleet.servers + joining))
 
 
 def _rate(scenario: Scenario, machines: tuple[Machine, ...], mean_work: tuple[float, ...]) -> float:
-    """First attempts a second, as given or from the utilisation of the fleet."""
+    """Return the first attempts a second, as given or from the utilisation of the fleet."""
     if scenario.load.utilisation is None:
         return scenario.load.rate_per_s
     present = machines[: scenario.fleet.servers]
     capacity = sum(machine.traits.cores * machine.traits.speed for machine in present)
-    work_per_request = sum(one.share * work for one, work in zip(scenario.classes, mean_work, strict=True))
+    work_per_request = sum(
+        request_class.share * work for request_class, work in zip(scenario.classes, mean_work, strict=True)
+    )
     return scenario.load.utilisation * capacity / work_per_request
