--- a/tests/admin/test_operator_drains.py
+++ b/tests/admin/test_operator_drains.py
@@ -11,7 +11,7 @@
 from lugtally.dispatch import Dispatcher, ListedEndpoint
 from lugtally.eventloop import EventLoop
 from lugtally.units import NS_PER_MS
-from tests.integration.player import SETTINGS
+from tests.sidecar_program import SETTINGS
 
 
 class RecordingPolicy:
--- a/tests/config/test_operator.py
+++ b/tests/config/test_operator.py
@@ -17,7 +17,7 @@
 from lugtally.config import operator
 from lugtally.daemon.overload_protection import overload_limits
 from lugtally.overload.admission import OverloadLimits
-from tests.integration.player import ROOT
+from tests.sidecar_program import ROOT
 
 NOT_IMPORTED_BY_SERVE = (
     "numpy",
--- a/tests/downstream/test_server.py
+++ b/tests/downstream/test_server.py
@@ -16,7 +16,7 @@
 from lugtally.units import NS_PER_MS
 from lugtally.upstream import ConnectionLimits, UpstreamPool
 from tests.dispatch.scripted_balancer import ScriptedBalancer
-from tests.integration.player import SETTINGS, listener
+from tests.sidecar_program import SETTINGS, listener
 
 
 @pytest.fixture
--- a/tests/fault_injection/discovery.py
+++ b/tests/fault_injection/discovery.py
@@ -14,6 +14,7 @@
 from tests.fault_injection.clock import NS_PER_S, now_ns
 from tests.fault_injection.endpoint import Endpoint
 from tests.fault_injection.wire import HEAD_END, serialize_head
+from tests.sidecar_program import endpoint_record
 
 READY, DRAINING, REMOVED = "ready", "draining", "gone"
 """The states of an endpoint on the wire."""
@@ -67,16 +68,14 @@
 def _serialize(row: _Row) -> dict[str, Any]:
     """Return the wire form of an endpoint."""
     host, port = row.endpoint.address
-    return {
-        "id": row.endpoint.name,
-        "addr": f"{host}:{port}",
-        "zone": row.endpoint.zone,
-        "kind": "m",
-        "cell": row.endpoint.cell,
-        "weight": 1.0,
-        "state": row.state,
-        "started_ms": row.started_ms,
-    }
+    return endpoint_record(
+        row.endpoint.name,
+        f"{host}:{port}",
+        zone=row.endpoint.zone,
+        cell=row.endpoint.cell,
+        state=row.state,
+        started_ms=row.started_ms,
+    )
 
 
 class DiscoveryService:
--- a/tests/http1/test_body_framing.py
+++ b/tests/http1/test_body_framing.py
@@ -11,7 +11,7 @@
 from lugtally.config.balancing_settings import read_settings
 from lugtally.http1 import BodyFraming, ProtocolError
 from lugtally.units import NS_PER_MS, NS_PER_S
-from tests.integration.player import SETTINGS
+from tests.sidecar_program import SETTINGS
 
 
 def chunked(pieces: list[bytes], trailer: bytes = b"") -> bytes:
--- a/tests/integration/player.py
+++ b/tests/integration/player.py
@@ -1,23 +1,37 @@
-"""Plays a recorded exchange against the started program; the one helper of the tests that start it.
-
-A file in ``exchanges`` has one step a line: who, what, and bytes.  In bytes ``|`` stands for CRLF,
-``~`` for a bare line feed, ``*`` matches anything within a line, ``{x20}`` repeats the character before it,
-and ``@A`` is the address of A.
-
-    known A B       what the program knows at its start (A and B listen, C refuses, S never comes up)
-    patience 6      how many seconds each step may take
-    files 20        its limit of open files; ``sockets 64`` what its configuration says of that
-    crowd 40 CLIENT     as many clients, CLIENT0 on, connect and say nothing
-    serve           start it; it must become ready
-    c1 send BYTES   a client (``o1``: an operator, at @O), opened by its first step, sends; ``want`` must
-                    receive just this, ``closed`` must see the end, ``broken`` a reset in its place, ``none`` must
-                    see nothing; ``shut``, ``half`` (its sending alone) and ``reset`` close, ``pause`` waits
-    d1 want BYTES   the same for the next connection that any destination accepts
-    d2 elsewhere d1     accepted by another destination than d1; ``d1 at B`` by B
-    p list JSON     the same for the server list's connections, with answers of that body
-    hup NAME VALUE      a field of the configuration changes, SIGHUP; ``q`` is a second server list, at @Q
-    term            SIGTERM; ``exit 0`` waits for the end
-    inherit         the player opens the listening socket and passes it as descriptor 7 in ``$PROXY_SOCKET_FD``
+"""Plays a recorded exchange against a sidecar process.
+
+A file in ``exchanges`` has one step a line.  In BYTES ``|`` stands for CRLF, ``~`` for a bare line feed, ``*`` matches
+anything within a line, ``{x20}`` repeats the character before it, and ``@A`` is the address of A.
+
+Steps of the sidecar process:
+
+    known A B           set its cached endpoint list (A and B listen, C refuses connections, S never accepts one)
+    files 20            set its limit of open files
+    sockets 64          set the number of sockets in its configuration
+    inherit             open its listening socket here, and pass it as descriptor 7 in ``$PROXY_SOCKET_FD``
+    serve               start it and wait until it is ready
+    hup NAME VALUE      change a field of its configuration and send SIGHUP
+    term                send SIGTERM
+    exit 0              wait until it has exited with this status
+    patience 6          set the timeout of each later step, in seconds
+    crowd 40 CLIENT     open the connections CLIENT0 to CLIENT39
+
+Steps of a connection begin with its name, and the first one opens it.  The first letter says what it is: ``d`` the next
+connection that an endpoint accepts, ``p`` and ``q`` the next one that the first and the second discovery service accept
+(the second is at @Q), ``o`` a connection to the admin address, any other letter a client's:
+
+    c1 send BYTES       send bytes
+    c1 want BYTES       receive exactly these bytes
+    p list JSON         send a response with this body
+    c1 none 0.3         receive nothing for this time, in seconds
+    c1 closed           receive the end of the connection
+    c1 broken           receive a reset
+    c1 half             shut down the sending side
+    c1 shut             close the connection
+    c1 reset            reset the connection
+    c1 pause 0.3        wait, in seconds
+    d1 at B             was accepted by B
+    d2 elsewhere d1     was accepted by another endpoint than d1
 """
 
 from __future__ import annotations
@@ -31,101 +45,80 @@
 import socket
 import struct
 import subprocess
-import sys
 import time
 from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
-ROOT = Path(__file__).parents[2]
-PATIENCE_S = 20.0
-LIMIT = {"slo_ns": 2_000_000_000, "hard_limit_ns": 8_000_000_000}
-SETTINGS: dict[str, Any] = {
-    "grades": [
-        {"name": "campaign-read", "effect": "idempotent", **LIMIT},
-        {"name": "pledge-record", "effect": "deduplicated", "key_scope": "zone", "key_ttl_ns": 6_000_000_000, **LIMIT},
-        {"name": "receipt-issue", "effect": "at_most_once", **LIMIT},
-    ],
-    "ceilings": {
-        "most_tries": 4,
-        "cancel": True,
-        "second_copies": True,
-        "retry_after": True,
-        "max_retry_after_ns": 2_000_000_000,
-        "keepalive_ns": 60_000_000_000,
-        "connect_timeout_ns": 150_000_000,
-    },
-    "contract": {"cold_from": 0.31, "warm_within_ns": 7_500_000_000, "fall_multiple": 2.5},
-    "instances": 1,
-    "zones": ["a", "b"],
-    "membership_mode": "subscribe",
-    "report": {"how": "probe"},
-}
-
-
-def listener(backlog: int = 64) -> socket.socket:
-    """A listening socket on a port of its own."""
-    sock = socket.socket()
-    sock.bind(("127.0.0.1", 0))
-    sock.listen(backlog)
-    return sock
-
+from tests.sidecar_program import (
+    ROOT,
+    SETTINGS,
+    address,
+    endpoint_record,
+    listener,
+    serve_command,
+    serve_environment,
+)
 
-def address(sock: socket.socket) -> str:
-    """``host:port`` of a listening socket."""
-    host, port = sock.getsockname()
-    return f"{host}:{port}"
+PATIENCE_S = 20.0
+READY_POLL_S = 0.05
+INHERITED_DESCRIPTOR = 7
+MAX_UNEXPECTED_BYTES = 300
+MAX_SHOWN_BYTES = 500
 
 
 class Player:
-    """The peers of one sidecar, and the sidecar."""
+    """One sidecar process, and the sockets of its peers: clients, endpoints and discovery services."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.upstream = {name: listener() for name in "AB"}
-        refusing = listener()
         self.discovery, self.second_discovery = listener(), listener()
+        refusing, self.listen, self.operator = _unused_addresses(3)
         self.addresses = {f"@{name}": address(sock) for name, sock in self.upstream.items()} | {
-            "@C": address(refusing),
+            "@C": refusing,
             "@Q": address(self.second_discovery),
         }
-        refusing.close()
-        # A listener that accepts nothing and whose backlog is full: connections to it never come up.
+        # The backlog of this listener is full, so that connections to it are never established.
         self.unresponsive = listener(0)
         self.addresses["@S"] = address(self.unresponsive)
         self.fillers = [socket.socket() for _ in range(4)]
         for filler in self.fillers:
             filler.setblocking(False)
             filler.connect_ex(self.unresponsive.getsockname())
-        reserve, other = listener(), listener()
-        self.listen, self.operator = address(reserve), address(other)
         self.addresses["@O"] = self.operator
-        reserve.close()
-        other.close()
         self.patience = PATIENCE_S
         self.known: list[str] = ["A"]
         self.files = self.sockets = 1024
         self.links: dict[str, socket.socket] = {}
         self.accepted_by: dict[str, str] = {}
         self.program: subprocess.Popen[bytes] | None = None
-        self.inherited: socket.socket | None = None  # the program's listening socket, where the player opens it
+        self.inherited: socket.socket | None = None  # the sidecar's listening socket after the step ``inherit``
 
     def play(self, script: str) -> None:
-        """Run each step; an ``AssertionError`` names the line that went wrong."""
+        """Run each step.
+
+        Raises:
+            AssertionError: a step failed; the message names its line.
+        """
         for line_number, line in enumerate(script.splitlines(), 1):
-            words = line.split(" ", 2)
             if not line.strip() or line.startswith("#"):
                 continue
             try:
-                if (program_step := PROGRAM_STEPS.get(words[0])) is not None:
-                    program_step(self, *line.split()[1:])
-                else:
-                    getattr(self, f"on_{words[1]}")(words[0], words[2] if len(words) > 2 else "")
+                self._run_step(line)
             except (AssertionError, OSError) as error:
                 raise AssertionError(f"line {line_number}: {line[:90]}: {error}") from error
 
+    def _run_step(self, line: str) -> None:
+        name, *arguments = line.split()
+        if (program_step := PROGRAM_STEPS.get(name)) is not None:
+            program_step(self, *arguments)
+            return
+        connection, step, *text = line.split(" ", 2)
+        CONNECTION_STEPS[step](self, connection, text[0] if text else "")
+
     def end(self) -> None:
-        """Stop the program and close every socket."""
+        """Kill the program and close every socket."""
         if self.program is not None:
             self.program.kill()
             self.program.wait()
@@ -136,20 +129,8 @@
     # ------------------------------------------------------------ the program
 
     def config(self) -> dict[str, Any]:
-        """What config.json holds."""
-        rows = [
-            {
-                "id": f"s-{name}",
-                "addr": self.addresses[f"@{name}"],
-                "zone": "a",
-                "kind": "m",
-                "cell": 0,
-                "weight": 1.0,
-                "state": "ready",
-                "started_ms": 0,
-            }
-            for name in self.known
-        ]
+        """Return the content of ``config.json``."""
+        records = [endpoint_record(f"s-{name}", self.addresses[f"@{name}"]) for name in self.known]
         return {
             "name": "n1",
             "listen": self.listen,
@@ -157,7 +138,7 @@
             "seed": "5e",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.sockets},
             "settings": SETTINGS,
-            "known": {"version": 1, "full": True, "servers": rows},
+            "known": {"version": 1, "full": True, "servers": records},
             "operator": self.operator,
         }
 
@@ -184,31 +165,26 @@
         self.inherited.listen(64)
 
     def do_serve(self) -> None:
-        path = self.folder / "config.json"
-        path.write_text(json.dumps(self.config()))
-        env = {
-            **os.environ,
-            "PROXY_CONFIG": str(path),
-            "TMPDIR": str(self.folder),
-            "PROXY_DISCOVERY": address(self.discovery),
-        }
-        descriptor = -1
+        (self.folder / "config.json").write_text(json.dumps(self.config()))
+        environment = serve_environment(self.folder, address(self.discovery))
         if self.inherited is not None:
-            descriptor, env["PROXY_SOCKET_FD"] = self.inherited.fileno(), "7"
-
-        def duplicate_to_seven() -> None:
-            # Python opens descriptors not to be inherited: this copy alone goes to the program.
-            if descriptor >= 0:
-                os.dup2(descriptor, 7)
-
+            environment["PROXY_SOCKET_FD"] = str(INHERITED_DESCRIPTOR)
         self.program = subprocess.Popen(
-            ["sh", "-c", f'ulimit -n {self.files}; exec "$0" -B -m lugtally serve', sys.executable],
+            serve_command(self.files),
             cwd=ROOT,
             stderr=subprocess.DEVNULL,
-            env=env,
+            env=environment,
             close_fds=False,
-            preexec_fn=duplicate_to_seven,  # noqa: PLW1509  one thread, and descriptor 7 is wanted by its number
+            preexec_fn=self._pass_inherited,  # noqa: PLW1509  one thread, and the number of the descriptor is fixed
         )
+        self._wait_until_ready()
+
+    def _pass_inherited(self) -> None:
+        """Duplicate the listening socket; Python's own descriptors are not inherited, the duplicate is."""
+        if self.inherited is not None:
+            os.dup2(self.inherited.fileno(), INHERITED_DESCRIPTOR)
+
+    def _wait_until_ready(self) -> None:
         deadline = time.monotonic() + PATIENCE_S
         while time.monotonic() < deadline:
             try:
@@ -217,7 +193,7 @@
                 return
             except (OSError, AssertionError):
                 self.links.pop("ready", None)
-                time.sleep(0.05)
+                time.sleep(READY_POLL_S)
         raise AssertionError("the program did not become ready")
 
     def do_hup(self, name: str, value: str) -> None:
@@ -233,62 +209,66 @@
         assert self.program is not None
         assert self.program.wait(PATIENCE_S) == int(status)
 
-    # ------------------------------------------------------------ the peers
+    # ------------------------------------------------------------ the connections
 
     def bytes_of(self, text: str) -> str:
-        """The bytes that a step names, as text."""
+        """Return the bytes of a step, as Latin-1 text."""
         for name, listen_address in self.addresses.items():
             text = text.replace(name, listen_address)
         text = re.sub(r"(.)\{x(\d+)\}", lambda match: match[1] * int(match[2]), text)
         return text.replace("|", "\r\n").replace("~", "\n")
 
     def link(self, who: str) -> socket.socket:
-        """The connection of that name, opened or accepted when it is first named."""
+        """Return the connection of that name; the first call accepts or opens it."""
         if who not in self.links:
-            if who[0] in "dpq":
-                discovery = {"p": self.discovery, "q": self.second_discovery}.get(who[0])
-                listeners = [discovery] if discovery else list(self.upstream.values())
-                ready, _, _ = select.select(listeners, [], [], self.patience)
-                assert ready, "nothing connected"
-                self.links[who], _ = ready[0].accept()
-                self.accepted_by[who] = address(ready[0])
-            else:
-                host, port = (self.operator if who[0] == "o" else self.listen).split(":")
-                self.links[who] = socket.create_connection((host, int(port)), self.patience)
+            self.links[who] = self._accept(who) if who[0] in "dpq" else self._connect(who)
             self.links[who].settimeout(self.patience)
         return self.links[who]
 
+    def _accept(self, who: str) -> socket.socket:
+        discovery = {"p": self.discovery, "q": self.second_discovery}.get(who[0])
+        listeners = [discovery] if discovery else list(self.upstream.values())
+        ready, _, _ = select.select(listeners, [], [], self.patience)
+        assert ready, "nothing connected"
+        connection: socket.socket = ready[0].accept()[0]
+        self.accepted_by[who] = address(ready[0])
+        return connection
+
+    def _connect(self, who: str) -> socket.socket:
+        host, port = (self.operator if who[0] == "o" else self.listen).split(":")
+        return socket.create_connection((host, int(port)), self.patience)
+
     def on_send(self, who: str, text: str) -> None:
         self.link(who).sendall(self.bytes_of(text).encode("latin-1"))
 
     def on_want(self, who: str, text: str) -> None:
-        wanted = self.bytes_of(text)
-        pattern = re.compile(re.escape(wanted).replace(r"\*", "[^\r\n]*"))
-        tail = wanted.rpartition("*")[2]
-        got = ""
-        while not (got.endswith(tail) and pattern.fullmatch(got)):
-            data = self.link(who).recv(1 if "*" in text else max(1, len(wanted) - len(got)))
-            got += data.decode("latin-1")
-            assert data, f"the connection ended after {got[-500:]!r}"
-            assert len(got) <= len(wanted) + 300, f"got {got[-500:]!r}"
+        expected = self.bytes_of(text)
+        pattern = re.compile(re.escape(expected).replace(r"\*", "[^\r\n]*"))
+        tail = expected.rpartition("*")[2]
+        received = ""
+        while not (received.endswith(tail) and pattern.fullmatch(received)):
+            data = self.link(who).recv(1 if "*" in text else max(1, len(expected) - len(received)))
+            received += data.decode("latin-1")
+            assert data, f"the connection ended after {received[-MAX_SHOWN_BYTES:]!r}"
+            assert len(received) <= len(expected) + MAX_UNEXPECTED_BYTES, f"received {received[-MAX_SHOWN_BYTES:]!r}"
 
     def on_list(self, who: str, text: str) -> None:
         body = self.bytes_of(text)
         self.link(who).sendall(f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
 
     def on_none(self, who: str, text: str) -> None:
-        assert not select.select([self.link(who)], [], [], float(text or 0.3))[0], "something came"
+        assert not select.select([self.link(who)], [], [], float(text or 0.3))[0], "received bytes or an end"
 
     def on_closed(self, who: str, _: str) -> None:
         with contextlib.suppress(ConnectionResetError):
-            assert self.link(who).recv(1) == b"", "it is open and sends"
+            assert self.link(who).recv(1) == b"", "the connection is open and sends"
 
     def on_broken(self, who: str, _: str) -> None:
         try:
             data = self.link(who).recv(1)
         except ConnectionResetError:
             return
-        raise AssertionError(f"no reset, but {data!r}")
+        raise AssertionError(f"no reset, received {data!r}")
 
     def on_half(self, who: str, _: str) -> None:
         self.link(who).shutdown(socket.SHUT_WR)
@@ -303,11 +283,11 @@
 
     def on_elsewhere(self, who: str, other: str) -> None:
         self.link(who)
-        assert self.accepted_by[who] != self.accepted_by[other], "it came to the same destination"
+        assert self.accepted_by[who] != self.accepted_by[other], "accepted by the same endpoint"
 
     def on_at(self, who: str, name: str) -> None:
         self.link(who)
-        assert self.accepted_by[who] == self.addresses[f"@{name}"], "it came to another destination"
+        assert self.accepted_by[who] == self.addresses[f"@{name}"], "accepted by another endpoint"
 
     def on_pause(self, who: str, seconds: str) -> None:
         time.sleep(float(seconds))
@@ -325,3 +305,23 @@
     "patience": Player.do_patience,
     "inherit": Player.do_inherit,
 }
+CONNECTION_STEPS: dict[str, Callable[[Player, str, str], None]] = {
+    "send": Player.on_send,
+    "want": Player.on_want,
+    "list": Player.on_list,
+    "none": Player.on_none,
+    "closed": Player.on_closed,
+    "broken": Player.on_broken,
+    "half": Player.on_half,
+    "shut": Player.on_shut,
+    "reset": Player.on_reset,
+    "elsewhere": Player.on_elsewhere,
+    "at": Player.on_at,
+    "pause": Player.on_pause,
+}
+
+
+def _unused_addresses(count: int) -> list[str]:
+    """Return different addresses at which nothing listens."""
+    with contextlib.ExitStack() as sockets:
+        return [address(sockets.enter_context(listener())) for _ in range(count)]
--- a/tests/integration/test_sidecar.py
+++ b/tests/integration/test_sidecar.py
@@ -21,7 +21,8 @@
 from lugtally.eventloop import EventLoop, WakeReason
 from lugtally.units import NS_PER_MS, NS_PER_S
 from lugtally.upstream import ConnectionLimits, UpstreamPool
-from tests.integration.player import ROOT, Player, listener
+from tests.integration.player import Player
+from tests.sidecar_program import ROOT, listener
 
 READ = balancing.RequestClass(
     "campaign-read",
--- a/tests/races/processes.py
+++ b/tests/races/processes.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from types import TracebackType
 
-from tests.integration.player import ROOT, SETTINGS, address, listener
+from tests.sidecar_program import ROOT, SETTINGS, address, listener
 
 MAX_WAIT_S = 10.0
 START_TIMEOUT_S = 20.0
--- a/tests/races/test_closing.py
+++ b/tests/races/test_closing.py
@@ -20,8 +20,9 @@
 from lugtally.eventloop import Event, WakeReason
 from lugtally.units import NS_PER_MS
 from lugtally.upstream import attempt, split_descriptors
-from tests.integration.player import ROOT, Player
+from tests.integration.player import Player
 from tests.races.fakes import PeerConnection, Sidecar, request
+from tests.sidecar_program import ROOT
 
 
 def open_descriptors() -> int:
--- a/tests/testbed/test_runs.py
+++ b/tests/testbed/test_runs.py
@@ -16,7 +16,7 @@
 from lugtally.testbed.reporting.report import Verdict
 from lugtally.testbed.scenario import scenario_file
 from lugtally.testbed.verification import event_log, records
-from tests.integration.player import ROOT
+from tests.sidecar_program import ROOT
 from tests.testbed.runs import DRAIN, play_until_valid
 
 
