--- a/tests/integration/player.py
+++ b/tests/integration/player.py
@@ -74,11 +74,8 @@
         self.folder = folder
         self.upstream = {name: listener() for name in "AB"}
         self.discovery, self.second_discovery = listener(), listener()
-        refusing, self.listen, self.operator = _unused_addresses(3)
-        self.addresses = {f"@{name}": address(sock) for name, sock in self.upstream.items()} | {
-            "@C": refusing,
-            "@Q": address(self.second_discovery),
-        }
+        self.addresses = {f"@{name}": address(sock) for name, sock in self.upstream.items()}
+        self.addresses["@Q"] = address(self.second_discovery)
         # The backlog of this listener is full, so that connections to it are never established.
         self.unresponsive = listener(0)
         self.addresses["@S"] = address(self.unresponsive)
@@ -86,7 +83,9 @@
         for filler in self.fillers:
             filler.setblocking(False)
             filler.connect_ex(self.unresponsive.getsockname())
-        self.addresses["@O"] = self.operator
+        # Released last, so that none of the sockets above takes their ports.
+        refusing, self.listen, self.operator = _unused_addresses(3)
+        self.addresses |= {"@C": refusing, "@O": self.operator}
         self.patience = PATIENCE_S
         self.known: list[str] = ["A"]
         self.files = self.sockets = 1024
@@ -185,8 +184,10 @@
             os.dup2(self.inherited.fileno(), INHERITED_DESCRIPTOR)
 
     def _wait_until_ready(self) -> None:
+        assert self.program is not None
         deadline = time.monotonic() + PATIENCE_S
         while time.monotonic() < deadline:
+            assert self.program.poll() is None, f"the program exited with {self.program.returncode} before it was ready"
             try:
                 self.on_send("ready", "GET /_health HTTP/1.1|Host: x||")
                 self.on_want("ready", "HTTP/1.1 200 OK|Content-Length: 3||ok\n")
