--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,12 +1,13 @@
-"""Tests that fail for a known fault: a run passes over just those that ``KNOWN-RED.txt`` names, and says so.
+"""Expected failures: a run passes over the tests that ``KNOWN-RED.txt`` lists, and prints them.
 
-A line is ``test | cause | issue``, the test as pytest writes it (``tests/test_x.py::test_y``).  A run fails where one
-of them passes, where there are more than ``MAX_KNOWN_RED``, and, if it is of all tests, where one is not among them.
+A line is ``test | cause | issue``, with the test's id in pytest (``tests/test_x.py::test_y``).  A run fails if a listed
+test passes, if more than ``MAX_KNOWN_RED`` are listed, or, in a run of all tests, if a listed test does not exist.
 """
 
 from __future__ import annotations
 
 from pathlib import Path
+from typing import NamedTuple
 
 import pytest
 
@@ -14,26 +15,41 @@
 FILE = "KNOWN-RED.txt"
 
 
-def _lines(root: Path) -> list[list[str]]:
+class KnownFailure(NamedTuple):
+    """One line of the file."""
+
+    test_id: str
+    cause: str
+    issue: str
+
+
+def _read_known_failures(root: Path) -> list[KnownFailure]:
+    """Return the lines of the file; none if there is no file.
+
+    Raises:
+        pytest.UsageError: there are too many lines, or a line has not three fields.
+    """
     path = root / FILE
-    rows = [line.split(" | ") for line in path.read_text().splitlines() if line.strip()] if path.exists() else []
+    if not path.exists():
+        return []
+    rows = [line.split(" | ") for line in path.read_text().splitlines() if line.strip()]
     if len(rows) > MAX_KNOWN_RED or any(len(row) != 3 or not all(field.strip() for field in row) for row in rows):
         raise pytest.UsageError(f"{FILE}: at most {MAX_KNOWN_RED} lines of 'test | cause | issue'")
-    return rows
+    return [KnownFailure(*row) for row in rows]
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Expect the named tests to fail."""
+    """Mark the listed tests as expected failures."""
     by_id = {item.nodeid: item for item in items}
-    whole = config.args_source is pytest.Config.ArgsSource.TESTPATHS and not config.option.keyword
-    for test, cause, issue in _lines(config.rootpath):
-        if (item := by_id.get(test)) is not None:
-            item.add_marker(pytest.mark.xfail(reason=f"{cause} ({issue})", strict=True))
-        elif whole:
-            raise pytest.UsageError(f"{FILE}: {test} is no test of this run")
+    runs_all_tests = config.args_source is pytest.Config.ArgsSource.TESTPATHS and not config.option.keyword
+    for failure in _read_known_failures(config.rootpath):
+        if (item := by_id.get(failure.test_id)) is not None:
+            item.add_marker(pytest.mark.xfail(reason=f"{failure.cause} ({failure.issue})", strict=True))
+        elif runs_all_tests:
+            raise pytest.UsageError(f"{FILE}: {failure.test_id} is no test of this run")
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
-    """Name what was passed over."""
-    for test, cause, issue in _lines(config.rootpath):
-        terminalreporter.write_line(f"known red: {test}: {cause} ({issue})")
+    """Print the listed tests."""
+    for failure in _read_known_failures(config.rootpath):
+        terminalreporter.write_line(f"known red: {failure.test_id}: {failure.cause} ({failure.issue})")
--- a/tests/integration/test_exchanges.py
+++ b/tests/integration/test_exchanges.py
@@ -1,4 +1,4 @@
-"""Every recorded exchange, played against the started program."""
+"""Plays every recorded exchange against a sidecar process."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize("path", EXCHANGES, ids=lambda path: path.stem)
-def test_exchange(path: Path, tmp_path: Path) -> None:
+def test_recorded_exchange_is_reproduced(path: Path, tmp_path: Path) -> None:
     player = Player(tmp_path)
     try:
         player.play(path.read_text(encoding="utf-8"))
--- a/tests/integration/test_sidecar.py
+++ b/tests/integration/test_sidecar.py
@@ -1,4 +1,4 @@
-"""What the exchanges cannot show of the started program and its joined parts: bad configuration, memory."""
+"""Tests of the program that need no exchange: errors in its configuration, and garbage of its requests."""
 
 from __future__ import annotations
 
@@ -24,6 +24,8 @@
 from tests.integration.player import Player
 from tests.sidecar_program import ROOT, listener
 
+WARM_UP_REQUESTS = 20
+MEASURED_REQUESTS = 100
 READ = balancing.RequestClass(
     "campaign-read",
     balancing.Idempotency.IDEMPOTENT,
@@ -32,8 +34,8 @@
     2 * NS_PER_S,
     8 * NS_PER_S,
 )
-# The named field of the message, and the change that makes it bad.
-BAD_CONFIGURATIONS: dict[str, dict[str, Any]] = {
+# By the field that the message names: a change that makes the configuration invalid.
+INVALID_CONFIGURATIONS: dict[str, dict[str, Any]] = {
     "listen": {"listen": "nowhere"},
     "discovery": {"discovery": "host.example:80"},
     "seed": {"seed": "xyz"},
@@ -51,7 +53,7 @@
 def run_command(
     folder: Path, change: dict[str, Any], command: str, **environment: str
 ) -> subprocess.CompletedProcess[str]:
-    """Run a sub-command that ends by itself, under a changed configuration."""
+    """Run a sub-command with a changed configuration until it exits."""
     player = Player(folder)
     path = folder / "config.json"
     path.write_text(json.dumps({**player.config(), **change}))
@@ -66,25 +68,29 @@
     )
 
 
-@pytest.mark.parametrize(("field", "change"), BAD_CONFIGURATIONS.items(), ids=BAD_CONFIGURATIONS)
-def test_bad_configuration_is_one_line(field: str, change: dict[str, Any], tmp_path: Path) -> None:
-    for command in ("check-config", "serve"):
-        done = run_command(tmp_path, change, command)
-        assert done.returncode == 2
-        assert done.stdout == ""
-        assert done.stderr.startswith(f"lugtally: {field}: ")
-        assert done.stderr.count("\n") == 1
+@pytest.mark.parametrize("command", ["check-config", "serve"])
+@pytest.mark.parametrize(("field", "change"), INVALID_CONFIGURATIONS.items(), ids=INVALID_CONFIGURATIONS)
+def test_invalid_configuration_prints_one_line_naming_the_field(
+    field: str, change: dict[str, Any], command: str, tmp_path: Path
+) -> None:
+    done = run_command(tmp_path, change, command)
+    assert done.returncode == 2
+    assert done.stdout == ""
+    assert done.stderr.startswith(f"lugtally: {field}: ")
+    assert done.stderr.count("\n") == 1
 
 
-def test_version_and_a_sound_configuration(tmp_path: Path) -> None:
-    for command, text in (("version", "lugtally 0."), ("check-config", "n1: 3 classes, 1 known")):
-        done = run_command(tmp_path, {}, command)
-        assert done.returncode == 0
-        assert done.stdout.startswith(text)
+@pytest.mark.parametrize(
+    ("command", "output"), [("version", "lugtally 0."), ("check-config", "n1: 3 classes, 1 known")]
+)
+def test_version_and_check_config_exit_with_success(command: str, output: str, tmp_path: Path) -> None:
+    done = run_command(tmp_path, {}, command)
+    assert done.returncode == 0
+    assert done.stdout.startswith(output)
 
 
 @pytest.mark.parametrize("text", ["x", "-1", "7.0", "99"])
-def test_a_bad_inherited_descriptor_is_one_line(text: str, tmp_path: Path) -> None:
+def test_invalid_inherited_descriptor_prints_one_line(text: str, tmp_path: Path) -> None:
     done = run_command(tmp_path, {}, "serve", PROXY_SOCKET_FD=text)
     assert done.returncode == 2
     assert done.stdout == ""
@@ -92,8 +98,8 @@
     assert done.stderr.count("\n") == 1
 
 
-class JoinedSidecar:
-    """A dispatcher, an upstream pool and a downstream server joined, with one endpoint that a test plays."""
+class SidecarInProcess:
+    """A dispatcher, an upstream pool and a downstream server in this process, with one endpoint."""
 
     def __init__(self, server: socket.socket) -> None:
         self.loop = EventLoop()
@@ -104,8 +110,8 @@
         self.downstream = DownstreamServer(self.loop, self.dispatcher, upstream, (READ,), 9)
         self.downstream.listen(Address("127.0.0.1", 0))
         host, port = server.getsockname()
-        rows = [{"id": "s", "addr": f"{host}:{port}", "zone": "a", "state": "ready"}]
-        self.endpoint_watcher.start(parse_endpoint_list({"version": 1, "full": True, "servers": rows}, "known"))
+        records = [{"id": "s", "addr": f"{host}:{port}", "zone": "a", "state": "ready"}]
+        self.endpoint_watcher.start(parse_endpoint_list({"version": 1, "full": True, "servers": records}, "known"))
 
 
 @pytest.fixture
@@ -117,15 +123,15 @@
 
 @pytest.fixture
 def collector() -> Iterator[None]:
-    """Leave the garbage collector enabled, whatever the test does to it."""
+    """Enable the garbage collector after the test."""
     yield
     gc.enable()
 
 
 @pytest.mark.usefixtures("collector")
-def test_requests_leave_nothing_for_the_collector(server: socket.socket) -> None:
-    """Each request held itself in a ring of 13 objects: memory and pauses grew with the rate."""
-    sidecar = JoinedSidecar(server)
+def test_requests_leave_no_reference_cycles(server: socket.socket) -> None:
+    """A reference cycle for each request would make memory and garbage collections grow with the request rate."""
+    sidecar = SidecarInProcess(server)
     loop = sidecar.loop
     assert sidecar.downstream.listener is not None
     address = sidecar.downstream.listener.getsockname()
@@ -139,11 +145,11 @@
 
     def send_requests() -> None:
         with socket.create_connection(address) as client:
-            for number in range(120):
+            for number in range(WARM_UP_REQUESTS + MEASURED_REQUESTS):
                 client.sendall(b"GET /campaign-read HTTP/1.1\r\nX-Correlation-Id: r%d\r\n\r\n" % number)
                 loop.wait(client.fileno(), 1)
                 assert b"200 OK" in client.recv(4096)
-                if number == 19:
+                if number == WARM_UP_REQUESTS - 1:
                     gc.collect()
                     gc.disable()
         unreachable.append(gc.collect())
@@ -153,4 +159,4 @@
     loop.spawn(send_requests)
     loop.run(sidecar.dispatcher.run_due_timers)
     assert unreachable, "the requests did not finish"
-    assert unreachable[0] < 100, "100 requests"
+    assert unreachable[0] < MEASURED_REQUESTS, "at least one unreachable object for each request"
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known faults must not become a way to pass."""
+"""Tests of ``KNOWN-RED.txt``: a run fails unless exactly the listed tests fail."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import pytest
 
-TESTS = "def test_red(): assert False\ndef test_green(): assert True\n"
+TEST_MODULE = "def test_red(): assert False\ndef test_green(): assert True\n"
 RED = "tests/test_a.py::test_red | it is not mended | issue 1"
 
 
@@ -22,12 +22,12 @@
         ([RED, "tests/test_a.py::test_green"], 4, "at most 3 lines of 'test | cause | issue'"),
         ([RED] * 4, 4, "at most 3 lines"),
     ],
-    ids=["named fault", "not named", "passing test named", "unknown test named", "field missing", "too many"],
+    ids=["listed failure", "unlisted failure", "passing test", "unknown test", "missing field", "too many lines"],
 )
-def test_only_named_faults_are_passed_over(lines: list[str], status: int, printed: str, tmp_path: Path) -> None:
+def test_run_passes_over_only_the_listed_failures(lines: list[str], status: int, printed: str, tmp_path: Path) -> None:
     (tmp_path / "tests").mkdir()
     (tmp_path / "pyproject.toml").write_text('[tool.pytest.ini_options]\ntestpaths = ["tests"]\n')
-    (tmp_path / "tests" / "test_a.py").write_text(TESTS)
+    (tmp_path / "tests" / "test_a.py").write_text(TEST_MODULE)
     (tmp_path / "tests" / "conftest.py").write_text((Path(__file__).parent / "conftest.py").read_text())
     (tmp_path / "KNOWN-RED.txt").write_text("\n".join(lines))
     done = subprocess.run(
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Imports run downwards only, by the floors of ``docs/architecture.md``."""
+"""Tests that imports between packages only go to a lower floor of ``docs/architecture.md``."""
 
 from __future__ import annotations
 
@@ -29,14 +29,19 @@
     "units": 1,
     "address": 1,
 }
-SAME_FLOOR = {("downstream", "upstream"), ("discovery", "upstream"), ("dispatch", "overload"), ("simulator", "config")}
-ON_FLOOR_1 = {("eventloop", "units"), ("http1", "units"), ("http1", "address")}
+ALLOWED_ON_SAME_FLOOR = {
+    ("downstream", "upstream"),
+    ("discovery", "upstream"),
+    ("dispatch", "overload"),
+    ("simulator", "config"),
+}
+ALLOWED_ON_FLOOR_1 = {("eventloop", "units"), ("http1", "units"), ("http1", "address")}
 TESTBED_MAY_USE = {"balancing", "units", "daemon", "config"}
-"""The public interface; ``daemon`` and ``config`` for the baselines alone, which serve as the daemon does."""
+"""The public interface; ``daemon`` and ``config`` are for the baselines alone, which run the daemon."""
 
 
 def imported_packages(path: Path) -> Iterator[str]:
-    """Yield the part of the program that each import in a file names, also those inside functions."""
+    """Yield the package of each import in a file, including imports inside functions."""
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.ImportFrom) and node.module == "lugtally":
             yield from (alias.name for alias in node.names if alias.name in FLOORS)
@@ -53,24 +58,24 @@
 FILES = sorted(path for path in ROOT.rglob("*.py") if path != ROOT / "__init__.py")
 
 
-def test_every_package_stands_on_a_floor() -> None:
+def test_every_package_has_a_floor() -> None:
     assert {package_of(path) for path in FILES} == set(FLOORS)
 
 
 @pytest.mark.parametrize("path", FILES, ids=lambda path: str(path.relative_to(ROOT)))
-def test_imports_run_downwards(path: Path) -> None:
+def test_imports_go_to_lower_floors(path: Path) -> None:
     package = package_of(path)
-    allowed = SAME_FLOOR | ON_FLOOR_1
-    wrong = {
+    allowed = ALLOWED_ON_SAME_FLOOR | ALLOWED_ON_FLOOR_1
+    upward_imports = {
         imported
         for imported in imported_packages(path)
         if imported != package and FLOORS[imported] >= FLOORS[package] and (package, imported) not in allowed
     }
-    assert not wrong
+    assert not upward_imports
 
 
 @pytest.mark.parametrize("path", sorted((ROOT / "testbed").rglob("*.py")), ids=lambda path: path.stem)
-def test_the_testbed_knows_the_public_interface_alone(path: Path) -> None:
+def test_testbed_imports_only_the_public_interface(path: Path) -> None:
     used = set(imported_packages(path)) - {"testbed"}
     assert used <= TESTBED_MAY_USE
     assert path.name == "baselines.py" or not used & {"daemon", "config"}
