--- a/tests/races/test_after_end.py
+++ b/tests/races/test_after_end.py
@@ -47,10 +47,8 @@
     monkeypatch.setattr(UpstreamConnection, "connect", connect_held)
 
 
-def test_a_connection_that_comes_up_after_the_deadline_carries_no_request(
-    monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar
-) -> None:
-    """The time that the balancer gave the attempt was asked for, not the request's own."""
+def test_connection_ready_after_deadline_carries_no_request(monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar) -> None:
+    """The deadline is the request's own, not the longer time that the balancer gave the attempt."""
     hold_dials(monkeypatch, lambda _: end_time_left(sidecar))
 
     def script() -> None:
@@ -66,8 +64,8 @@
     assert sidecar.balancer.attempt_results()[0] in balancing.NOT_PROCESSED
 
 
-def test_an_attempt_decided_on_before_a_stall_is_not_begun_after_the_deadline(sidecar: Sidecar) -> None:
-    """The process stood still between the decision and the attempt."""
+def test_attempt_delayed_by_stall_past_deadline_is_not_started(sidecar: Sidecar) -> None:
+    """The process stalls between the decision and the attempt."""
 
     def decide(event: balancing.Event) -> list[balancing.Action]:
         if isinstance(event, balancing.Request):
@@ -85,7 +83,7 @@
     assert sidecar.balancer.attempt_results() == NOT_BEGUN
 
 
-def test_a_retry_whose_backoff_ends_after_the_deadline_is_not_begun(sidecar: Sidecar) -> None:
+def test_retry_due_after_deadline_is_not_started(sidecar: Sidecar) -> None:
     def decide(event: balancing.Event) -> list[balancing.Action]:
         if isinstance(event, balancing.AttemptFinished) and event.attempt == 0:
             return [balancing.SetTimer(NS_PER_MS, balancing.RetryTimer(event.request_id))]
@@ -107,8 +105,8 @@
     sidecar.run(script)
 
 
-def test_an_attempt_in_flight_ends_with_its_request(sidecar: Sidecar) -> None:
-    """The client's time is over; the server's answer could go nowhere."""
+def test_attempt_in_flight_is_aborted_at_request_deadline(sidecar: Sidecar) -> None:
+    """The upstream connection is closed, and the client receives a 503."""
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
@@ -123,7 +121,7 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
-def test_nothing_is_written_for_a_client_that_leaves_while_its_attempt_dials(
+def test_client_leaving_while_connecting_gets_no_request_sent(
     how: str, monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar
 ) -> None:
     may_go_on = Event(sidecar.loop)
@@ -143,7 +141,7 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
-def test_nothing_is_written_for_a_client_that_leaves_while_its_connection_settles(
+def test_client_leaving_while_settling_gets_no_request_sent(
     how: str, monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar
 ) -> None:
     def script() -> None:
@@ -163,8 +161,8 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
-def test_nothing_is_begun_for_a_client_that_leaves_in_backoff(how: str, sidecar: Sidecar) -> None:
-    """Its retry is due at the moment of its end; the balancer knows no better than to send it."""
+def test_client_leaving_during_backoff_gets_no_retry(how: str, sidecar: Sidecar) -> None:
+    """The retry is due at the moment at which the client leaves, and the balancer sends it."""
     clients: list[PeerConnection] = []
 
     def decide(event: balancing.Event) -> list[balancing.Action]:
@@ -191,10 +189,10 @@
 
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
 @pytest.mark.parametrize("ordered_on", [balancing.Request, balancing.ClientDisconnected])
-def test_an_attempt_decided_on_in_the_turn_of_its_clients_end_is_not_begun(
+def test_attempt_decided_as_client_leaves_is_not_started(
     ordered_on: type[balancing.Event], how: str, sidecar: Sidecar
 ) -> None:
-    """The order to start it lies before the end in the queue of decisions, and its task is started all the same."""
+    """The decision is queued before the client disconnects, so that its task is started all the same."""
 
     def decide(event: balancing.Event) -> list[balancing.Action]:
         if not isinstance(event, ordered_on):
@@ -221,8 +219,8 @@
     assert sidecar.balancer.attempt_results() == NOT_BEGUN
 
 
-def test_a_request_that_the_balancer_fails_on_is_answered_and_the_next_one_served(sidecar: Sidecar) -> None:
-    """It waited for its deadline, and got 502, which says that it may have run."""
+def test_balancer_exception_gives_503_and_serves_next_request(sidecar: Sidecar) -> None:
+    """The request does not wait for its deadline, and no 502 says that it may have run."""
 
     def decide(event: balancing.Event) -> list[balancing.Action]:
         if isinstance(event, balancing.Request) and event.id == "1":
--- a/tests/races/test_arrival.py
+++ b/tests/races/test_arrival.py
@@ -46,8 +46,8 @@
 
 
 @pytest.mark.parametrize("kept", [False, True], ids=["new connection", "kept connection"])
-def test_a_request_that_waited_for_a_busy_process_keeps_its_deadline(kept: bool, sidecar: Sidecar) -> None:
-    """Its whole time began anew when it was read: forwarded 0.5 s after its last byte, with 0.3 s to go."""
+def test_deadline_counts_from_arrival_while_process_is_busy(kept: bool, sidecar: Sidecar) -> None:
+    """The process reads the request 0.5 s after its last byte; it had 0.3 s."""
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
@@ -64,7 +64,7 @@
     assert_late_one_was_not_submitted(sidecar)
 
 
-def test_a_pipelined_request_keeps_its_deadline_while_it_waits_for_the_one_before(sidecar: Sidecar) -> None:
+def test_deadline_of_pipelined_request_counts_from_its_arrival(sidecar: Sidecar) -> None:
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         client.send(request("read", "slow"))
@@ -80,7 +80,7 @@
     assert_late_one_was_not_submitted(sidecar)
 
 
-def test_requests_pipelined_at_once_share_the_moment_of_their_arrival(sidecar: Sidecar) -> None:
+def test_requests_in_one_segment_share_one_arrival_time(sidecar: Sidecar) -> None:
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         client.send(request("read", "slow") + short_request("late"))
@@ -94,8 +94,8 @@
     assert_late_one_was_not_submitted(sidecar)
 
 
-def test_a_request_that_waited_in_the_backlog_keeps_its_deadline() -> None:
-    """The one place for a client is taken for longer than the second one waits."""
+def test_deadline_counts_from_arrival_in_backlog() -> None:
+    """The only place for a client is occupied for longer than the second request has."""
     sidecar = Sidecar(max_clients=1)
 
     def script() -> None:
@@ -115,7 +115,7 @@
     assert_late_one_was_not_submitted(sidecar)
 
 
-def test_the_time_told_to_an_endpoint_is_what_the_client_has_left(sidecar: Sidecar) -> None:
+def test_forwarded_time_left_excludes_wait_before_reading(sidecar: Sidecar) -> None:
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         sidecar.loop.sleep(2 * NS_PER_MS)
@@ -129,8 +129,8 @@
     assert requests_submitted(sidecar)[0].time_left_ns <= (5_000 - 490) * NS_PER_MS
 
 
-def test_a_request_that_is_read_at_once_has_its_whole_time(sidecar: Sidecar) -> None:
-    """The bound must not cost a request its time where nothing held it up, however long the loop has been idle."""
+def test_request_read_at_once_keeps_its_full_time_left(sidecar: Sidecar) -> None:
+    """The bound on its arrival costs no time where nothing delayed it, however long the loop was idle."""
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
@@ -150,8 +150,8 @@
     ]
 
 
-def test_the_time_of_a_slow_response_is_not_taken_from_the_next_request(sidecar: Sidecar) -> None:
-    """The connection was not read from meanwhile, but the loop watched it."""
+def test_slow_response_does_not_shorten_the_next_deadline(sidecar: Sidecar) -> None:
+    """The connection was not read from during the response, but the loop polled it."""
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
@@ -168,8 +168,8 @@
 
 
 @pytest.mark.parametrize("kept", [False, True], ids=["new connection", "kept connection"])
-def test_a_stopped_process_forwards_nothing_whose_time_is_over(kept: bool, tmp_path: Path) -> None:
-    """SIGSTOP while it waits for events: the kernel takes requests all the same, and none says when it came."""
+def test_expired_request_is_not_forwarded_after_sigstop(kept: bool, tmp_path: Path) -> None:
+    """The kernel accepts bytes for a stopped process and does not say when they arrived."""
     with SidecarProcess(tmp_path) as sidecar:
         client = sidecar.connect()
         if kept:
@@ -185,8 +185,8 @@
         assert sidecar.requests_seen() == (["first"] if kept else [])
 
 
-def test_a_backlog_that_is_not_empty_proves_nothing_of_when_its_connections_came() -> None:
-    """One place becomes free each time; the poll that reports the next client took long on a busy machine."""
+def test_non_empty_backlog_sets_no_arrival_time() -> None:
+    """One place becomes free at a time, and the poll that reports the next client is slow."""
     sidecar = Sidecar(max_clients=1)
 
     def script() -> None:
--- a/tests/races/test_attempts.py
+++ b/tests/races/test_attempts.py
@@ -27,8 +27,8 @@
 
 
 @pytest.mark.parametrize("kind", ["new connection", "pooled connection"])
-def test_an_attempt_that_may_no_longer_begin_is_not_written(kind: str, sidecar: Sidecar) -> None:
-    """While its connection came up the server drained, or the window closed: the request went out all the same."""
+def test_attempt_refused_at_may_start_is_not_written(kind: str, sidecar: Sidecar) -> None:
+    """While it connects its endpoint starts draining or its window ends; the connection stays usable."""
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
@@ -51,8 +51,8 @@
     assert balancing.AttemptResult.NEVER_SENT in sidecar.balancer.attempt_results()
 
 
-def test_a_long_request_is_broken_off_where_it_may_not_go_on(sidecar: Sidecar) -> None:
-    """A keyed repeat whose last byte waits for a slow reader would come after its window."""
+def test_long_request_is_aborted_when_may_start_turns_false(sidecar: Sidecar) -> None:
+    """A retry with an idempotency key must not deliver its last byte after its window."""
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
@@ -83,10 +83,8 @@
 
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
 @pytest.mark.parametrize("pooled", [True, False], ids=["pooled connection", "new connection"])
-def test_nothing_is_begun_for_a_client_that_left_before_its_request_was_read(
-    how: str, pooled: bool, sidecar: Sidecar
-) -> None:
-    """Its end was looked for at the next poll only: over a pooled connection the request had gone out by then."""
+def test_client_gone_before_request_is_read_gets_no_attempt(how: str, pooled: bool, sidecar: Sidecar) -> None:
+    """The request and the end of its connection are read in one poll."""
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
@@ -115,8 +113,8 @@
     assert not results.count(balancing.AttemptResult.CANCELLED), "it was written before it was cancelled"
 
 
-def test_a_client_that_leaves_while_its_request_waits_to_be_sent_again_is_sent_nothing_for(sidecar: Sidecar) -> None:
-    """Its backoff ends with it."""
+def test_client_leaving_as_attempt_fails_gets_no_retry(sidecar: Sidecar) -> None:
+    """The client and the attempt's connection end in one poll."""
 
     def script() -> None:
         def decide(event: balancing.Event) -> list[balancing.Action]:
@@ -143,8 +141,8 @@
     sidecar.run(script)
 
 
-def test_a_second_answer_some_milliseconds_late_is_nobodys(sidecar: Sidecar) -> None:
-    """Second answers came 0.9 to 3.8 ms after the first; connections were used again after 1 ms."""
+def test_second_response_while_settling_is_discarded(sidecar: Sidecar) -> None:
+    """Second responses were measured 0.9 to 3.8 ms after the first."""
     assert pool.SETTLE_NS >= 5 * NS_PER_MS
 
     def script() -> None:
@@ -168,8 +166,8 @@
         sidecar.run(script)
 
 
-def test_attempts_do_not_queue_behind_a_connection_that_settles(sidecar: Sidecar) -> None:
-    """One attempt may wait for it; where requests come faster, the next takes a connection of its own."""
+def test_second_attempt_opens_connection_while_one_settles(sidecar: Sidecar) -> None:
+    """At most one attempt waits for a settling connection."""
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
@@ -235,7 +233,7 @@
     ],
     ids=["no update", "draining", "removed", "restarted"],
 )
-def test_the_module_says_at_the_last_moment_whether_an_attempt_may_begin(
+def test_may_start_follows_endpoint_updates_until_the_write(
     endpoints: list[balancing.Endpoint], may_start: bool
 ) -> None:
     balancer = real_balancer()
@@ -249,7 +247,7 @@
     assert not balancer.may_start(5, "q", 0)
 
 
-def test_a_keyed_repeat_begins_only_within_its_window() -> None:
+def test_may_start_rejects_keyed_retry_after_its_window() -> None:
     balancer = real_balancer()
     window_ns = CLASSES[1].deduplication_window_ns
     sent_attempt(balancer.handle(1, balancing.Request("q", 1, 0, 8 * NS_PER_S)))
--- a/tests/races/test_closing.py
+++ b/tests/races/test_closing.py
@@ -39,10 +39,8 @@
 
 @pytest.mark.parametrize("body", [60_000, 100_004])
 @pytest.mark.parametrize("draining", [False, True], ids=["connection close", "draining"])
-def test_a_client_that_sends_on_still_gets_all_of_the_answer_that_closes(
-    body: int, draining: bool, sidecar: Sidecar
-) -> None:
-    """Closing over unread bytes resets the connection, and the reset takes along what is still on its way."""
+def test_client_sending_after_last_response_receives_all_of_it(body: int, draining: bool, sidecar: Sidecar) -> None:
+    """Closing a socket with unread bytes sends a reset, which discards what the client has not read."""
 
     def script() -> None:
         client = slow_reader(sidecar, sidecar.listen_with_one_endpoint())
@@ -67,10 +65,8 @@
     sidecar.run(script)
 
 
-def test_a_request_that_comes_as_its_resting_connection_is_closed_is_answered(
-    monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar
-) -> None:
-    """It came between the poll that saw nothing and the closing: the client got a reset."""
+def test_request_arriving_at_idle_timeout_is_answered(monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar) -> None:
+    """It arrives between the poll that times out and the close."""
     monkeypatch.setattr(request_reader, "CLIENT_IDLE_TIMEOUT_NS", 20 * NS_PER_MS)
     waited = Event.wait
     sent: list[int] = []
@@ -104,8 +100,8 @@
     assert sent
 
 
-def test_a_planned_restart_ends_with_every_place_taken() -> None:
-    """The task that accepts, waiting for room, made the one that ends the process miss its last wake-up."""
+def test_shutdown_ends_at_connection_limit() -> None:
+    """The accepting task waits for a free place, and must not use up the wake-up of the shutdown."""
     sidecar = Sidecar(max_clients=1)
 
     def script() -> None:
@@ -125,8 +121,8 @@
     sidecar.run(script)
 
 
-def test_a_connection_of_the_last_sweep_is_given_time_for_its_request() -> None:
-    """Taken from the backlog at the end, its bytes still on the way, it was closed without a word."""
+def test_connection_accepted_last_in_shutdown_may_send_request() -> None:
+    """It is accepted as the listener closes, and its request arrives afterwards."""
     sidecar = Sidecar(max_clients=1)
 
     def script() -> None:
@@ -153,8 +149,8 @@
     sidecar.run(script)
 
 
-def test_a_request_sent_on_a_connection_that_is_being_closed_goes_nowhere(sidecar: Sidecar) -> None:
-    """It came after our end of the connection: its client sends it anew, so it must not run here as well."""
+def test_request_after_connection_close_is_not_forwarded(sidecar: Sidecar) -> None:
+    """Its client retries it on another connection, so that it must not run here as well."""
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
@@ -172,8 +168,8 @@
     assert sum(isinstance(event, balancing.Request) for event in sidecar.balancer.events) == 1
 
 
-def test_a_client_at_fault_has_its_answer_and_its_end_within_three_seconds() -> None:
-    """One that sent on for good was held for 4 s; one too slow for 2.5 s, and then as long as any other."""
+def test_malformed_or_slow_request_is_closed_within_3s() -> None:
+    """The client keeps sending after its 400 or 408."""
     margin = 100 * NS_PER_MS
     assert closing.MAX_LINGER_NS + margin < 3_000 * NS_PER_MS
     assert request_reader.REQUEST_TIMEOUT_NS + closing.SHORT_LINGER_NS + margin < 3_000 * NS_PER_MS
@@ -199,8 +195,8 @@
             sidecar.run(script)
 
 
-def test_a_planned_restart_before_the_first_list_answers_and_ends(tmp_path: Path) -> None:
-    """Told of no server, with a silent discovery: what it takes is refused, and SIGTERM ends it all the same."""
+def test_shutdown_before_first_endpoint_list_answers_503(tmp_path: Path) -> None:
+    """Discovery never answers and no endpoint is cached; SIGTERM still ends the process."""
     player = Player(tmp_path)
     player.known = []
     (tmp_path / "config.json").write_text(json.dumps(player.config()))
@@ -223,8 +219,8 @@
 
 
 @pytest.mark.parametrize("sockets", [64, 100, 256, 1024, 65536])
-def test_descriptors_are_left_for_discovery_whatever_clients_and_servers_open(sockets: int) -> None:
-    """Of 64, 8 were left: the standard three, signals, the listeners, discovery and the file of drains need 9."""
+def test_descriptor_shares_leave_a_reserve(sockets: int) -> None:
+    """The standard streams, signals, listeners, discovery and the drain file need 9 descriptors."""
     max_clients, max_upstream = split_descriptors(sockets)
     assert max_clients + max_clients // 8 + max_upstream <= sockets - 10, (
         "also with what the end of a planned restart takes"
@@ -233,8 +229,8 @@
     assert max_upstream >= 16
 
 
-def test_discovery_is_reached_while_idle_clients_hold_every_client_socket() -> None:
-    """Idle clients fill their share while discovery is down; its descriptor is not theirs."""
+def test_discovery_connects_at_client_connection_limit() -> None:
+    """Idle clients use all of their share while discovery disconnects; its descriptor is reserved."""
     max_clients, _ = split_descriptors(64)
     sidecar = Sidecar(max_clients=max_clients)
 
@@ -264,10 +260,10 @@
 
 
 @pytest.mark.parametrize("how", ["end", "half a line"])
-def test_a_pledge_connection_that_ends_as_it_is_taken_is_no_reason_to_send_again(
+def test_connection_closed_before_write_fails_request_once(
     how: str, monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar
 ) -> None:
-    """The other side ends it between the look at it and the write: the request may have run, so it fails, once."""
+    """The request may have run: it gets a 502 and is not retried."""
     write_request = attempt.write_request
 
     def script() -> None:
@@ -292,10 +288,8 @@
     assert sidecar.balancer.attempt_results() == [balancing.AttemptResult.OK, balancing.AttemptResult.RESET]
 
 
-def test_a_client_that_never_reads_its_answer_does_not_hold_up_the_end(
-    monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar
-) -> None:
-    """An answer that is not taken for a while is given up, at a planned restart too."""
+def test_shutdown_ends_while_client_reads_no_response(monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar) -> None:
+    """A write that stalls is given up after its timeout, also during a graceful shutdown."""
     monkeypatch.setattr(downstream_connection, "WRITE_STALL_TIMEOUT_NS", 50 * NS_PER_MS)
 
     def script() -> None:
--- a/tests/races/test_connection_limit.py
+++ b/tests/races/test_connection_limit.py
@@ -60,8 +60,8 @@
 
 
 @pytest.mark.parametrize("kind", ["silent", "kept"])
-def test_idle_connections_do_not_hold_up_a_crowd_of_new_clients(kind: str) -> None:
-    """However many of them there are, each that makes room does so at once."""
+def test_idle_connections_are_evicted_for_waiting_clients(kind: str) -> None:
+    """All waiting clients are served within ``MAX_EVICTION_DELAY_NS``."""
     sidecar = Sidecar(max_clients=24)
 
     def script() -> None:
@@ -88,8 +88,8 @@
     sidecar.run(script)
 
 
-def test_no_idle_connection_is_evicted_where_nobody_waits() -> None:
-    """At the limit one was closed each 100 ms, whether or not there was anybody to take its place."""
+def test_idle_connections_stay_open_with_empty_backlog() -> None:
+    """The limit on connections is reached, but no client waits."""
     sidecar = Sidecar(max_clients=4)
 
     def script() -> None:
@@ -102,7 +102,7 @@
     sidecar.run(script)
 
 
-def test_a_request_in_progress_is_never_evicted() -> None:
+def test_request_in_progress_is_not_evicted() -> None:
     sidecar = Sidecar(max_clients=4)
 
     def script() -> None:
@@ -128,11 +128,8 @@
 
 
 @pytest.mark.parametrize(("max_clients", "half_count"), [(4, 4), (8, 16)], ids=["one row", "two rows"])
-def test_half_a_request_does_not_keep_a_whole_one_out_for_good(max_clients: int, half_count: int) -> None:
-    """Half-sent requests held their places for 2.5 s, two rows of them for 1 s and 0.3 s behind their 408 each.
-
-    That was longer than a request in the backlog had.
-    """
+def test_incomplete_request_is_evicted_at_connection_limit(max_clients: int, half_count: int) -> None:
+    """It gets a 408 in time for a request in the backlog that has 2 s left."""
     sidecar = Sidecar(max_clients=max_clients)
 
     def script() -> None:
@@ -156,8 +153,8 @@
     sidecar.run(script)
 
 
-def test_a_connection_that_has_just_been_accepted_is_not_evicted_before_its_request_can_come() -> None:
-    """Accepted in one turn of the event loop, it passed for idle in the next, and another took its place."""
+def test_new_connection_is_not_evicted_before_its_first_request() -> None:
+    """It has most of ``NEW_CONNECTION_GRACE_NS`` before it may be evicted as idle."""
     sidecar = Sidecar(max_clients=4)
 
     def script() -> None:
@@ -199,7 +196,7 @@
 
 
 @pytest.mark.parametrize("draining", [False, True], ids=["serving", "draining"])
-def test_accepting_goes_on_after_a_time_without_a_free_descriptor(
+def test_accepting_resumes_after_descriptor_exhaustion(
     draining: bool, monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar
 ) -> None:
     def script() -> None:
@@ -220,10 +217,8 @@
     sidecar.run(script)
 
 
-def test_idle_connections_give_up_their_descriptors_where_none_is_free(
-    monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar
-) -> None:
-    """Below the limit on connections nothing was evicted: whoever waited did so until one had rested for 2 s."""
+def test_idle_connection_is_evicted_without_free_descriptor(monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar) -> None:
+    """Applies below the limit on connections, too."""
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
@@ -245,8 +240,8 @@
     sidecar.run(script)
 
 
-def test_a_crowd_is_answered_while_other_clients_are_slow() -> None:
-    """All kinds at once: idle, half-sent and busy connections hold all places, and a crowd of requests waits."""
+def test_waiting_clients_are_served_among_slow_connections() -> None:
+    """Idle, incomplete and busy connections occupy all places; busy ones are not closed."""
     sidecar = Sidecar(max_clients=12)
 
     def script() -> None:
@@ -282,8 +277,8 @@
     sidecar.run(script)
 
 
-def test_clients_that_do_not_end_after_their_answer_do_not_hold_up_a_crowd() -> None:
-    """Each held its place for 0.3 s after its last answer: forty of them four places for 2.7 s."""
+def test_lingering_connections_are_evicted_for_waiting_clients() -> None:
+    """Clients that do not close after their last response do not delay those in the backlog."""
     sidecar = Sidecar(max_clients=4)
 
     def script() -> None:
--- a/tests/races/test_discovery.py
+++ b/tests/races/test_discovery.py
@@ -27,8 +27,7 @@
     sidecar.endpoint_watcher.watch()
 
 
-def test_the_time_to_a_fresh_list_is_one_sum_with_margin() -> None:
-    """11.5 s to notice a silence, then a pause of up to 8 s, delivered drains after 12 s and more."""
+def test_update_delivery_times_sum_to_the_limit_with_margin() -> None:
     margin = timing.UPDATE_DELIVERY_LIMIT_NS // 12
     assert timing.UPDATE_DELIVERY_LIMIT_NS - margin >= timing.SILENT_WATCH_TO_UPDATE_NS
     assert timing.UPDATE_DELIVERY_LIMIT_NS - margin >= timing.DISCOVERY_RETURN_TO_UPDATE_NS
@@ -49,7 +48,7 @@
 @pytest.mark.parametrize(
     "death", ["silent at once", "silent later", "half an answer", "reset at rest", "end in a call", "cut answer"]
 )
-def test_a_dead_watch_is_called_anew_at_once(death: str, sidecar: Sidecar) -> None:
+def test_failed_watch_is_reconnected_at_once(death: str, sidecar: Sidecar) -> None:
     def script() -> None:
         start_watch(sidecar)
         connection = sidecar.discovery.accept()
@@ -80,7 +79,8 @@
 
 @pytest.mark.usefixtures("short_timeouts")
 @pytest.mark.parametrize("death", ["503", "first answer cut", "no JSON", "silent twice", "refused", "never up"])
-def test_a_failed_call_is_reported_to_the_balancer_which_paces_the_next(death: str, sidecar: Sidecar) -> None:
+def test_failed_call_waits_for_the_balancers_backoff(death: str, sidecar: Sidecar) -> None:
+    """The failure is reported once, and the next call requests changes only."""
     refused = sidecar.discovery.address
 
     def script() -> None:
@@ -113,7 +113,7 @@
     assert [kind for kind, _ in sidecar.balancer.endpoint_updates()].count("failed") == 1
 
 
-def test_the_modules_pauses_stay_within_their_share_of_the_sum() -> None:
+def test_balancer_backoff_is_within_its_limit_and_jittered() -> None:
     settings = balancing.Settings(subscribe_to_endpoints=True, max_poll_interval_ns=timing.MAX_BACKOFF_NS)
     delays_ns = []
     for seed in range(40):
@@ -131,8 +131,8 @@
 
 
 @pytest.mark.usefixtures("short_timeouts")
-def test_a_move_in_the_pause_after_a_failure_polls_the_new_discovery_at_once(sidecar: Sidecar) -> None:
-    """The follower of the old one, waking last, took the wake-up meant for the new one's."""
+def test_move_during_backoff_polls_the_new_discovery_at_once(sidecar: Sidecar) -> None:
+    """A wake-up of the old backoff must not shorten a later one."""
 
     def script() -> None:
         start_watch(sidecar)
@@ -161,7 +161,7 @@
 
 
 @pytest.mark.usefixtures("short_timeouts")
-def test_a_list_that_comes_in_the_instant_of_a_move_counts_for_nothing(sidecar: Sidecar) -> None:
+def test_list_received_during_move_is_discarded(sidecar: Sidecar) -> None:
     def script() -> None:
         start_watch(sidecar)
         connection = sidecar.discovery.accept_request()
@@ -179,8 +179,8 @@
 
 
 @pytest.mark.usefixtures("short_timeouts")
-def test_lower_versions_show_that_discovery_has_restarted(sidecar: Sidecar) -> None:
-    """Its changes would not follow the list at hand: a drain among them has to come with the whole list."""
+def test_lower_version_requests_the_full_list(sidecar: Sidecar) -> None:
+    """Discovery has restarted: its changes do not apply to the current list."""
 
     def script() -> None:
         start_watch(sidecar)
@@ -203,9 +203,7 @@
     ids=["cell", "addr", "started_ms", "state", "id"],
 )
 @pytest.mark.parametrize("full", [True, False], ids=["full list", "changes"])
-def test_one_bad_row_does_not_hide_the_drains_of_others(bad: dict[str, Any], full: bool, sidecar: Sidecar) -> None:
-    """A whole list was dropped for one row: its drains were never heard of."""
-
+def test_malformed_row_does_not_hide_drains_of_other_rows(bad: dict[str, Any], full: bool, sidecar: Sidecar) -> None:
     def script() -> None:
         start_watch(sidecar)
         connection = sidecar.discovery.accept_request()
@@ -235,7 +233,7 @@
     ],
     ids=["no object", "version as text", "servers as number", "no JSON", "no sound row", "version as boolean"],
 )
-def test_a_list_without_one_sound_row_leaves_the_list_at_hand(body: bytes, sidecar: Sidecar) -> None:
+def test_list_without_valid_rows_keeps_the_current_list(body: bytes, sidecar: Sidecar) -> None:
     def script() -> None:
         start_watch(sidecar)
         connection = sidecar.discovery.accept_request()
@@ -253,10 +251,8 @@
 
 
 @pytest.mark.usefixtures("short_timeouts")
-def test_an_update_that_could_not_be_applied_is_requested_again(
-    monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar
-) -> None:
-    """The version counts as applied only when its list has been."""
+def test_update_that_fails_to_apply_is_requested_again(monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar) -> None:
+    """The version counts as applied only once its list is."""
     failing_apply = FailingApply(sidecar)
 
     def script() -> None:
@@ -289,8 +285,8 @@
         self.apply_update(endpoint_list, kind)  # type: ignore[arg-type]
 
 
-def test_servers_whose_cell_or_zone_is_unknown_share_no_group() -> None:
-    """Unknown cells all read 0: a keyed repeat could go where its first try is not known."""
+def test_endpoints_of_unknown_cell_or_zone_share_no_group() -> None:
+    """A keyed retry must not go to an endpoint that may not know its first attempt."""
     rows = [{"id": name, "addr": "127.0.0.1:1", "state": "ready"} for name in ("s-a", "s-b")]
     cells = [row.cell for row in parse_endpoint_list({"version": 1, "servers": rows}, "known").records]
     assert len(set(cells)) == 2
@@ -302,8 +298,7 @@
     assert len({endpoint.zone for endpoint in endpoints}) == 2
 
 
-def test_two_tasks_may_wait_for_one_signal(sidecar: Sidecar) -> None:
-    """Whoever woke first forgot the other, which then slept for good."""
+def test_event_wakes_second_waiter_after_first_timed_out(sidecar: Sidecar) -> None:
     event = Event(sidecar.loop)
     reasons: list[WakeReason] = []
 
--- a/tests/races/test_discovery_answers.py
+++ b/tests/races/test_discovery_answers.py
@@ -28,8 +28,8 @@
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
 
 
-def test_a_list_that_came_twice_does_not_hold_up_the_next(sidecar: Sidecar) -> None:
-    """The second copy was taken as the answer to the next call, whose own answer lay unread until more came."""
+def test_duplicate_list_does_not_delay_the_next_call(sidecar: Sidecar) -> None:
+    """The second copy must not pass for the response to the next call."""
 
     def script() -> None:
         connection = start_watch(sidecar)
@@ -43,8 +43,8 @@
     sidecar.run(script)
 
 
-def test_a_list_that_comes_between_two_calls_answers_neither(monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar) -> None:
-    """An unchanged list is followed by a pause; what comes in it was taken as the answer to the next call."""
+def test_list_received_between_calls_is_discarded(monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar) -> None:
+    """It arrives in the pause that follows an unchanged list."""
     monkeypatch.setattr(timing, "EMPTY_RESPONSE_PAUSE_NS", MAX_WAIT_NS)
     loop_sleep = sidecar.loop.sleep
 
@@ -69,8 +69,8 @@
     assert sidecar.endpoint_watcher._client.version == 2
 
 
-def test_an_endless_list_ends_with_the_time_of_its_call(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each wait for more was over before its timer was looked at: no list came any more."""
+def test_endless_list_is_aborted_at_call_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Bytes are always readable, so that no wait ever times out."""
     monkeypatch.setattr(timing, "WATCH_HOLD_MS", 100)
     monkeypatch.setattr(timing, "RESPONSE_TIMEOUT_NS", 100 * NS_PER_MS)
     sidecar = Sidecar()
--- a/tests/races/test_half_close.py
+++ b/tests/races/test_half_close.py
@@ -77,8 +77,8 @@
 
 
 @pytest.mark.parametrize("kept", [0, 1], ids=["new connection", "kept connection"])
-def test_nothing_begins_for_a_request_with_a_half_close_right_behind_it(kept: int, sidecar: Sidecar) -> None:
-    """Read together, they ended the connection without an answer."""
+def test_half_close_read_with_request_answers_503(kept: int, sidecar: Sidecar) -> None:
+    """The request is not forwarded."""
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
@@ -93,8 +93,8 @@
     sidecar.run(script)
 
 
-def test_a_half_close_while_the_balancer_decides_begins_nothing(sidecar: Sidecar) -> None:
-    """It comes in the turn of the event loop in which the attempt would write."""
+def test_half_close_during_decision_answers_503(sidecar: Sidecar) -> None:
+    """It arrives in the turn of the event loop in which the attempt would be written."""
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
@@ -121,7 +121,7 @@
     sidecar.run(script)
 
 
-def test_a_half_close_while_the_request_waits_for_its_first_attempt_begins_nothing(sidecar: Sidecar) -> None:
+def test_half_close_before_first_attempt_answers_503(sidecar: Sidecar) -> None:
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
         sidecar.balancer.decide = lambda _: []
@@ -138,9 +138,7 @@
 
 
 @pytest.mark.parametrize("kept", [0, 1], ids=["new connection", "kept connection"])
-def test_a_half_close_behind_an_attempt_cancels_it_and_is_told_so(kept: int, sidecar: Sidecar) -> None:
-    """The attempt was cancelled, and the connection ended without an answer."""
-
+def test_half_close_during_attempt_cancels_it_and_answers_502(kept: int, sidecar: Sidecar) -> None:
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
         connections = keep_connections(sidecar, address, kept)
@@ -163,10 +161,10 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
-def test_a_client_that_leaves_behind_its_first_answer_has_its_second_request_not_forwarded(
+def test_client_leaving_after_response_drops_second_request(
     how: str, monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar
 ) -> None:
-    """Both were read together; it leaves right behind the write of the first answer."""
+    """Both requests were read together; it leaves as the first response is written."""
     write = DownstreamConnection.write
     left: list[bytes] = []
 
@@ -198,9 +196,7 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
-def test_a_client_that_leaves_before_its_first_answer_has_its_second_request_not_forwarded(
-    how: str, sidecar: Sidecar
-) -> None:
+def test_client_leaving_before_response_drops_second_request(how: str, sidecar: Sidecar) -> None:
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
         connections = keep_connections(sidecar, address, 2)
--- a/tests/races/test_pipelines.py
+++ b/tests/races/test_pipelines.py
@@ -32,8 +32,8 @@
 
 @pytest.mark.parametrize("reason", ["draining", "many connections"])
 @pytest.mark.parametrize("count", [2, 5])
-def test_requests_read_together_are_all_answered_before_the_sidecar_closes(reason: str, count: int) -> None:
-    """The first response closed the connection, and those behind it were dropped."""
+def test_pipelined_requests_are_answered_before_close(reason: str, count: int) -> None:
+    """Only the last response says ``Connection: close``."""
     sidecar = Sidecar(max_clients=3 if reason == "many connections" else 64)
     sidecar.keep_running_after_shutdown()
 
@@ -56,8 +56,8 @@
     sidecar.run(script)
 
 
-def test_the_rest_of_a_request_is_read_where_its_beginning_was(sidecar: Sidecar) -> None:
-    """Its beginning came with the request before: only what is not read at all may be left to the close."""
+def test_partly_read_pipelined_request_is_completed_in_drain(sidecar: Sidecar) -> None:
+    """Only a request of which nothing was read may be left unanswered by the close."""
     sidecar.keep_running_after_shutdown()
 
     def script() -> None:
@@ -78,8 +78,8 @@
     sidecar.run(script)
 
 
-def test_sound_requests_before_and_behind_one_at_fault_are_answered(sidecar: Sidecar) -> None:
-    """A request of an unknown class is whole: what lies behind it can be told from it."""
+def test_requests_around_one_of_unknown_class_are_answered(sidecar: Sidecar) -> None:
+    """Its end is known, so that the next request can be parsed."""
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
@@ -92,8 +92,8 @@
     sidecar.run(script)
 
 
-def test_a_sound_request_before_a_malformed_one_is_answered(sidecar: Sidecar) -> None:
-    """What lies behind the malformed one cannot be told apart: the connection ends with its 400."""
+def test_request_before_a_malformed_one_is_answered(sidecar: Sidecar) -> None:
+    """Nothing after the malformed request can be parsed: the connection ends with its 400."""
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
@@ -146,9 +146,7 @@
 
 @pytest.mark.parametrize("framing", LONG_RESPONSES)
 @pytest.mark.parametrize("together", [True, False], ids=["read together", "sent later"])
-def test_a_connection_carries_on_behind_a_streamed_response(framing: str, together: bool, sidecar: Sidecar) -> None:
-    """Each streamed response ended its connection, and the requests that had been read behind it were dropped."""
-
+def test_connection_is_reused_after_streamed_response(framing: str, together: bool, sidecar: Sidecar) -> None:
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         second = request("read/2", "r2")
@@ -164,8 +162,8 @@
     sidecar.run(script)
 
 
-def test_a_cut_stream_takes_no_request_behind_it_along(sidecar: Sidecar) -> None:
-    """Passed on in part, it could only end in a reset of the connection: so it is held back, and fails by itself."""
+def test_truncated_response_fails_alone_with_request_behind_it(sidecar: Sidecar) -> None:
+    """The response is buffered while another request waits, so that no reset is needed."""
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
@@ -180,8 +178,8 @@
     sidecar.run(script)
 
 
-def test_a_cut_body_without_length_is_told_from_a_whole_one(sidecar: Sidecar) -> None:
-    """Its end was that of the connection: where a process is killed the kernel ends it in the ordinary way."""
+def test_body_without_length_is_forwarded_in_chunks(sidecar: Sidecar) -> None:
+    """The client can tell a truncated body: it lacks the last chunk until the endpoint closes."""
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
@@ -197,8 +195,8 @@
     sidecar.run(script)
 
 
-def test_a_request_has_no_more_time_than_those_that_were_read_behind_it(sidecar: Sidecar) -> None:
-    """The second had 0.3 s, and its answer waits for the first one's: 5 s later, if the endpoint is silent."""
+def test_deadline_is_shortened_by_request_read_with_it(sidecar: Sidecar) -> None:
+    """The second request has 0.3 s and cannot be answered before the first."""
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
@@ -214,8 +212,7 @@
 
 
 @pytest.mark.parametrize("max_clients", [64, 1], ids=["few connections", "many connections"])
-def test_a_request_has_no_more_time_than_those_that_come_behind_it_later(max_clients: int) -> None:
-    """Unread, nothing was known of their time: they were answered when the first one's was over."""
+def test_deadline_is_shortened_by_request_arriving_later(max_clients: int) -> None:
     sidecar = Sidecar(max_clients=max_clients)
 
     def script() -> None:
@@ -233,8 +230,8 @@
     sidecar.run(script)
 
 
-def test_an_endless_stream_with_a_request_behind_it_fails_by_itself(sidecar: Sidecar) -> None:
-    """Passed on from 1 MiB on, it ended in a reset with the request behind it."""
+def test_endless_response_fails_alone_with_request_behind_it(sidecar: Sidecar) -> None:
+    """It is buffered up to the limit and never streamed."""
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
@@ -268,8 +265,8 @@
 
 
 @pytest.mark.parametrize("reason", ["draining", "unknown class"])
-def test_a_request_that_comes_behind_the_last_response_is_not_read(reason: str, sidecar: Sidecar) -> None:
-    """Read and thrown away, it was lost; unread, its client knows that it was never taken."""
+def test_request_after_last_response_is_not_read(reason: str, sidecar: Sidecar) -> None:
+    """Unread bytes tell the client that its request was not processed."""
     sidecar.keep_running_after_shutdown()
 
     def script() -> None:
--- a/tests/races/test_pool.py
+++ b/tests/races/test_pool.py
@@ -62,13 +62,10 @@
 
 
 @pytest.mark.parametrize("close", CLOSES.values(), ids=CLOSES)
-def test_a_descriptor_number_that_another_connection_has_by_now_is_left_alone(
+def test_reused_descriptor_keeps_its_new_owner(
     close: Callable[[Sidecar], None], sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An attempt that waited went on with the list as it was: it took a closed connection and its number's new owner.
-
-    That owner never woke again: a request without an answer.
-    """
+    """The pool closes a settling connection, and its neighbour's descriptor number is reused at once."""
     monkeypatch.setattr(pool, "SETTLE_NS", LONG_SETTLE_NS)
     woken: list[WakeReason] = []
     ends: list[AttemptResponse] = []
@@ -97,10 +94,9 @@
 
 
 @pytest.mark.parametrize("close", CLOSES.values(), ids=CLOSES)
-def test_a_connection_closed_by_name_is_counted_once(
+def test_connection_closed_while_settling_is_counted_once(
     close: Callable[[Sidecar], None], sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The closed connections of the old list were closed, and counted down, once more: the limit held no longer."""
     monkeypatch.setattr(pool, "SETTLE_NS", LONG_SETTLE_NS)
     ends: list[AttemptResponse] = []
 
@@ -124,10 +120,9 @@
 
 
 @pytest.mark.parametrize("wait", ["settling", "connecting"])
-def test_no_request_goes_to_where_its_endpoint_was(
+def test_endpoint_moved_during_wait_gets_request_at_new_address(
     wait: str, sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It moved while the attempt waited: the request went to whoever is at the old address by now."""
     ends: list[AttemptResponse] = []
 
     def script() -> None:
@@ -152,7 +147,7 @@
 
 
 @pytest.mark.parametrize("wait", ["settling", "connecting"])
-def test_no_request_goes_to_an_endpoint_that_was_removed_during_a_wait(
+def test_endpoint_removed_during_wait_gets_no_request(
     wait: str, sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     ends: list[AttemptResponse] = []
@@ -176,10 +171,8 @@
     assert sidecar.upstream.open_connections == 0
 
 
-def test_a_connection_that_settles_counts_as_idle_where_those_are_closed(
-    sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """The balancer closes them so that the next attempt is sent on a fresh one."""
+def test_closing_idle_connections_closes_a_settling_one(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The balancer closes idle connections so that the next attempt uses a new one."""
     ends: list[AttemptResponse] = []
 
     def script() -> None:
@@ -196,8 +189,7 @@
 
 
 @pytest.mark.parametrize("failing", ["may_proceed", "claim_stream"])
-def test_an_attempt_that_fails_by_a_fault_of_ours_leaks_no_connection(failing: str, sidecar: Sidecar) -> None:
-    """Its connection stayed open and counted for good: after some of these no attempt found a descriptor."""
+def test_exception_in_attempt_callback_leaks_no_connection(failing: str, sidecar: Sidecar) -> None:
     failed: list[str] = []
     ends: list[AttemptResponse] = []
 
@@ -234,10 +226,8 @@
     assert sidecar.upstream.open_connections == 1
 
 
-def test_a_connection_is_not_used_past_its_idle_timeout_after_a_wait_that_lasted(
-    sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """The process was stopped as it waited for the connection: by now the other side is closing it."""
+def test_connection_expired_while_settling_is_not_used(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The process is stopped while it waits for the connection, and the endpoint closes it meanwhile."""
     sidecar.limits.idle_timeout_ns = 2 * NS_PER_S
     stop_for = stoppable_clock(sidecar, monkeypatch)
     ends: list[AttemptResponse] = []
@@ -254,7 +244,7 @@
     sidecar.run(script)
 
 
-def test_a_connection_on_which_bytes_came_during_an_interrupted_wait_is_not_pooled(
+def test_bytes_during_interrupted_settling_close_the_connection(
     sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(pool, "SETTLE_NS", LONG_SETTLE_NS)
@@ -284,8 +274,8 @@
     assert sidecar.upstream.open_connections == 0
 
 
-def test_an_idle_connection_that_ends_as_the_pool_is_changed_is_closed_once(sidecar: Sidecar) -> None:
-    """Its end and the change come in one poll, in either order."""
+def test_idle_connection_ended_by_both_sides_is_closed_once(sidecar: Sidecar) -> None:
+    """The peer's end and the pool's own close are handled in one poll, in either order."""
 
     def script() -> None:
         first, second = idle_peers(sidecar, 2)
@@ -299,10 +289,9 @@
 
 
 @pytest.mark.parametrize("change", [move, CLOSES["endpoint removed"]], ids=["moved", "removed"])
-def test_what_an_endpoint_answers_from_where_it_was_counts_and_its_connection_is_not_kept(
+def test_response_from_old_address_counts_but_is_not_pooled(
     change: Callable[[Sidecar], None], sidecar: Sidecar
 ) -> None:
-    """A guard: it held before."""
     ends: list[AttemptResponse] = []
 
     def script() -> None:
@@ -319,10 +308,8 @@
     assert sidecar.upstream.open_connections == 0
 
 
-def test_at_the_limit_the_longest_idle_connection_gives_way_and_not_one_that_is_waited_for(
-    sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """A guard: it held before."""
+def test_settling_connection_is_not_evicted_at_pool_limit(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The longest idle connection is evicted instead; without one the attempt gets no descriptor."""
     monkeypatch.setattr(pool, "SETTLE_NS", LONG_SETTLE_NS)
     sidecar.limits.max_connections = 2
     other_endpoint = ENDPOINT + 1
@@ -352,8 +339,8 @@
     sidecar.run(script)
 
 
-def test_a_connection_to_itself_is_a_refused_one(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Nobody listens, and our end was given the very port: the kernel connects it to itself, and it echoes requests."""
+def test_self_connection_counts_as_refused(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> None:
+    """With no listener and an equal local port, the kernel connects a socket to itself."""
     address = sidecar.server.address
     ends: list[AttemptResponse] = []
 
--- a/tests/races/test_pool_random.py
+++ b/tests/races/test_pool_random.py
@@ -124,7 +124,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_every_answer_is_its_own_and_every_connection_is_counted(seed: int, sidecar: Sidecar) -> None:
+def test_random_attempts_keep_responses_and_counts_consistent(seed: int, sidecar: Sidecar) -> None:
     draws = random.Random(seed)
     sidecar.limits.max_connections = MAX_CONNECTIONS
     servers = [sidecar.server, sidecar.discovery, sidecar.second_discovery]
--- a/tests/races/test_request_writing.py
+++ b/tests/races/test_request_writing.py
@@ -52,10 +52,10 @@
             return received
 
 
-def test_the_time_told_is_what_is_left_as_it_goes_out(
+def test_forwarded_time_left_is_that_at_the_write(
     sidecar: Sidecar, begun: list[bool], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It was fixed before the first byte: after a wait in the head the endpoint was told too much."""
+    """The wait is within the head, before the header is written."""
     stop_for = make_stoppable_clock(sidecar, monkeypatch)
     ends: list[AttemptResponse] = []
     told: list[str] = []
@@ -78,10 +78,10 @@
 
 
 @pytest.mark.parametrize("message", [LONG_HEAD, LONG_BODY], ids=["in the head", "in the body"])
-def test_nothing_is_written_after_the_deadline(
+def test_write_stops_at_deadline(
     message: Message, sidecar: Sidecar, begun: list[bool], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The process was stopped in the wait, and the endpoint had read: the rest went out after the deadline."""
+    """The process is stopped while it waits to write, and the endpoint has read meanwhile."""
     stop_for = make_stoppable_clock(sidecar, monkeypatch)
     ends: list[AttemptResponse] = []
     peers: list[PeerConnection] = []
@@ -106,10 +106,10 @@
 
 
 @pytest.mark.parametrize("buffer_bytes", [4096, 4 * 1024 * 1024], ids=["partly written", "written whole"])
-def test_what_waits_to_go_out_as_an_attempt_ends_stays_here(
+def test_cancelled_attempt_discards_its_send_buffer(
     buffer_bytes: int, sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The kernel sent it after the close: a server that began to read later got the request and could run it."""
+    """The kernel must not deliver the request to an endpoint that reads later."""
     write_request = attempt.write_request
     connections: list[UpstreamConnection] = []
     written: list[bool] = []
--- a/tests/races/test_shutdown.py
+++ b/tests/races/test_shutdown.py
@@ -89,8 +89,8 @@
 # ---------------------------------------------------------------- all that was taken is answered
 
 
-def test_a_backlog_longer_than_the_free_places_is_answered_whole() -> None:
-    """What could not be accepted within 0.1 s of the end was reset by the close of the listener."""
+def test_long_backlog_is_answered_during_shutdown() -> None:
+    """The backlog is five times the connection limit."""
     sidecar = DrainingSidecar(max_clients=8)
 
     def script() -> None:
@@ -122,8 +122,8 @@
     sidecar.run(script)
 
 
-def test_a_new_connection_whose_first_byte_comes_late_is_answered() -> None:
-    """It had 0.1 s, and was then closed without an answer."""
+def test_late_first_byte_on_new_connection_is_answered() -> None:
+    """Its request arrives 0.4 s after the listener has closed."""
     sidecar = DrainingSidecar()
 
     def script() -> None:
@@ -142,8 +142,8 @@
     sidecar.run(script)
 
 
-def test_half_a_request_whose_rest_comes_late_is_answered() -> None:
-    """Its rest had 0.5 s from the end of the accepting time, and got a 408 then."""
+def test_late_rest_of_request_is_answered() -> None:
+    """Its rest arrives 1 s after the listener has closed."""
     sidecar = DrainingSidecar()
 
     def script() -> None:
@@ -164,8 +164,7 @@
     sidecar.run(script)
 
 
-def test_pipelined_requests_of_a_kept_connection_are_answered_in_order() -> None:
-    """Read together, the first was answered with the end of the connection, and the second lost."""
+def test_pipelined_requests_are_answered_in_order_when_draining() -> None:
     sidecar = DrainingSidecar()
 
     def script() -> None:
@@ -191,7 +190,7 @@
 # ---------------------------------------------------------------- kept connections at the end
 
 
-def test_kept_connections_are_closed_at_once_at_the_end_of_the_accepting_time() -> None:
+def test_idle_connections_are_closed_when_accepting_ends() -> None:
     sidecar = DrainingSidecar()
 
     def script() -> None:
@@ -209,10 +208,10 @@
     sidecar.run(script)
 
 
-def test_a_request_that_comes_before_the_last_look_at_its_kept_connection_is_answered(
+def test_request_before_last_read_of_connection_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The connection has been told to close, and its task has not looked for the last time."""
+    """The connection is marked for closing, and its task has not read for the last time."""
     sidecar = DrainingSidecar()
     waited = Event.wait
     sent: list[int] = []
@@ -239,7 +238,7 @@
     assert sent
 
 
-def test_a_request_that_comes_after_the_last_look_at_its_kept_connection_is_not_read(
+def test_request_after_last_read_of_connection_is_not_read(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Not read, it is no request that was taken: its client sees a reset, and sends it anew.  Answered is as good."""
@@ -280,8 +279,7 @@
 # ---------------------------------------------------------------- the end comes
 
 
-def test_the_end_comes_whatever_clients_do() -> None:
-    """One that read nothing of a long answer held the end up for 5 s."""
+def test_shutdown_ends_in_time_whatever_clients_do() -> None:
     sidecar = DrainingSidecar()
     names: dict[tuple[str, int], str] = {}
 
@@ -325,8 +323,8 @@
     sidecar.run(script)
 
 
-def test_a_request_that_becomes_whole_late_is_answered_before_the_end() -> None:
-    """With 10 s of its own and a silent endpoint, its answer and the end of the process waited for all of them."""
+def test_request_completed_late_is_answered_in_shutdown() -> None:
+    """The endpoint never responds, and the request has more time left than the shutdown."""
     sidecar = DrainingSidecar()
 
     def script() -> None:
--- a/tests/races/test_shutdown_process.py
+++ b/tests/races/test_shutdown_process.py
@@ -103,8 +103,7 @@
     assert os.WIFSTOPPED(status)
 
 
-def test_term_and_hup_together_answer_all_and_end(player: Player) -> None:
-    """Both wait for the process, which handles them in one turn of its event loop."""
+def test_sigterm_and_sighup_in_one_poll_answer_all_requests(player: Player) -> None:
     player.do_serve()
     send_request(player, "c1")
     player.link("d1").recv(4096)
@@ -123,8 +122,8 @@
 
 
 @pytest.mark.usefixtures("endpoint")
-def test_a_process_that_is_stopped_in_its_shutdown_answers_what_was_there(player: Player) -> None:
-    """It wakes with its timers overdue: they must not act before the bytes that were there are read."""
+def test_process_stopped_during_shutdown_answers_requests(player: Player) -> None:
+    """Its timers are overdue when it continues: they must not run before the arrived bytes are read."""
     player.do_serve()
     for who in ("kept1", "kept2"):
         send_request(player, who)
@@ -151,7 +150,7 @@
 
 
 @pytest.mark.usefixtures("endpoint")
-def test_a_process_with_kept_connections_ends_in_time(player: Player) -> None:
+def test_process_with_idle_connections_ends_in_time(player: Player) -> None:
     player.do_serve()
     for who in ("kept1", "kept2"):
         send_request(player, who)
--- a/tests/races/test_wrong_answers.py
+++ b/tests/races/test_wrong_answers.py
@@ -25,8 +25,8 @@
     return sidecar_with_endpoint()
 
 
-def test_bytes_that_come_between_the_look_and_the_first_byte_are_no_answer(sidecar: Sidecar) -> None:
-    """A second response came as the balancer was asked for the last time: it was served to the next request."""
+def test_bytes_before_first_write_are_not_the_response(sidecar: Sidecar) -> None:
+    """They arrive as ``may_proceed`` is called for the last time."""
     ends: list[AttemptResponse] = []
 
     def script() -> None:
@@ -60,10 +60,10 @@
 
 
 @pytest.mark.parametrize("greet", GREETINGS.values(), ids=GREETINGS)
-def test_a_new_connection_that_answers_or_ends_before_its_request_is_not_used(
+def test_new_connection_with_bytes_or_end_is_not_used(
     greet: Callable[[PeerConnection], None], sidecar: Sidecar
 ) -> None:
-    """The greeting was served as the answer; an end cost a request that must not run twice its further attempts."""
+    """The attempt ends as not sent, so that a request that must not run twice may be retried."""
     ends: list[AttemptResponse] = []
     peers: list[PeerConnection] = []
 
@@ -83,10 +83,10 @@
 
 
 @pytest.mark.parametrize("then", ["stays", "closes", "ends its side"])
-def test_a_response_before_the_request_is_whole_serves_nobody_and_may_have_run(
+def test_response_before_end_of_request_is_malformed(
     then: str, sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It was waited out to the deadline, or taken as a proof that the request never ran."""
+    """The attempt may have run, and does not wait for its deadline."""
     ends: list[AttemptResponse] = []
     peers: list[PeerConnection] = []
 
@@ -114,10 +114,8 @@
     assert sidecar.upstream.open_connections == 0
 
 
-def test_an_endless_response_ends_with_the_time_of_its_attempt(
-    sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """Each wait for its next bytes was over before its timer was looked at: the attempt had no end."""
+def test_endless_response_is_aborted_at_deadline(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Bytes are always readable, so that no wait ever times out."""
     monkeypatch.setattr("tests.races.pool_harness.ATTEMPT_TIMEOUT_NS", 200 * NS_PER_MS)
     ends: list[AttemptResponse] = []
 
@@ -147,8 +145,7 @@
 @pytest.mark.parametrize("status", [b"200", b"503"], ids=["200", "503"])
 @pytest.mark.parametrize("response", RESPONSES.values(), ids=RESPONSES)
 @pytest.mark.parametrize("how", ["close", "reset"])
-def test_a_response_cut_at_any_byte_is_none(how: str, response: bytes, status: bytes, sidecar: Sidecar) -> None:
-    """A guard: it held before."""
+def test_response_truncated_at_any_byte_is_reset(how: str, response: bytes, status: bytes, sidecar: Sidecar) -> None:
     response %= status
     ends: list[AttemptResponse] = []
 
@@ -166,8 +163,7 @@
 
 
 @pytest.mark.parametrize("status", [b"200", b"503"], ids=["200", "503"])
-def test_a_body_until_the_end_is_whole_at_an_end_and_not_at_a_reset(status: bytes, sidecar: Sidecar) -> None:
-    """A guard: it held before."""
+def test_body_until_close_is_complete_at_close_but_not_at_reset(status: bytes, sidecar: Sidecar) -> None:
     ends: list[AttemptResponse] = []
 
     def script() -> None:
@@ -185,8 +181,8 @@
     assert sidecar.upstream.open_connections == 0
 
 
-def test_a_connection_whose_attempt_was_cancelled_is_not_pooled(sidecar: Sidecar) -> None:
-    """A guard: its response is under way and would be the next request's."""
+def test_connection_of_cancelled_attempt_is_not_pooled(sidecar: Sidecar) -> None:
+    """Its response has arrived and would pass for that of the next request."""
     ends: list[AttemptResponse] = []
 
     def script() -> None:
@@ -202,8 +198,7 @@
 
 
 @pytest.mark.parametrize("behind", [STALE, b"x", b"HTTP/1.1 100 Continue\r\n\r\n"], ids=["response", "byte", "interim"])
-def test_a_connection_with_bytes_behind_its_response_is_not_pooled(behind: bytes, sidecar: Sidecar) -> None:
-    """A guard: it held before."""
+def test_connection_with_bytes_after_response_is_not_pooled(behind: bytes, sidecar: Sidecar) -> None:
     ends: list[AttemptResponse] = []
 
     def script() -> None:
