--- a/tests/races/test_connection_limit.py
+++ b/tests/races/test_connection_limit.py
@@ -1,6 +1,6 @@
-"""As many clients as may be are connected: who waits in the backlog is accepted in time, and nobody pays for it unduly.
+"""The limit on client connections: waiting clients are accepted in time, and no request in progress is evicted.
 
-What holds is said by what clients see; no limit on time of the code is named here.
+The tests check what clients observe; they use no time limit of the code.
 """
 
 from __future__ import annotations
@@ -12,25 +12,26 @@
 import pytest
 
 from lugtally.address import Address
+from lugtally.eventloop import READABLE
 from lugtally.units import NS_PER_MS, NS_PER_S
 from tests.races.fakes import PeerConnection, Sidecar, request
 
-HALF_A_REQUEST = b"GET /read HTTP/1.1\r\nHost: s\r\n"
+INCOMPLETE_REQUEST = b"GET /read HTTP/1.1\r\nHost: s\r\n"
 MAX_EVICTION_DELAY_NS = NS_PER_S
-"""How long a whole crowd of new clients may wait where idle connections hold all places."""
-FRESH_NS = 100 * NS_PER_MS
-"""How long a connection that has just been accepted is given for its first byte."""
+"""How long clients may wait in the backlog while idle connections occupy all places."""
+NEW_CONNECTION_GRACE_NS = 100 * NS_PER_MS
+"""How long a new connection has for its first byte before it may be evicted."""
 
 
 def respond_to_each(connection: PeerConnection) -> None:
-    """Answer the requests of one of the endpoint's connections until it ends."""
+    """Respond to the requests on one upstream connection until it ends."""
     while b"\r\n\r\n" in connection.received or connection.read_more():
         connection.read_head()
         connection.respond()
 
 
 def respond_to_all(sidecar: Sidecar) -> None:
-    """Let the one endpoint answer every request on every connection that it accepts from now on."""
+    """Let the endpoint respond to each request on each connection that it accepts from now on."""
 
     def accept() -> None:
         while not sidecar.stopped:
@@ -40,26 +41,47 @@
 
 
 def connect(sidecar: Sidecar, address: Address, count: int) -> list[PeerConnection]:
-    """Connect clients that say nothing yet."""
+    """Connect clients, which send nothing."""
     return [sidecar.client(address) for _ in range(count)]
 
 
-def hold_requests(sidecar: Sidecar, clients: list[PeerConnection], prefix: str) -> list[PeerConnection]:
-    """Have each client's request reach the endpoint, which does not answer; return its connections in that order."""
-    held = []
+def send_requests(clients: list[PeerConnection], id_prefix: str) -> None:
+    """Send one request from each client."""
     for number, client in enumerate(clients):
-        client.send(request("read", f"{prefix}{number}"))
-        connection = sidecar.server.accept_request()
-        held.append(connection)
-    return held
+        client.send(request("read", f"{id_prefix}{number}"))
 
 
-def has_news(sidecar: Sidecar, client: PeerConnection) -> bool:
-    """Whether the client has got bytes, an end or a reset."""
-    return sidecar.loop.is_ready(client.sock.fileno(), 1)
+def start_requests(sidecar: Sidecar, clients: list[PeerConnection]) -> list[PeerConnection]:
+    """Send one request from each client to the endpoint, which does not respond; return the upstream connections."""
+    upstream_connections = []
+    for number, client in enumerate(clients):
+        client.send(request("read", f"busy{number}"))
+        upstream_connections.append(sidecar.server.accept_request())
+    return upstream_connections
+
+
+def assert_new_clients_are_served(
+    sidecar: Sidecar, address: Address, count: int, *, within_ns: int, time_left_s: float = 5.0
+) -> None:
+    """Connect clients that send one request each; fail unless all of them receive a 200 in time."""
+    started_ns = sidecar.loop.now()
+    clients = connect(sidecar, address, count)
+    for number, client in enumerate(clients):
+        client.send(request("read", f"new{number}", time_left_s=time_left_s))
+    for client in clients:
+        assert client.read().startswith(b"HTTP/1.1 200")
+    waited_ns = sidecar.loop.now() - started_ns
+    assert waited_ns < within_ns, f"the new clients waited for {waited_ns / NS_PER_MS:.0f} ms"
+    for client in clients:
+        client.sock.close()
+
 
+def has_input(sidecar: Sidecar, client: PeerConnection) -> bool:
+    """Whether the client has received bytes, an end or a reset."""
+    return sidecar.loop.is_ready(client.sock.fileno(), READABLE)
 
-@pytest.mark.parametrize("kind", ["silent", "kept"])
+
+@pytest.mark.parametrize("kind", ["unused", "reused"])
 def test_idle_connections_are_evicted_for_waiting_clients(kind: str) -> None:
     """All waiting clients are served within ``MAX_EVICTION_DELAY_NS``."""
     sidecar = Sidecar(max_clients=24)
@@ -67,22 +89,15 @@
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
         respond_to_all(sidecar)
-        kept = connect(sidecar, address, 12 if kind == "kept" else 0)  # more would not be kept after their answers
-        for number, client in enumerate(kept):
-            client.send(request("read", f"kept{number}"))
+        served = connect(sidecar, address, 12 if kind == "reused" else 0)  # with more, each response closes
+        send_requests(served, "first")
+        for client in served:
             assert client.read().startswith(b"HTTP/1.1 200")
-        silent = connect(sidecar, address, 24 - len(kept))
+        unused = connect(sidecar, address, 24 - len(served))
         sidecar.wait_until(lambda: sidecar.downstream.open >= 23)
-        sidecar.loop.sleep(2 * FRESH_NS)
-        began_ns = sidecar.loop.now()
-        crowd = connect(sidecar, address, 20)
-        for number, client in enumerate(crowd):
-            client.send(request("read", f"new{number}"))
-        for client in crowd:
-            assert client.read().startswith(b"HTTP/1.1 200")
-        waited_ns = sidecar.loop.now() - began_ns
-        assert waited_ns < MAX_EVICTION_DELAY_NS, f"the crowd waited for {waited_ns / NS_PER_MS:.0f} ms"
-        for client in [*kept, *silent]:
+        sidecar.loop.sleep(2 * NEW_CONNECTION_GRACE_NS)
+        assert_new_clients_are_served(sidecar, address, 20, within_ns=MAX_EVICTION_DELAY_NS)
+        for client in [*served, *unused]:
             client.sock.close()
 
     sidecar.run(script)
@@ -95,8 +110,8 @@
     def script() -> None:
         idle = connect(sidecar, sidecar.listen_with_one_endpoint(), 4)
         sidecar.wait_until(lambda: sidecar.downstream.open == 4)
-        sidecar.loop.sleep(5 * FRESH_NS)
-        evicted = sum(has_news(sidecar, client) for client in idle)
+        sidecar.loop.sleep(5 * NEW_CONNECTION_GRACE_NS)
+        evicted = sum(has_input(sidecar, client) for client in idle)
         assert evicted == 0, f"{evicted} of 4 were evicted"
 
     sidecar.run(script)
@@ -108,46 +123,42 @@
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
         busy = connect(sidecar, address, 4)
-        held = hold_requests(sidecar, busy, "busy")
-        crowd = connect(sidecar, address, 8)
-        for number, client in enumerate(crowd):
-            client.send(request("read", f"new{number}"))
-        sidecar.loop.sleep(5 * FRESH_NS)
+        upstream_connections = start_requests(sidecar, busy)
+        waiting = connect(sidecar, address, 8)
+        send_requests(waiting, "new")
+        sidecar.loop.sleep(5 * NEW_CONNECTION_GRACE_NS)
         respond_to_all(sidecar)
-        for client, connection in zip(busy, held, strict=True):
-            assert not has_news(sidecar, client), "a connection with a request in progress was closed"
-            connection.respond(b"held")
-            assert client.read().endswith(b"\r\n\r\nheld")
+        for client, connection in zip(busy, upstream_connections, strict=True):
+            assert not has_input(sidecar, client), "a connection with a request in progress was closed"
+            connection.respond(b"busy")
+            assert client.read().endswith(b"\r\n\r\nbusy")
             client.sock.close()
             sidecar.loop.spawn(respond_to_each, connection)
-        for client in crowd:
+        for client in waiting:
             assert client.read().startswith(b"HTTP/1.1 200")
             client.sock.close()
 
     sidecar.run(script)
 
 
-@pytest.mark.parametrize(("max_clients", "half_count"), [(4, 4), (8, 16)], ids=["one row", "two rows"])
-def test_incomplete_request_is_evicted_at_connection_limit(max_clients: int, half_count: int) -> None:
+@pytest.mark.parametrize(
+    ("max_clients", "incomplete_count"), [(4, 4), (8, 16)], ids=["all accepted", "half in backlog"]
+)
+def test_incomplete_request_is_evicted_at_connection_limit(max_clients: int, incomplete_count: int) -> None:
     """It gets a 408 in time for a request in the backlog that has 2 s left."""
     sidecar = Sidecar(max_clients=max_clients)
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
         respond_to_all(sidecar)
-        halves = connect(sidecar, address, half_count)
-        for client in halves:
-            client.send(HALF_A_REQUEST)
+        incomplete = connect(sidecar, address, incomplete_count)
+        for client in incomplete:
+            client.send(INCOMPLETE_REQUEST)
         sidecar.wait_until(lambda: sidecar.downstream.open == max_clients)
-        began_ns = sidecar.loop.now()
-        late = sidecar.client(address)
-        late.send(request("read", time_left_s=2.0))
-        assert late.read().startswith(b"HTTP/1.1 200")
-        waited_ns = sidecar.loop.now() - began_ns
-        assert waited_ns < 2 * NS_PER_S, f"it was answered after {waited_ns / NS_PER_MS:.0f} ms"
-        closed = [client for client in halves if has_news(sidecar, client)]
-        assert closed, "its place was nobody's"
-        for client in closed:
+        assert_new_clients_are_served(sidecar, address, 1, within_ns=2 * NS_PER_S, time_left_s=2.0)
+        evicted = [client for client in incomplete if has_input(sidecar, client)]
+        assert evicted, "no incomplete request was evicted"
+        for client in evicted:
             assert client.read_to_end().startswith(b"HTTP/1.1 408")
 
     sidecar.run(script)
@@ -160,28 +171,27 @@
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
         busy = connect(sidecar, address, 2)
-        hold_requests(sidecar, busy, "busy")
-        fresh_until_ns = sidecar.loop.now() + FRESH_NS * 8 // 10
-        fresh = sidecar.client(address)
+        start_requests(sidecar, busy)
+        first_request_ns = sidecar.loop.now() + NEW_CONNECTION_GRACE_NS * 8 // 10
+        new = sidecar.client(address)
         sidecar.wait_until(lambda: sidecar.downstream.open == 3)
         sidecar.loop.sleep(NS_PER_MS)  # its task has found nothing to read
-        second = sidecar.client(address)  # the last place is taken
-        crowd = connect(sidecar, address, 8)
-        for number, client in enumerate(crowd):
-            client.send(request("read", f"new{number}"))
-        sidecar.loop.sleep(fresh_until_ns - sidecar.loop.now())
-        assert not has_news(sidecar, fresh), "it was evicted"
+        last = sidecar.client(address)  # occupies the last place
+        waiting = connect(sidecar, address, 8)
+        send_requests(waiting, "waiting")
+        sidecar.loop.sleep(first_request_ns - sidecar.loop.now())
+        assert not has_input(sidecar, new), "it was evicted"
         respond_to_all(sidecar)
-        fresh.send(request("read", "fresh"))
-        assert fresh.read().startswith(b"HTTP/1.1 200")
-        for client in [*busy, second, *crowd]:
+        new.send(request("read", "new"))
+        assert new.read().startswith(b"HTTP/1.1 200")
+        for client in [*busy, last, *waiting]:
             client.sock.close()
 
     sidecar.run(script)
 
 
 def fail_accepts(monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar, fails: Callable[[], bool]) -> list[int]:
-    """Let accepting on the sidecar's listener find no free descriptor where ``fails`` says so; return its errors."""
+    """Fail accepting on the sidecar's listener with EMFILE while ``fails()``; return the list of failures."""
     accept = socket.socket.accept
     failures: list[int] = []
 
@@ -206,8 +216,7 @@
         if draining:
             sidecar.downstream.drain()
         clients = connect(sidecar, address, 3)
-        for number, client in enumerate(clients):
-            client.send(request("read", f"new{number}"))
+        send_requests(clients, "new")
         for client in clients:
             assert client.read().startswith(b"HTTP/1.1 200")
             client.sock.close()
@@ -225,15 +234,10 @@
         respond_to_all(sidecar)
         idle = connect(sidecar, address, 4)
         sidecar.wait_until(lambda: sidecar.downstream.open == 4)
-        sidecar.loop.sleep(2 * FRESH_NS)
+        sidecar.loop.sleep(2 * NEW_CONNECTION_GRACE_NS)
         failures = fail_accepts(monkeypatch, sidecar, lambda: sidecar.downstream.open >= 4)
-        began_ns = sidecar.loop.now()
-        late = sidecar.client(address)
-        late.send(request("read"))
-        assert late.read().startswith(b"HTTP/1.1 200")
-        waited_ns = sidecar.loop.now() - began_ns
+        assert_new_clients_are_served(sidecar, address, 1, within_ns=MAX_EVICTION_DELAY_NS)
         assert failures
-        assert waited_ns < MAX_EVICTION_DELAY_NS, f"it waited for {waited_ns / NS_PER_MS:.0f} ms"
         for client in idle:
             client.sock.close()
 
@@ -247,31 +251,23 @@
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
         busy = connect(sidecar, address, 4)
-        held = hold_requests(sidecar, busy, "busy")
-        halves = connect(sidecar, address, 4)
-        for client in halves:
-            client.send(HALF_A_REQUEST)
-        silent = connect(sidecar, address, 4)
+        upstream_connections = start_requests(sidecar, busy)
+        incomplete = connect(sidecar, address, 4)
+        for client in incomplete:
+            client.send(INCOMPLETE_REQUEST)
+        unused = connect(sidecar, address, 4)
         sidecar.wait_until(lambda: sidecar.downstream.open == 12)
-        sidecar.loop.sleep(2 * FRESH_NS)
+        sidecar.loop.sleep(2 * NEW_CONNECTION_GRACE_NS)
         respond_to_all(sidecar)
-        began_ns = sidecar.loop.now()
-        crowd = connect(sidecar, address, 20)
-        for number, client in enumerate(crowd):
-            client.send(request("read", f"new{number}", time_left_s=2.0))
-        for client in crowd:
-            assert client.read().startswith(b"HTTP/1.1 200")
-            client.sock.close()
-        waited_ns = sidecar.loop.now() - began_ns
-        assert waited_ns < 2 * NS_PER_S, f"the crowd waited for {waited_ns / NS_PER_MS:.0f} ms"
-        for client, connection in zip(busy, held, strict=True):
-            assert not has_news(sidecar, client), "a connection with a request in progress was closed"
-            connection.respond(b"held")
-            assert client.read().endswith(b"\r\n\r\nheld")
-        for client in halves:
-            if has_news(sidecar, client):
+        assert_new_clients_are_served(sidecar, address, 20, within_ns=2 * NS_PER_S, time_left_s=2.0)
+        for client, connection in zip(busy, upstream_connections, strict=True):
+            assert not has_input(sidecar, client), "a connection with a request in progress was closed"
+            connection.respond(b"busy")
+            assert client.read().endswith(b"\r\n\r\nbusy")
+        for client in incomplete:
+            if has_input(sidecar, client):
                 assert client.read().startswith(b"HTTP/1.1 408")
-        for client in silent:
+        for client in unused:
             client.sock.close()
 
     sidecar.run(script)
@@ -284,15 +280,6 @@
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
         respond_to_all(sidecar)
-        began_ns = sidecar.loop.now()
-        crowd = connect(sidecar, address, 40)
-        for number, client in enumerate(crowd):
-            client.send(request("read", f"new{number}"))
-        for client in crowd:
-            assert client.read().startswith(b"HTTP/1.1 200")
-        waited_ns = sidecar.loop.now() - began_ns
-        assert waited_ns < MAX_EVICTION_DELAY_NS, f"the crowd waited for {waited_ns / NS_PER_MS:.0f} ms"
-        for client in crowd:
-            client.sock.close()
+        assert_new_clients_are_served(sidecar, address, 40, within_ns=MAX_EVICTION_DELAY_NS)
 
     sidecar.run(script)
