--- a/tests/races/test_half_close.py
+++ b/tests/races/test_half_close.py
@@ -1,7 +1,7 @@
-"""Clients that end their sending behind a request, or leave between two: what begins for them, and what they read.
+"""Clients that half-close behind a request, or leave between two: what is forwarded for them, and what they receive.
 
-A client that ended its sending cannot be told from one that has left, so that nothing begins for it any more; but it
-may still read, so that it gets its final answer.
+A half-close cannot be told from a close, so that no attempt starts after it; the client may still read, and receives a
+final response.
 """
 
 from __future__ import annotations
@@ -18,33 +18,33 @@
 from tests.races.fakes import ENDPOINT_A, MAX_WAIT_NS, PeerConnection, Sidecar, disconnect, request
 
 SETTLED_NS = 20 * NS_PER_MS
-"""After which a kept connection is used again without a wait."""
-AFTERWARDS_NS = 100 * NS_PER_MS
-"""How long to look on for an attempt that must not begin."""
+"""How long after its response an idle connection can be reused without a wait."""
+OBSERVATION_NS = 100 * NS_PER_MS
+"""How long to wait for a request that must not be forwarded."""
 
 
-def read_whole(client: PeerConnection) -> bytes:
-    """Read to the end of the connection, which must be orderly: a reset is raised."""
+def read_to_close(client: PeerConnection) -> bytes:
+    """Read until the connection is closed; raises ``ConnectionResetError`` at a reset."""
     received = b""
     while True:
         reason = client.loop.wait(client.sock.fileno(), READABLE, client.loop.now() + MAX_WAIT_NS)
-        assert reason is WakeReason.READY, f"it does not end after {received!r}"
+        assert reason is WakeReason.READY, f"not closed after {received!r}"
         data = client.sock.recv(65536)
         if not data:
             return received
         received += data
 
 
-def assert_one_answer(received: bytes, status: int) -> None:
-    """Fail unless just this is there: one whole answer, which says that it is the last."""
+def assert_is_last_response(received: bytes, status: int) -> None:
+    """Fail unless ``received`` is one complete response that closes its connection."""
     head, _, body = received.partition(b"\r\n\r\n")
     assert head.startswith(b"HTTP/1.1 %d " % status), received
     assert b"Connection: close" in head, received
     assert b"Content-Length: %d" % len(body) in head, received
 
 
-def keep_connections(sidecar: Sidecar, address: Address, count: int) -> list[PeerConnection]:
-    """Have that many upstream connections kept, settled, from requests of clients that have gone."""
+def open_idle_connections(sidecar: Sidecar, address: Address, count: int) -> list[PeerConnection]:
+    """Leave that many idle upstream connections, which have settled, by requests of clients that disconnect."""
     clients = [sidecar.client(address) for _ in range(count)]
     connections = []
     for number, client in enumerate(clients):
@@ -60,9 +60,9 @@
     return connections
 
 
-def paths_sent(sidecar: Sidecar, connections: list[PeerConnection]) -> list[str]:
-    """Look on for a while; return the paths of requests on these upstream connections and on new ones."""
-    sidecar.loop.sleep(AFTERWARDS_NS)
+def forwarded_paths(sidecar: Sidecar, connections: list[PeerConnection]) -> list[str]:
+    """Wait for a while; return the paths of requests on these upstream connections and on new ones."""
+    sidecar.loop.sleep(OBSERVATION_NS)
     while sidecar.loop.is_ready(sidecar.server.sock.fileno(), READABLE):
         connections = [*connections, sidecar.server.accept()]
     paths = []
@@ -73,21 +73,25 @@
     return paths
 
 
-# ---------------------------------------------------------------- half-closed
+def wait_until_peer_closed(sidecar: Sidecar, accepted: DownstreamConnection) -> None:
+    """Block the event loop until the kernel reports that the client's side is closed."""
+    give_up_ns = sidecar.loop.now() + NS_PER_S
+    while not sidecar.loop.is_ready(accepted.fd, PEER_CLOSED):
+        assert sidecar.loop.now() < give_up_ns
 
 
-@pytest.mark.parametrize("kept", [0, 1], ids=["new connection", "kept connection"])
-def test_half_close_read_with_request_answers_503(kept: int, sidecar: Sidecar) -> None:
+@pytest.mark.parametrize("idle_count", [0, 1], ids=["new connection", "idle connection"])
+def test_half_close_read_with_request_answers_503(idle_count: int, sidecar: Sidecar) -> None:
     """The request is not forwarded."""
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
-        connections = keep_connections(sidecar, address, kept)
+        connections = open_idle_connections(sidecar, address, idle_count)
         client = sidecar.client(address)
         client.send(request("read"))
-        client.sock.shutdown(socket.SHUT_WR)  # both lie there as the connection is accepted
-        assert_one_answer(read_whole(client), 503)
-        assert paths_sent(sidecar, connections) == []
+        client.sock.shutdown(socket.SHUT_WR)  # both are readable when the connection is accepted
+        assert_is_last_response(read_to_close(client), 503)
+        assert forwarded_paths(sidecar, connections) == []
         client.sock.close()
 
     sidecar.run(script)
@@ -98,24 +102,22 @@
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
-        connections = keep_connections(sidecar, address, 1)
+        connections = open_idle_connections(sidecar, address, 1)
         client = sidecar.client(address)
         sidecar.wait_until(lambda: sidecar.downstream.open == 1)
         accepted = next(iter(sidecar.downstream._open))
 
-        def end_and_send(event: balancing.Event) -> list[balancing.Action]:
+        def half_close_and_send(event: balancing.Event) -> list[balancing.Action]:
             if not isinstance(event, balancing.Request):
                 return []
             client.sock.shutdown(socket.SHUT_WR)
-            give_up_ns = sidecar.loop.now() + NS_PER_S
-            while not sidecar.loop.is_ready(accepted.fd, PEER_CLOSED):  # the kernel hands the end over
-                assert sidecar.loop.now() < give_up_ns
+            wait_until_peer_closed(sidecar, accepted)
             return [balancing.SendAttempt(event.id, ENDPOINT_A, event.time_left_ns)]
 
-        sidecar.balancer.decide = end_and_send
+        sidecar.balancer.decide = half_close_and_send
         client.send(request("read"))
-        assert_one_answer(read_whole(client), 503)
-        assert paths_sent(sidecar, connections) == []
+        assert_is_last_response(read_to_close(client), 503)
+        assert forwarded_paths(sidecar, connections) == []
         client.sock.close()
 
     sidecar.run(script)
@@ -129,35 +131,32 @@
         client.send(request("read"))
         sidecar.wait_until(lambda: sidecar.dispatcher.in_progress == 1)
         client.sock.shutdown(socket.SHUT_WR)
-        assert_one_answer(read_whole(client), 503)
-        assert paths_sent(sidecar, []) == []
+        assert_is_last_response(read_to_close(client), 503)
+        assert forwarded_paths(sidecar, []) == []
         assert sidecar.dispatcher.in_progress == 0
         client.sock.close()
 
     sidecar.run(script)
 
 
-@pytest.mark.parametrize("kept", [0, 1], ids=["new connection", "kept connection"])
-def test_half_close_during_attempt_cancels_it_and_answers_502(kept: int, sidecar: Sidecar) -> None:
+@pytest.mark.parametrize("idle_count", [0, 1], ids=["new connection", "idle connection"])
+def test_half_close_during_attempt_cancels_it_and_answers_502(idle_count: int, sidecar: Sidecar) -> None:
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
-        connections = keep_connections(sidecar, address, kept)
+        connections = open_idle_connections(sidecar, address, idle_count)
         client = sidecar.client(address)
         client.send(request("read"))
         connection = connections[0] if connections else sidecar.server.accept()
         connection.read_head()
         client.sock.shutdown(socket.SHUT_WR)
         assert connection.read_to_end() == b"", "the attempt went on"
-        assert_one_answer(read_whole(client), 502)
-        assert paths_sent(sidecar, []) == []
+        assert_is_last_response(read_to_close(client), 502)
+        assert forwarded_paths(sidecar, []) == []
         client.sock.close()
         sidecar.wait_until(lambda: sidecar.downstream.open == 0)
 
     sidecar.run(script)
-    assert sidecar.balancer.attempt_results()[kept:] == [balancing.AttemptResult.CANCELLED]
-
-
-# ---------------------------------------------------------------- between two requests
+    assert sidecar.balancer.attempt_results()[idle_count:] == [balancing.AttemptResult.CANCELLED]
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
@@ -166,40 +165,38 @@
 ) -> None:
     """Both requests were read together; it leaves as the first response is written."""
     write = DownstreamConnection.write
-    left: list[bytes] = []
+    received: list[bytes] = []
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
-        connections = keep_connections(sidecar, address, 2)  # the second request need not wait for one
+        connections = open_idle_connections(sidecar, address, 2)  # the second request has one without a wait
         client = sidecar.client(address)
         client.send(request("read/one", "r1") + request("read/two", "r2"))
-        connection = connections[1]  # the one used last
+        connection = connections[1]  # the one used most recently
         assert connection.read_head().startswith("GET /read/one ")
 
-        def write_and_leave(accepted: DownstreamConnection, data: bytes) -> bool:
+        def write_and_disconnect(accepted: DownstreamConnection, data: bytes) -> bool:
             written = write(accepted, data)
-            if not left:
-                left.append(client.sock.recv(65536))
+            if not received:
+                received.append(client.sock.recv(65536))
                 disconnect(client.sock, how)
-                give_up_ns = sidecar.loop.now() + NS_PER_S
-                while not sidecar.loop.is_ready(accepted.fd, PEER_CLOSED):  # the kernel hands the end over
-                    assert sidecar.loop.now() < give_up_ns
+                wait_until_peer_closed(sidecar, accepted)
             return written
 
-        monkeypatch.setattr(DownstreamConnection, "write", write_and_leave)
+        monkeypatch.setattr(DownstreamConnection, "write", write_and_disconnect)
         connection.respond()
-        sidecar.wait_until(lambda: bool(left) and sidecar.downstream.open == 0)
-        assert paths_sent(sidecar, connections) == []
+        sidecar.wait_until(lambda: bool(received) and sidecar.downstream.open == 0)
+        assert forwarded_paths(sidecar, connections) == []
 
     sidecar.run(script)
-    assert left[0].startswith(b"HTTP/1.1 200")
+    assert received[0].startswith(b"HTTP/1.1 200")
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
 def test_client_leaving_before_response_drops_second_request(how: str, sidecar: Sidecar) -> None:
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
-        connections = keep_connections(sidecar, address, 2)
+        connections = open_idle_connections(sidecar, address, 2)
         client = sidecar.client(address)
         client.send(request("read/one", "r1") + request("read/two", "r2"))
         connection = connections[1]
@@ -207,6 +204,6 @@
         disconnect(client.sock, how)
         assert connection.read_to_end() == b"", "the first attempt went on"
         sidecar.wait_until(lambda: sidecar.downstream.open == 0)
-        assert paths_sent(sidecar, [connections[0]]) == []
+        assert forwarded_paths(sidecar, [connections[0]]) == []
 
     sidecar.run(script)
--- a/tests/races/test_pipelines.py
+++ b/tests/races/test_pipelines.py
@@ -1,4 +1,4 @@
-"""Requests that were read together with others: each is answered, in order, before its connection ends."""
+"""Pipelined requests: each is answered, in order, before the connection is closed."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 def statuses(received: bytes) -> list[str]:
-    """Return the status of each response, in order; bodies hold no status lines."""
-    return [part.split(b" ", 2)[1].decode() for part in received.split(b"HTTP/1.1")[1:] if part.startswith(b" ")]
+    """Return the status of each response, in order; no body contains a status line."""
+    return [line.split(b" ", 2)[1].decode() for line in received.split(b"HTTP/1.1")[1:] if line.startswith(b" ")]
 
 
 def respond_to(sidecar: Sidecar, connection: PeerConnection | None, count: int) -> PeerConnection:
-    """Answer that many requests at the endpoint, each with its own target as the body."""
+    """Respond to that many requests at the endpoint, each with its target as the body."""
     for _ in range(count):
         if connection is None or not connection.read_more():
             connection = sidecar.server.accept()
@@ -116,7 +116,7 @@
 
 
 def read_responses(client: PeerConnection, count: int) -> list[tuple[int, bytes]]:
-    """Read that many whole responses; return status and body of each."""
+    """Read that many responses; return the status and body of each."""
     parser = MessageParser(responses=True, max_body_bytes=10 * len(LONG_BODY))
     responses: list[tuple[int, bytes]] = []
     message = None
@@ -128,12 +128,12 @@
         if message is not None:
             responses.append((message.status, message.body))
             message = parser.feed(b"")
-    assert parser.is_idle, "bytes behind the last response"
+    assert parser.is_idle, "bytes after the last response"
     return responses
 
 
-def respond_long(connection: PeerConnection, framing: str) -> None:
-    """Write a response that is longer than those that are held whole, and close."""
+def send_long_response(connection: PeerConnection, framing: str) -> None:
+    """Write a response that is too long to be buffered, and close."""
     connection.read_head()
     data = memoryview(b"HTTP/1.1 200 OK\r\n" + LONG_RESPONSES[framing])
     while data:
@@ -145,19 +145,19 @@
 
 
 @pytest.mark.parametrize("framing", LONG_RESPONSES)
-@pytest.mark.parametrize("together", [True, False], ids=["read together", "sent later"])
-def test_connection_is_reused_after_streamed_response(framing: str, together: bool, sidecar: Sidecar) -> None:
+@pytest.mark.parametrize("pipelined", [True, False], ids=["pipelined", "sent later"])
+def test_connection_is_reused_after_streamed_response(framing: str, pipelined: bool, sidecar: Sidecar) -> None:
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         second = request("read/2", "r2")
-        client.send(request("read/1", "r1") + (second if together else b""))
-        respond_long(sidecar.server.accept(), framing)
-        if not together:
+        client.send(request("read/1", "r1") + (second if pipelined else b""))
+        send_long_response(sidecar.server.accept(), framing)
+        if not pipelined:
             assert read_responses(client, 1) == [(200, LONG_BODY)]
             client.send(second)
         respond_to(sidecar, None, 1)
         expected = [(200, LONG_BODY), (200, b"/read/2")]
-        assert read_responses(client, 2 if together else 1) == expected[0 if together else 1 :]
+        assert read_responses(client, 2 if pipelined else 1) == expected[0 if pipelined else 1 :]
 
     sidecar.run(script)
 
@@ -201,11 +201,11 @@
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         second = request("read/2", "r2", time_left_s=0.3)
-        began_ns = sidecar.loop.now()
+        started_ns = sidecar.loop.now()
         client.send(request("read/1", "r1") + second)
         connection = sidecar.server.accept_request()
         assert [status for status, _ in read_responses(client, 2)] == [502, 503]
-        assert sidecar.loop.now() - began_ns < 800 * NS_PER_MS
+        assert sidecar.loop.now() - started_ns < 800 * NS_PER_MS
         assert connection.read_to_end() == b""
 
     sidecar.run(script)
@@ -219,12 +219,12 @@
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         client.send(request("read/1", "r1"))
         connection = sidecar.server.accept_request()
-        began_ns = sidecar.loop.now()
+        started_ns = sidecar.loop.now()
         for number in (2, 3):
             client.send(request(f"read/{number}", f"r{number}", time_left_s=0.3))
             sidecar.loop.sleep(20 * NS_PER_MS)
         assert [status for status, _ in read_responses(client, 3)] == [502, 503, 503]
-        assert sidecar.loop.now() - began_ns < 800 * NS_PER_MS
+        assert sidecar.loop.now() - started_ns < 800 * NS_PER_MS
         assert connection.read_to_end() == b""
 
     sidecar.run(script)
@@ -238,7 +238,7 @@
         client.send(request("read/1", "r1") + request("read/2", "r2"))
         connection = sidecar.server.accept_request()
         connection.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        with contextlib.suppress(ConnectionError):  # it is closed in the end
+        with contextlib.suppress(ConnectionError):  # the sidecar closes it in the end
             while sidecar.loop.wait(connection.sock.fileno(), WRITABLE) is WakeReason.READY:
                 connection.sock.send(b"2000\r\n" + bytes(0x2000) + b"\r\n")
         respond_to(sidecar, None, 1)
