--- a/tests/races/conftest.py
+++ b/tests/races/conftest.py
@@ -9,5 +9,5 @@
 
 @pytest.fixture
 def sidecar() -> Sidecar:
-    """A sidecar round a scripted balancer, with one fake server of each kind."""
+    """A sidecar with a scripted balancer and a fake server of each kind."""
     return Sidecar()
--- /dev/null
+++ b/tests/races/discovery_harness.py
@@ -0,0 +1,31 @@
+"""Set-up of the races of discovery: a watch that starts with a cached list of version 1."""
+
+from __future__ import annotations
+
+from lugtally.config.endpoint_list import parse_endpoint_list
+from tests.races.fakes import PeerConnection, Sidecar
+
+
+def start_watch(sidecar: Sidecar) -> None:
+    """Start with a cached list of version 1 and let the balancer request one watch; it never requests another."""
+    cached = {"version": 1, "full": True, "servers": [sidecar.endpoint_row("s-a"), sidecar.endpoint_row("s-b")]}
+    sidecar.endpoint_watcher.start(parse_endpoint_list(cached, "known"))
+    sidecar.endpoint_watcher.watch()
+
+
+def start_first_call(sidecar: Sidecar) -> PeerConnection:
+    """Start a watch; return the connection of its first call, which has been read."""
+    start_watch(sidecar)
+    connection = sidecar.discovery.accept()
+    assert "from=1&" in connection.read_head()
+    return connection
+
+
+def wait_for_failed_call(sidecar: Sidecar) -> None:
+    """Wait until the balancer has been informed of a failed call."""
+    sidecar.wait_until(lambda: sidecar.balancer.endpoint_updates()[-1][0] == "failed")
+
+
+def update_kinds(sidecar: Sidecar) -> list[str]:
+    """Return the kind of each update that the balancer received."""
+    return [kind for kind, _ in sidecar.balancer.endpoint_updates()]
--- a/tests/races/fakes.py
+++ b/tests/races/fakes.py
@@ -1,7 +1,7 @@
-"""Fake peers of a sidecar, run by tasks of its own event loop: an event is delayed until the test releases it.
+"""Fake clients, endpoints and discovery servers, run as tasks of the sidecar's own event loop.
 
-A test is one task, ``script``, and relies on no duration: it waits for each event that must come, and fails where
-one does not come within ``MAX_WAIT_NS``.
+A test is one task, ``script``, which sends events in the order that it checks.  It waits for each expected event, and
+fails if one does not arrive within ``MAX_WAIT_NS``.
 """
 
 from __future__ import annotations
@@ -60,7 +60,7 @@
 
 
 class ScriptedBalancer:
-    """Stands in for the balancer: records each event and returns the actions that ``decide`` gives for it."""
+    """Records each event and returns the actions that ``decide`` gives for it."""
 
     def __init__(self) -> None:
         self.events: list[balancing.Event] = []
@@ -88,7 +88,7 @@
         return [event.result for event in self.events if isinstance(event, balancing.AttemptFinished)]
 
     def client_disconnects(self) -> list[str]:
-        """Ids of the requests whose clients left."""
+        """Ids of the requests whose clients disconnected."""
         return [event.request_id for event in self.events if isinstance(event, balancing.ClientDisconnected)]
 
 
@@ -101,9 +101,9 @@
         self.received = b""
 
     def read(self) -> bytes:
-        """Wait for bytes; none where the connection has ended, even by a reset."""
+        """Wait for bytes; return none if the connection was closed or reset."""
         assert self.loop.wait(self.sock.fileno(), READABLE, self.loop.now() + MAX_WAIT_NS) is WakeReason.READY, (
-            "nothing came"
+            "no bytes arrived"
         )
         try:
             return self.sock.recv(65536)
@@ -111,7 +111,7 @@
             return b""
 
     def read_more(self) -> bool:
-        """Wait for more; false where the connection has ended instead."""
+        """Wait for more bytes; return false if the connection has ended instead."""
         data = self.read()
         self.received += data
         return bool(data)
@@ -124,7 +124,7 @@
         return head.partition(b"\r\n")[0].decode()
 
     def read_until(self, is_enough: Callable[[bytes], bool]) -> bytes:
-        """Read until what has come is enough; fail where the connection ends before."""
+        """Read until ``is_enough`` holds of the bytes received; fail if the connection ends before."""
         received = self.received
         while not is_enough(received):
             data = self.read()
@@ -144,11 +144,11 @@
         self.sock.sendall(data)
 
     def respond(self, body: bytes = b"ok", status: str = "200 OK") -> None:
-        """Write a whole response."""
+        """Write a complete response."""
         self.send(b"HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n" % (status.encode(), len(body)) + body)
 
     def send_endpoint_list(self, version: int, full: bool, *rows: dict[str, Any]) -> None:
-        """Respond as discovery does, indented."""
+        """Respond with an endpoint list, indented as discovery does."""
         self.respond(ujson.dumps({"version": version, "full": full, "servers": rows}, indent=2).encode())
 
 
@@ -168,7 +168,7 @@
     def accept(self) -> PeerConnection:
         """Wait for the next connection."""
         assert self.loop.wait(self.sock.fileno(), READABLE, self.loop.now() + MAX_WAIT_NS) is WakeReason.READY, (
-            "nobody came"
+            "no connection arrived"
         )
         return PeerConnection(self.loop, self.sock.accept()[0])
 
@@ -179,7 +179,7 @@
         return connection
 
     def is_idle(self) -> bool:
-        """Whether no connection waits, as far as the kernel knows by now."""
+        """Whether the backlog is empty; closes a connection that waits there."""
         try:
             self.sock.accept()[0].close()
         except BlockingIOError:
@@ -188,7 +188,7 @@
 
 
 class Sidecar:
-    """The network code round a scripted balancer (or the real one), with fake servers of each kind."""
+    """The network code with a scripted balancer (or the real one) and a fake server of each kind."""
 
     def __init__(self, balancer: Any = None, *, max_clients: int = 64) -> None:
         self.loop = EventLoop()
@@ -207,7 +207,7 @@
         self.stopped = self.has_shut_down = False
 
     def endpoint_row(self, name: str, state: str = "ready", **fields: Any) -> dict[str, Any]:
-        """One row of an endpoint list; each has the address of the one upstream server."""
+        """One row of an endpoint list, with the address of the fake endpoint."""
         host, port = self.server.address
         return {"id": name, "addr": f"{host}:{port}", "zone": "a", "cell": 1, "state": state, "started_ms": 0, **fields}
 
@@ -235,7 +235,7 @@
         self.loop.stop = stop_with_script  # type: ignore[method-assign]
 
     def listen_with_one_endpoint(self) -> Address:
-        """Accept clients, with one endpoint listed and each request sent there."""
+        """Accept clients, with one endpoint listed and each request forwarded there."""
         self.balancer.decide = send_each_request_to(ENDPOINT_A)
         endpoints = {"version": 1, "full": True, "servers": [self.endpoint_row("s-a")]}
         self.endpoint_watcher.start(parse_endpoint_list(endpoints, "known"))
@@ -246,14 +246,14 @@
         return PeerConnection(self.loop, socket.create_connection(address))
 
     def wait_until(self, done: Callable[[], bool]) -> None:
-        """Let the other tasks run until ``done`` holds."""
+        """Let the other tasks run until ``done()`` is true."""
         deadline_ns = self.loop.now() + MAX_WAIT_NS
         while not done():
-            assert self.loop.now() < deadline_ns, "it never came to that"
+            assert self.loop.now() < deadline_ns, "the condition never held"
             self.loop.sleep(NS_PER_MS)
 
     def run(self, script: Callable[[], None]) -> None:
-        """Run the script as a task until it ends; the loop may stop before, where the sidecar ends itself."""
+        """Run the script as a task until it ends; a sidecar that shuts down stops the loop before."""
         failed: list[BaseException] = []
 
         def body() -> None:
@@ -271,7 +271,7 @@
             server.sock.close()
         if failed:
             raise failed[0]
-        assert self.stopped, "the loop stopped before the script was over"
+        assert self.stopped, "the loop stopped before the script ended"
 
 
 def request(
--- a/tests/races/pool_harness.py
+++ b/tests/races/pool_harness.py
@@ -1,4 +1,4 @@
-"""Attempts made by a pool alone, and changes forced to come while one of them waits."""
+"""Attempts of an upstream pool without a dispatcher, and changes that are forced while an attempt waits."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 def start_attempt(
     sidecar: Sidecar, ends: list[AttemptResponse], message: Message | None = None, **options: Any
 ) -> Task:
-    """Start an attempt in a task of its own; its end is added to ``ends``."""
+    """Start an attempt as a task; its response is appended to ``ends``."""
 
     def run() -> None:
         deadline_ns = sidecar.loop.now() + ATTEMPT_TIMEOUT_NS
@@ -39,7 +39,7 @@
 
 
 def idle_peers(sidecar: Sidecar, count: int) -> list[PeerConnection]:
-    """Fill the pool with idle connections; return their other ends, the longest idle first."""
+    """Open idle connections in the pool; return the endpoint's ends, the longest idle first."""
     ends: list[AttemptResponse] = []
     peers = []
     for _ in range(count):
@@ -53,7 +53,7 @@
 
 
 def change_at_wait(sidecar: Sidecar, patch: pytest.MonkeyPatch, is_due: Callable[[int], bool], change: Change) -> None:
-    """Let ``change`` happen as the next wait begins whose poll events are due."""
+    """Call ``change`` at the start of the first wait for whose poll events ``is_due`` holds."""
     loop_wait = sidecar.loop.wait
     changed: list[bool] = []
 
@@ -67,12 +67,12 @@
 
 
 def change_as_it_settles(sidecar: Sidecar, patch: pytest.MonkeyPatch, change: Change) -> None:
-    """Let ``change`` happen as an attempt begins to wait until its connection may be used."""
+    """Call ``change`` when an attempt starts to wait until its connection has settled."""
     change_at_wait(sidecar, patch, lambda _: ENDPOINT in sidecar.upstream._settling, change)
 
 
 def stoppable_clock(sidecar: Sidecar, patch: pytest.MonkeyPatch) -> Callable[[int], None]:
-    """Return a function that lets the clock jump on, as for a process that was stopped for that long."""
+    """Return a function that advances the clock, as if the process had been stopped for that long."""
     now = sidecar.loop.now
     stopped_ns: list[int] = []
     patch.setattr(sidecar.loop, "now", lambda: now() + sum(stopped_ns))
--- a/tests/races/processes.py
+++ b/tests/races/processes.py
@@ -1,4 +1,4 @@
-"""A real sidecar process before one stand-in endpoint, for faults that only a process can meet: signals and stops."""
+"""A real sidecar process with one fake endpoint, for tests of signals."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class SidecarProcess:
-    """``lugtally serve`` with one endpoint, which the test answers for; discovery never answers."""
+    """``lugtally serve`` with one endpoint, for which the test responds; discovery never responds."""
 
     def __init__(self, folder: Path) -> None:
         self._endpoint = listener()
@@ -61,16 +61,16 @@
         self._clients.append(client)
         return client
 
-    def answer_next(self, body: bytes = b"ok") -> None:
-        """Wait for the next request at the endpoint and answer it."""
+    def respond_to_next(self, body: bytes = b"ok") -> None:
+        """Wait for the next request at the endpoint and respond to it."""
         connection = self.next_request()
         connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
 
     def next_request(self) -> socket.socket:
-        """Wait until a request is whole at the endpoint; return its connection."""
+        """Wait until the endpoint has received a request; return its connection."""
         while True:
             ready, _, _ = select.select([self._endpoint, *self._endpoint_connections], [], [], MAX_WAIT_S)
-            assert ready, "no request came"
+            assert ready, "no request arrived"
             if self._endpoint in ready:
                 self._endpoint_connections.append(self._endpoint.accept()[0])
                 continue
--- a/tests/races/test_arrival.py
+++ b/tests/races/test_arrival.py
@@ -174,7 +174,7 @@
         client = sidecar.connect()
         if kept:
             client.sendall(request("campaign-read", "first"))
-            sidecar.answer_next()
+            sidecar.respond_to_next()
             assert client.recv(65536).startswith(b"HTTP/1.1 200")
         time.sleep(0.3)  # the process waits in its poll
         sidecar.process.send_signal(signal.SIGSTOP)
--- a/tests/races/test_discovery.py
+++ b/tests/races/test_discovery.py
@@ -1,12 +1,13 @@
-"""Crossings round discovery: a watch that dies in any way, a move, lists that are not what they should be.
+"""Races of the endpoint watcher: failed watches, a move to another discovery server, and malformed lists.
 
-A change is due 6 s after discovery had it and could be reached.  Where the next call must come at once, the balancer
-in these tests never requests another; where a backoff is due, the real balancer's is measured without a socket.
+A change must arrive 6 s after discovery has it and can be reached.  The balancer in these tests never requests a second
+call, so that one that follows at once is the watcher's own; the real balancer's backoff is tested without a socket.
 """
 
 from __future__ import annotations
 
 import socket
+from collections.abc import Callable
 from typing import Any
 
 import pytest
@@ -17,16 +18,10 @@
 from lugtally.discovery import timing
 from lugtally.eventloop import Event, WakeReason
 from lugtally.units import NS_PER_MS
+from tests.races.discovery_harness import start_first_call, start_watch, update_kinds, wait_for_failed_call
 from tests.races.fakes import ENDPOINT_A, ENDPOINT_B, PeerConnection, Sidecar
 
 
-def start_watch(sidecar: Sidecar) -> None:
-    """Start with the cached list of version 1 and let the balancer request one watch, never another."""
-    cached = {"version": 1, "full": True, "servers": [sidecar.endpoint_row("s-a"), sidecar.endpoint_row("s-b")]}
-    sidecar.endpoint_watcher.start(parse_endpoint_list(cached, "known"))
-    sidecar.endpoint_watcher.watch()
-
-
 def test_update_delivery_times_sum_to_the_limit_with_margin() -> None:
     margin = timing.UPDATE_DELIVERY_LIMIT_NS // 12
     assert timing.UPDATE_DELIVERY_LIMIT_NS - margin >= timing.SILENT_WATCH_TO_UPDATE_NS
@@ -35,7 +30,7 @@
 
 @pytest.fixture
 def short_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The same waits in a fraction of their time: a silence is silence however long one waits for it."""
+    """Shorten the timeouts of discovery."""
     for name, value in (
         ("WATCH_HOLD_MS", 30),
         ("RESPONSE_TIMEOUT_NS", 30 * NS_PER_MS),
@@ -44,73 +39,131 @@
         monkeypatch.setattr(timing, name, value)
 
 
+PARTIAL_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{"
+Failure = Callable[[PeerConnection], object]
+
+
+def do_not_respond(connection: PeerConnection) -> None:
+    pass
+
+
+def close(connection: PeerConnection) -> None:
+    connection.sock.close()
+
+
+def respond_partly(connection: PeerConnection) -> None:
+    connection.send(PARTIAL_RESPONSE)
+
+
+def respond_partly_and_close(connection: PeerConnection) -> None:
+    connection.send(PARTIAL_RESPONSE)
+    connection.sock.close()
+
+
+def respond_and_close(connection: PeerConnection) -> None:
+    connection.send_endpoint_list(2, False)
+    connection.sock.close()
+
+
 @pytest.mark.usefixtures("short_timeouts")
 @pytest.mark.parametrize(
-    "death", ["silent at once", "silent later", "half an answer", "reset at rest", "end in a call", "cut answer"]
+    ("version", "fail"),
+    [
+        pytest.param(1, do_not_respond, id="no response to first call"),
+        pytest.param(2, do_not_respond, id="no response to second call"),
+        pytest.param(2, respond_partly, id="partial response"),
+        pytest.param(2, respond_and_close, id="closed between calls"),
+        pytest.param(2, close, id="closed during call"),
+        pytest.param(2, respond_partly_and_close, id="truncated response"),
+    ],
 )
-def test_failed_watch_is_reconnected_at_once(death: str, sidecar: Sidecar) -> None:
+def test_failed_watch_is_reconnected_at_once(version: int, fail: Failure, sidecar: Sidecar) -> None:
+    """The balancer is not informed of a failure, and the next call requests the changes since the same version."""
+
     def script() -> None:
         start_watch(sidecar)
         connection = sidecar.discovery.accept()
         assert connection.read_head() == "GET /catalog/members?from=1&hold_ms=30 HTTP/1.1"
-        if death != "silent at once":
+        if version == 2:
             connection.send_endpoint_list(2, False)
             assert connection.read_head() == "GET /catalog/members?from=2&hold_ms=30 HTTP/1.1"
-        if death == "half an answer":
-            connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{")
-        elif death == "cut answer":
-            connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{")
-            connection.sock.close()
-        elif death == "end in a call":
-            connection.sock.close()
-        elif death == "reset at rest":
-            connection.send_endpoint_list(2, False)
-            connection.sock.close()
-        version = 1 if death == "silent at once" else 2
-        fresh = sidecar.discovery.accept()
-        assert fresh.read_head() == f"GET /catalog/members?from={version}&hold_ms=30 HTTP/1.1"
-        fresh.send_endpoint_list(3, False, sidecar.endpoint_row("s-b", "draining"))
-        fresh.read_head()
+        fail(connection)
+        second = sidecar.discovery.accept()
+        assert second.read_head() == f"GET /catalog/members?from={version}&hold_ms=30 HTTP/1.1"
+        second.send_endpoint_list(3, False, sidecar.endpoint_row("s-b", "draining"))
+        second.read_head()
 
     sidecar.run(script)
     assert sidecar.balancer.endpoint_updates()[-1] == ("changes", {ENDPOINT_B: "draining"})
-    assert not [kind for kind, _ in sidecar.balancer.endpoint_updates() if kind == "failed"]
+    assert "failed" not in update_kinds(sidecar)
+
+
+def respond_503(connection: PeerConnection) -> None:
+    connection.respond(b"", "503 Busy")
+
+
+def respond_html(connection: PeerConnection) -> None:
+    connection.respond(b"<html>")
 
 
 @pytest.mark.usefixtures("short_timeouts")
-@pytest.mark.parametrize("death", ["503", "first answer cut", "no JSON", "silent twice", "refused", "never up"])
-def test_failed_call_waits_for_the_balancers_backoff(death: str, sidecar: Sidecar) -> None:
+@pytest.mark.parametrize(
+    ("fail", "calls"),
+    [
+        pytest.param(respond_503, 1, id="503"),
+        pytest.param(close, 1, id="closed before first response"),
+        pytest.param(respond_html, 1, id="no JSON"),
+        pytest.param(do_not_respond, 2, id="no response twice"),
+    ],
+)
+def test_failed_call_waits_for_the_balancers_backoff(fail: Failure, calls: int, sidecar: Sidecar) -> None:
     """The failure is reported once, and the next call requests changes only."""
-    refused = sidecar.discovery.address
 
     def script() -> None:
-        if death == "refused":
-            sidecar.discovery.sock.close()
-        elif death == "never up":
-            # Who listens and never accepts lets a few in: fill these places.
-            sidecar.discovery.sock.listen(0)
-            fillers = [PeerConnection(sidecar.loop, socket.socket()) for _ in range(4)]
-            for filler in fillers:
-                filler.sock.connect_ex(refused)
         start_watch(sidecar)
-        if death not in ("refused", "never up"):
-            connection = sidecar.discovery.accept_request()
-            if death == "503":
-                connection.respond(b"", "503 Busy")
-            elif death == "first answer cut":
-                connection.sock.close()
-            elif death == "no JSON":
-                connection.respond(b"<html>")
-            else:
-                sidecar.discovery.accept().read_head()
-        sidecar.wait_until(lambda: sidecar.balancer.endpoint_updates()[-1][0] == "failed")
-        assert death in ("refused", "never up") or sidecar.discovery.is_idle(), "it did not wait for the balancer"
+        connections = []  # each stays open while it is referenced
+        for _ in range(calls):
+            connections.append(sidecar.discovery.accept_request())
+            fail(connections[-1])
+        wait_for_failed_call(sidecar)
+        assert sidecar.discovery.is_idle(), "it did not wait for the balancer"
         sidecar.endpoint_watcher.watch()
-        if death not in ("refused", "never up"):
-            assert "from=1&" in sidecar.discovery.accept().read_head(), "changes are requested, not the whole list"
+        assert "from=1&" in sidecar.discovery.accept().read_head(), "the full list was requested"
 
     sidecar.run(script)
-    assert [kind for kind, _ in sidecar.balancer.endpoint_updates()].count("failed") == 1
+    assert update_kinds(sidecar).count("failed") == 1
+
+
+def refuse_connections(sidecar: Sidecar) -> list[PeerConnection]:
+    sidecar.discovery.sock.close()
+    return []
+
+
+def fill_backlog(sidecar: Sidecar) -> list[PeerConnection]:
+    """Let no further connection be established; return the clients that fill the backlog."""
+    address = sidecar.discovery.address
+    sidecar.discovery.sock.listen(0)
+    clients = [PeerConnection(sidecar.loop, socket.socket()) for _ in range(4)]
+    for client in clients:
+        client.sock.connect_ex(address)
+    return clients
+
+
+@pytest.mark.usefixtures("short_timeouts")
+@pytest.mark.parametrize("make_unreachable", [refuse_connections, fill_backlog])
+def test_unreachable_discovery_is_reported_once(
+    make_unreachable: Callable[[Sidecar], list[PeerConnection]], sidecar: Sidecar
+) -> None:
+    def script() -> None:
+        clients = make_unreachable(sidecar)
+        start_watch(sidecar)
+        wait_for_failed_call(sidecar)
+        sidecar.endpoint_watcher.watch()
+        for client in clients:
+            client.sock.close()
+
+    sidecar.run(script)
+    assert update_kinds(sidecar).count("failed") == 1
 
 
 def test_balancer_backoff_is_within_its_limit_and_jittered() -> None:
@@ -126,7 +179,7 @@
             ]
             delays_ns.append(timers[0].delay_ns)
     assert max(delays_ns) <= timing.MAX_BACKOFF_NS
-    # Hundreds that lost discovery at once must not come back in step.
+    # Sidecars that lose discovery together must not reconnect together.
     assert max(delays_ns) - min(delays_ns) > timing.MAX_BACKOFF_NS / 2
 
 
@@ -135,26 +188,23 @@
     """A wake-up of the old backoff must not shorten a later one."""
 
     def script() -> None:
-        start_watch(sidecar)
-        connection = sidecar.discovery.accept_request()
+        connection = start_first_call(sidecar)
         connection.respond(b"", "503 Busy")
-        sidecar.wait_until(lambda: sidecar.balancer.endpoint_updates()[-1][0] == "failed")
+        wait_for_failed_call(sidecar)
         sidecar.endpoint_watcher.move_to(sidecar.second_discovery.address)
         moved = sidecar.second_discovery.accept()
         assert moved.read_head() == "GET /catalog/members HTTP/1.1"
         moved.send_endpoint_list(1, True, sidecar.endpoint_row("s-a"))
         moved.read_head()
-        # A wake-up meant for the old pause finds the new watch at work.
+        # A late timer of the old backoff, while the new watch is in progress.
         sidecar.endpoint_watcher.watch()
         moved.sock.close()
-        again = sidecar.second_discovery.accept()
-        again.respond(b"", "503 Busy")
-        sidecar.wait_until(lambda: sidecar.balancer.endpoint_updates()[-1][0] == "failed")
+        reconnected = sidecar.second_discovery.accept()
+        reconnected.respond(b"", "503 Busy")
+        wait_for_failed_call(sidecar)
         for _ in range(5):
             sidecar.loop.sleep(0)
-        assert sidecar.second_discovery.is_idle(), (
-            "a wake-up from before the failure let the next call go without a pause"
-        )
+        assert sidecar.second_discovery.is_idle(), "a timer of the old backoff shortened the next one"
 
     sidecar.run(script)
     assert sidecar.balancer.endpoint_updates()[-2] == ("whole", {ENDPOINT_A: "up"})
@@ -163,11 +213,9 @@
 @pytest.mark.usefixtures("short_timeouts")
 def test_list_received_during_move_is_discarded(sidecar: Sidecar) -> None:
     def script() -> None:
-        start_watch(sidecar)
-        connection = sidecar.discovery.accept_request()
-        connection.send_endpoint_list(
-            9, True, sidecar.endpoint_row("s-b", "draining")
-        )  # readable at the next poll, as the move is
+        connection = start_first_call(sidecar)
+        # Readable at the next poll, in which the move takes effect.
+        connection.send_endpoint_list(9, True, sidecar.endpoint_row("s-b", "draining"))
         sidecar.endpoint_watcher.move_to(sidecar.second_discovery.address)
         moved = sidecar.second_discovery.accept()
         assert moved.read_head() == "GET /catalog/members HTTP/1.1"
@@ -175,7 +223,7 @@
         assert "from=4&" in moved.read_head()
 
     sidecar.run(script)
-    assert [kind for kind, _ in sidecar.balancer.endpoint_updates()] == ["kept", "whole"]
+    assert update_kinds(sidecar) == ["kept", "whole"]
 
 
 @pytest.mark.usefixtures("short_timeouts")
@@ -183,8 +231,7 @@
     """Discovery has restarted: its changes do not apply to the current list."""
 
     def script() -> None:
-        start_watch(sidecar)
-        connection = sidecar.discovery.accept_request()
+        connection = start_first_call(sidecar)
         connection.send_endpoint_list(41, False)
         assert "from=41&" in connection.read_head()
         connection.send_endpoint_list(3, False)
@@ -205,8 +252,7 @@
 @pytest.mark.parametrize("full", [True, False], ids=["full list", "changes"])
 def test_malformed_row_does_not_hide_drains_of_other_rows(bad: dict[str, Any], full: bool, sidecar: Sidecar) -> None:
     def script() -> None:
-        start_watch(sidecar)
-        connection = sidecar.discovery.accept_request()
+        connection = start_first_call(sidecar)
         connection.send_endpoint_list(
             2, full, sidecar.endpoint_row("s-b", "draining"), sidecar.endpoint_row("s-a", **bad)
         )
@@ -214,9 +260,9 @@
 
     sidecar.run(script)
     kind, states = sidecar.balancer.endpoint_updates()[-1]
-    sound = {} if "id" in bad else {ENDPOINT_A: "up"}  # a row without its id is nobody's
+    valid = {} if "id" in bad else {ENDPOINT_A: "up"}  # a row without an id is ignored
     assert kind == ("whole" if full else "changes")
-    assert states == {ENDPOINT_B: "draining", **sound}
+    assert states == {ENDPOINT_B: "draining", **valid}
     assert sidecar.endpoint_watcher.ready_count == (0 if full and "id" in bad else 1)
 
 
@@ -231,19 +277,18 @@
         b'{"version":2,"full":true,"servers":[{"id":"s-a"}]}',
         b'{"version":true,"servers":[]}',
     ],
-    ids=["no object", "version as text", "servers as number", "no JSON", "no sound row", "version as boolean"],
+    ids=["no object", "version as text", "servers as number", "no JSON", "no valid row", "version as boolean"],
 )
 def test_list_without_valid_rows_keeps_the_current_list(body: bytes, sidecar: Sidecar) -> None:
     def script() -> None:
-        start_watch(sidecar)
-        connection = sidecar.discovery.accept_request()
+        connection = start_first_call(sidecar)
         connection.respond(body)
-        sidecar.wait_until(lambda: sidecar.balancer.endpoint_updates()[-1][0] == "failed")
+        wait_for_failed_call(sidecar)
         sidecar.endpoint_watcher.watch()
         assert "from=1&" in sidecar.discovery.accept().read_head()
 
     sidecar.run(script)
-    assert [kind for kind, _ in sidecar.balancer.endpoint_updates()] == [
+    assert update_kinds(sidecar) == [
         "kept",
         "failed",
     ]
@@ -256,11 +301,10 @@
     failing_apply = FailingApply(sidecar)
 
     def script() -> None:
-        start_watch(sidecar)
-        connection = sidecar.discovery.accept_request()
+        connection = start_first_call(sidecar)
         monkeypatch.setattr(sidecar.endpoint_watcher, "_apply_update", failing_apply.apply)
         connection.send_endpoint_list(2, False, sidecar.endpoint_row("s-b", "draining"))
-        sidecar.wait_until(lambda: sidecar.balancer.endpoint_updates()[-1][0] == "failed")
+        wait_for_failed_call(sidecar)
         sidecar.endpoint_watcher.watch()
         connection = sidecar.discovery.accept()
         assert "from=1&" in connection.read_head()
@@ -272,7 +316,7 @@
 
 
 class FailingApply:
-    """Fails the first time that a list is applied."""
+    """Raises an error the first time that a list is applied."""
 
     def __init__(self, sidecar: Sidecar) -> None:
         self.apply_update = sidecar.endpoint_watcher._apply_update
@@ -281,7 +325,7 @@
     def apply(self, endpoint_list: object, kind: str) -> None:
         if not self.failed:
             self.failed = True
-            raise KeyError("a fault of the watcher")
+            raise KeyError("injected")
         self.apply_update(endpoint_list, kind)  # type: ignore[arg-type]
 
 
--- a/tests/races/test_discovery_answers.py
+++ b/tests/races/test_discovery_answers.py
@@ -1,29 +1,19 @@
-"""What discovery sends at the wrong time, or without an end, holds up no later list."""
+"""Unexpected bytes from discovery: a duplicate, unsolicited or endless response delays no later list."""
 
 from __future__ import annotations
 
 import pytest
 import ujson
 
-from lugtally.config.endpoint_list import parse_endpoint_list
 from lugtally.discovery import timing
 from lugtally.eventloop import WRITABLE, WakeReason
 from lugtally.units import NS_PER_MS
-from tests.races.fakes import ENDPOINT_B, MAX_WAIT_NS, PeerConnection, Sidecar
-
-
-def start_watch(sidecar: Sidecar) -> PeerConnection:
-    """Start with the cached list of version 1; return the connection of the first call."""
-    cached = {"version": 1, "full": True, "servers": [sidecar.endpoint_row("s-a"), sidecar.endpoint_row("s-b")]}
-    sidecar.endpoint_watcher.start(parse_endpoint_list(cached, "known"))
-    sidecar.endpoint_watcher.watch()
-    connection = sidecar.discovery.accept()
-    assert "from=1&" in connection.read_head()
-    return connection
+from tests.races.discovery_harness import start_first_call
+from tests.races.fakes import ENDPOINT_B, MAX_WAIT_NS, Sidecar
 
 
 def serialize_list(version: int) -> bytes:
-    """A response of discovery without a change."""
+    """Serialize a response of discovery without a change."""
     body = ujson.dumps({"version": version, "full": False, "servers": []}).encode()
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
 
@@ -32,7 +22,7 @@
     """The second copy must not pass for the response to the next call."""
 
     def script() -> None:
-        connection = start_watch(sidecar)
+        connection = start_first_call(sidecar)
         connection.send(serialize_list(2) * 2)
         if not connection.read_more():
             connection = sidecar.discovery.accept()
@@ -49,12 +39,12 @@
     loop_sleep = sidecar.loop.sleep
 
     def script() -> None:
-        connection = start_watch(sidecar)
+        connection = start_first_call(sidecar)
 
         def sleep(duration_ns: int) -> WakeReason:
             if duration_ns != MAX_WAIT_NS:
                 return loop_sleep(duration_ns)
-            connection.send(serialize_list(9))  # not asked for: its changes do not follow the list at hand
+            connection.send(serialize_list(9))  # unsolicited: its changes do not apply to the current list
             return loop_sleep(0)
 
         monkeypatch.setattr(sidecar.loop, "sleep", sleep)
@@ -76,7 +66,7 @@
     sidecar = Sidecar()
 
     def script() -> None:
-        connection = start_watch(sidecar)
+        connection = start_first_call(sidecar)
         connection.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n")
         give_up_ns = sidecar.loop.now() + MAX_WAIT_NS // 4
         while sidecar.loop.now() < give_up_ns:
@@ -86,7 +76,7 @@
             except OSError:
                 break
         else:
-            raise AssertionError("the call went on past its time")
+            raise AssertionError("the call exceeded its timeout")
         assert "from=1&" in sidecar.discovery.accept().read_head()
 
     sidecar.run(script)
