--- a/lugtally/balancing/admission.py
+++ b/lugtally/balancing/admission.py
@@ -58,10 +58,10 @@
         """Admit fewer requests while responses are late or rejected, more while they are not."""
         if not _is_relevant(attempt):
             return
-        objective_ns = attempt.request_class.latency_objective_ns
-        weight = min(1.0, 2 * (now_ns - self._last_outcome_ns) / objective_ns)
+        late_ns = attempt.request_class.latency_objective_ns / 2
+        weight = min(1.0, (now_ns - self._last_outcome_ns) / late_ns)  # many outcomes at once count as one
         self._last_outcome_ns = now_ns
-        is_bad = attempt.result is not AttemptResult.OK or attempt.duration_ns > objective_ns / 2
+        is_bad = attempt.result is not AttemptResult.OK or attempt.duration_ns > late_ns
         if is_bad:
             change = STRAINED_SHARE - 1
         else:  # the fewer requests are admitted, the more each good response counts
--- a/lugtally/balancing/candidates.py
+++ b/lugtally/balancing/candidates.py
@@ -16,13 +16,18 @@
 """Time without a response after which the slowness of an endpoint moves back towards the baseline."""
 FORGET_RATE = 0.05
 """Part of the distance to the baseline that slowness moves with each update then."""
-MIN_SLOWNESS, MAX_SLOWNESS = 0.3, 8.0
-"""Bounds of the slowness that the weight of an endpoint is divided by, in baselines."""
+MIN_SLOWNESS = 0.3
+"""Least slowness, in baselines, that the weight of an endpoint is divided by."""
+MAX_SLOWNESS = 8.0
+"""Greatest slowness, in baselines, that the weight of an endpoint is divided by."""
 INITIAL_CROSS_ZONE_WEIGHT = 0.1
 """First weight of endpoints in other zones, against 1 for the own zone."""
 MIN_CROSS_ZONE_WEIGHT = 0.03
-CROSS_ZONE_RISE, CROSS_ZONE_FALL = 1.1, 0.95
-"""Factors of that weight with each update, while the own zone is slower and while it is not."""
+"""Lowest such weight: some requests must cross, to learn how fast the other zones are."""
+CROSS_ZONE_RISE = 1.1
+"""Factor of that weight with each update while the own zone is slower."""
+CROSS_ZONE_FALL = 0.95
+"""Factor of that weight with each update while the own zone is not slower."""
 SLOWER_ZONE_RATIO = 1.3
 """Mean slowness of the own zone, as a multiple of the others', from which more is sent to these."""
 
--- a/lugtally/balancing/endpoint.py
+++ b/lugtally/balancing/endpoint.py
@@ -54,7 +54,9 @@
 
     def update(self, entry: Endpoint) -> None:
         """Apply an entry of the endpoint list."""
-        self.zone, self.cell, self.state = entry.zone, entry.cell, entry.state
+        self.zone = entry.zone
+        self.cell = entry.cell
+        self.state = entry.state
         self.started_ns = entry.started_ns
 
     def reset(self, now_ns: int, concurrency_limit: float, tokens: float) -> None:
--- a/lugtally/balancing/events.py
+++ b/lugtally/balancing/events.py
@@ -34,11 +34,11 @@
 class EndpointUpdateKind(Enum):
     """What an :class:`EndpointUpdate` carries."""
 
-    DELTA = "changes"
+    DELTA = "delta"
     """Changes since the update before."""
-    FULL = "whole"
+    FULL = "full"
     """The complete list: endpoints that it does not contain are removed."""
-    CACHED = "kept"
+    CACHED = "cached"
     """The list as it was cached before a restart: the first event of every process."""
     FAILED = "failed"
     """Nothing: discovery gave no list."""
@@ -47,9 +47,9 @@
 class EndpointState(Enum):
     """What the endpoint list says of an endpoint."""
 
-    READY = "up"
+    READY = "ready"
     DRAINING = "draining"
-    REMOVED = "gone"
+    REMOVED = "removed"
 
 
 @dataclass(slots=True)
--- a/lugtally/balancing/outlier_detection.py
+++ b/lugtally/balancing/outlier_detection.py
@@ -17,8 +17,10 @@
 
 EJECTION_NS = 1 * NS_PER_S
 """Length of an ejection after one failure; doubles with each further failure in a row."""
-MIN_EJECTION_JITTER, MAX_EJECTION_JITTER = 0.8, 1.2
-"""Factors between which the length is drawn, so that balancers do not return together."""
+MIN_EJECTION_JITTER = 0.8
+"""Lowest factor of the length, which is drawn so that balancers do not return together."""
+MAX_EJECTION_JITTER = 1.2
+"""Highest factor of the length."""
 MAX_FAILURES = 3
 """Failures in a row that lengthen an ejection: no more than four times ``EJECTION_NS``."""
 FAILURES_IN_A_ROW = 2
--- a/lugtally/balancing/request.py
+++ b/lugtally/balancing/request.py
@@ -31,7 +31,9 @@
     )
 
     def __init__(self, event: Request, settings: Settings, now_ns: int) -> None:
-        self.id, self.class_index, self.tenant_index = event.id, event.class_index, event.tenant_index
+        self.id = event.id
+        self.class_index = event.class_index
+        self.tenant_index = event.tenant_index
         self.request_class = settings.request_class(event.class_index)
         self.deadline_ns = now_ns + event.time_left_ns
         self.endpoint_ids: list[int] = []
--- a/lugtally/balancing/retry_budget.py
+++ b/lugtally/balancing/retry_budget.py
@@ -23,8 +23,10 @@
 """Upper bound of the first backoff; doubles with each retry."""
 QUEUE_BASELINES = 2
 """Baselines that a queue takes to drain, as advised to clients."""
-MIN_RETRY_AFTER_JITTER, MAX_RETRY_AFTER_JITTER = 0.5, 1.5
-"""Factors between which that advice is drawn, so that clients do not return together."""
+MIN_RETRY_AFTER_JITTER = 0.5
+"""Lowest factor of that advice, which is drawn so that clients do not return together."""
+MAX_RETRY_AFTER_JITTER = 1.5
+"""Highest factor of that advice."""
 
 
 class RetryBudget:
--- a/tests/races/test_discovery.py
+++ b/tests/races/test_discovery.py
@@ -94,7 +94,7 @@
         second.read_head()
 
     sidecar.run(script)
-    assert sidecar.balancer.endpoint_updates()[-1] == ("changes", {ENDPOINT_B: "draining"})
+    assert sidecar.balancer.endpoint_updates()[-1] == ("delta", {ENDPOINT_B: "draining"})
     assert "failed" not in update_kinds(sidecar)
 
 
@@ -207,7 +207,7 @@
         assert sidecar.second_discovery.is_idle(), "a timer of the old backoff shortened the next one"
 
     sidecar.run(script)
-    assert sidecar.balancer.endpoint_updates()[-2] == ("whole", {ENDPOINT_A: "up"})
+    assert sidecar.balancer.endpoint_updates()[-2] == ("full", {ENDPOINT_A: "ready"})
 
 
 @pytest.mark.usefixtures("short_timeouts")
@@ -223,7 +223,7 @@
         assert "from=4&" in moved.read_head()
 
     sidecar.run(script)
-    assert update_kinds(sidecar) == ["kept", "whole"]
+    assert update_kinds(sidecar) == ["cached", "full"]
 
 
 @pytest.mark.usefixtures("short_timeouts")
@@ -240,7 +240,7 @@
         assert "from=4&" in connection.read_head()
 
     sidecar.run(script)
-    assert sidecar.balancer.endpoint_updates()[-1] == ("whole", {ENDPOINT_B: "draining"})
+    assert sidecar.balancer.endpoint_updates()[-1] == ("full", {ENDPOINT_B: "draining"})
 
 
 @pytest.mark.usefixtures("short_timeouts")
@@ -260,8 +260,8 @@
 
     sidecar.run(script)
     kind, states = sidecar.balancer.endpoint_updates()[-1]
-    valid = {} if "id" in bad else {ENDPOINT_A: "up"}  # a row without an id is ignored
-    assert kind == ("whole" if full else "changes")
+    valid = {} if "id" in bad else {ENDPOINT_A: "ready"}  # a row without an id is ignored
+    assert kind == ("full" if full else "delta")
     assert states == {ENDPOINT_B: "draining", **valid}
     assert sidecar.endpoint_watcher.ready_count == (0 if full and "id" in bad else 1)
 
@@ -289,7 +289,7 @@
 
     sidecar.run(script)
     assert update_kinds(sidecar) == [
-        "kept",
+        "cached",
         "failed",
     ]
     assert sidecar.endpoint_watcher.ready_count == 2
@@ -312,7 +312,7 @@
         assert "from=2&" in connection.read_head()
 
     sidecar.run(script)
-    assert sidecar.balancer.endpoint_updates()[-1] == ("changes", {ENDPOINT_B: "draining"})
+    assert sidecar.balancer.endpoint_updates()[-1] == ("delta", {ENDPOINT_B: "draining"})
 
 
 class FailingApply:
--- a/tests/races/test_discovery_answers.py
+++ b/tests/races/test_discovery_answers.py
@@ -28,7 +28,7 @@
             connection = sidecar.discovery.accept()
         assert "from=2&" in connection.read_head()
         connection.send_endpoint_list(3, False, sidecar.endpoint_row("s-b", "draining"))
-        sidecar.wait_until(lambda: sidecar.balancer.endpoint_updates()[-1] == ("changes", {ENDPOINT_B: "draining"}))
+        sidecar.wait_until(lambda: sidecar.balancer.endpoint_updates()[-1] == ("delta", {ENDPOINT_B: "draining"}))
 
     sidecar.run(script)
 
@@ -53,7 +53,7 @@
             connection = sidecar.discovery.accept()
         assert "from=1&" in connection.read_head()
         connection.send_endpoint_list(2, False, sidecar.endpoint_row("s-b", "draining"))
-        sidecar.wait_until(lambda: sidecar.balancer.endpoint_updates()[-1] == ("changes", {ENDPOINT_B: "draining"}))
+        sidecar.wait_until(lambda: sidecar.balancer.endpoint_updates()[-1] == ("delta", {ENDPOINT_B: "draining"}))
 
     sidecar.run(script)
     assert sidecar.endpoint_watcher._client.version == 2
