--- a/lugtally/downstream/connection.py
+++ b/lugtally/downstream/connection.py
@@ -75,7 +75,7 @@
         self.wake_up = Event(loop)
         """Wakes the task that waits for the client: input is available, or the close was requested."""
         self.write_stalled = False
-        """Whether a write had to wait for the client since the reader last checked."""
+        """Whether a write had to wait for the client since the last request was read."""
         self.response_truncated = False
         """Whether a streamed response was started and not completed: the close resets the connection."""
 
--- a/lugtally/downstream/request_reader.py
+++ b/lugtally/downstream/request_reader.py
@@ -50,7 +50,13 @@
         connection = self.connection
         if self.queue.has_input:
             connection.loop.sleep(0)  # other tasks run before the next pipelined request of this client
-        request = self._next_buffered_request() or self._receive_request()
+        request = self._next_buffered_request()
+        # Right after a response, ``recv`` would most likely find nothing, so wait first.  While a write stalled,
+        # however, nothing watched for input.
+        wait_first = connection.state is ConnectionState.IDLE and not connection.write_stalled
+        connection.write_stalled = False
+        if request is None:
+            request = self._receive_request(wait_first)
         if request is not None:
             connection.close_requested_in = None
             connection.evicted = False
@@ -86,10 +92,12 @@
             connection.transition(TransitionCause.RESPONSE_COMPLETE)
         return request
 
-    def _receive_request(self) -> ReceivedRequest | None:
-        """Read until a request is complete; return ``None`` if the connection is to be closed."""
+    def _receive_request(self, wait_first: bool) -> ReceivedRequest | None:
+        """Read until a request is complete; return ``None`` if the connection is to be closed.
+
+        ``wait_first`` omits the first ``recv``.
+        """
         connection = self.connection
-        wait_first = self._should_wait_first()
         continue_sent = False
         request = None
         while request is None:
@@ -110,15 +118,6 @@
         connection.transition(TransitionCause.REQUEST_COMPLETE)
         return request
 
-    def _should_wait_first(self) -> bool:
-        """Return whether to wait for input before the first ``recv``, which would most likely find none.
-
-        True right after a response, unless writing it stalled: bytes may have arrived unnoticed meanwhile.
-        """
-        write_stalled = self.connection.write_stalled
-        self.connection.write_stalled = False
-        return self.connection.state is ConnectionState.IDLE and not write_stalled
-
     def _reject_incomplete_request(self) -> None:
         """Raise the error that gives an incomplete request its response; do nothing if no byte of it was received."""
         if self.connection.state is ConnectionState.READING_REQUEST:
