--- a/lugtally/downstream/exchange.py
+++ b/lugtally/downstream/exchange.py
@@ -53,7 +53,7 @@
         "_tasks",
         "_watched_since_ns",
         "_watches_input",
-        "_writing_began",
+        "_writing_started",
     )
 
     def __init__(self, services: ExchangeServices, reader: RequestReader, request: ValidatedRequest) -> None:
@@ -73,7 +73,7 @@
         self._watched_since_ns = 0
         self._watches_input = False
         """Whether the event loop reports the client's next bytes."""
-        self._writing_began = False
+        self._writing_started = False
         """Whether bytes of the request may have been sent to an endpoint."""
         self._pending = PendingRequest(
             services.loop,
@@ -146,7 +146,7 @@
 
     def _final_response(self, decision: Decision) -> FinalResponse | None:
         connection = self._connection
-        if self._stream is not None and self._stream.began:
+        if self._stream is not None and self._stream.started:
             return None if connection.response_truncated else StreamedResponse(self._stream.closes)
         if self._client_closed:
             connection.client_status = ClientStatus.HALF_CLOSED
@@ -157,7 +157,7 @@
 
     def _response_to_half_closed(self) -> Response:
         """Return the response to a client that shut down its sending side and may still read."""
-        return failed_response() if self._writing_began else rejected_response(Rejected(0))
+        return failed_response() if self._writing_started else rejected_response(Rejected(0))
 
     def _release(self) -> None:
         """Break the reference cycle between the exchange, its pending request and its tasks.
@@ -218,7 +218,7 @@
             self._client_disconnected()
         if self._client_closed or not self._services.dispatcher.may_start(self._pending, attempt.number):
             return False
-        self._writing_began = True
+        self._writing_started = True
         return True
 
     def _claim_stream(self, attempt: StartAttempt, head: Message) -> ResponseSink | None:
--- a/lugtally/downstream/response_stream.py
+++ b/lugtally/downstream/response_stream.py
@@ -51,7 +51,7 @@
         """Whether the connection closes after the response."""
         self.hold_until_ns = hold_until_ns
         """Until when the response is buffered; ``None`` once it is being sent."""
-        self.began = False
+        self.started = False
         """Whether part of it was sent to the client."""
 
     def send(self, data: bytes | memoryview) -> bool:
@@ -80,8 +80,8 @@
 
     def _flush(self) -> bool:
         """Write the buffer; after a failed write nothing more is written."""
-        if not self.began:
-            self.began = True
+        if not self.started:
+            self.started = True
             self._connection.transition(TransitionCause.RESPONSE_STARTED)
             self._connection.response_truncated = True
         data = memoryview(self._buffer)
