--- a/lugtally/downstream/request_reader.py
+++ b/lugtally/downstream/request_reader.py
@@ -77,7 +77,10 @@
         return len(data) < RECEIVE_BYTES
 
     def _next_buffered_request(self) -> ReceivedRequest | None:
-        """Leave the state of the previous request; return the next one if it was received meanwhile."""
+        """Return the next request if it was received while the previous one was in progress.
+
+        The connection leaves ``WRITING_RESPONSE`` in any case.
+        """
         connection = self.connection
         if connection.state is ConnectionState.ACCEPTED:
             connection.transition(TransitionCause.READING_STARTED)
@@ -112,7 +115,10 @@
                 continue
             if not data:
                 return None
-            self._start_or_check_request_time()
+            if connection.state is ConnectionState.READING_REQUEST:
+                self._check_request_time()
+            else:
+                self._start_request_time()
             self.queue.feed(data, self.arrival.received_after_ns)
             request = self.queue.pop()
         connection.transition(TransitionCause.REQUEST_COMPLETE)
@@ -167,12 +173,14 @@
         deadline_ns = connection.since_ns + (REQUEST_TIMEOUT_NS if is_reading else CLIENT_IDLE_TIMEOUT_NS)
         return min(deadline_ns, shutdown.last_request_ns) if shutdown.closing else deadline_ns
 
-    def _start_or_check_request_time(self) -> None:
-        """Start the time of a request at its first bytes; check that later bytes were received within it."""
+    def _start_request_time(self) -> None:
+        """Start the time of a request at its first bytes; that of the first request started with the connection."""
         connection = self.connection
-        if connection.state is not ConnectionState.READING_REQUEST:
-            if connection.state is ConnectionState.IDLE:  # the first request's time starts with the connection
-                connection.since_ns = connection.loop.now()
-            connection.transition(TransitionCause.FIRST_BYTES_RECEIVED)
-        elif self.arrival.received_after_ns > connection.since_ns + REQUEST_TIMEOUT_NS:
+        if connection.state is ConnectionState.IDLE:
+            connection.since_ns = connection.loop.now()
+        connection.transition(TransitionCause.FIRST_BYTES_RECEIVED)
+
+    def _check_request_time(self) -> None:
+        """Raise :class:`RequestTimeoutError` if the bytes just read were received after the request timed out."""
+        if self.arrival.received_after_ns > self.connection.since_ns + REQUEST_TIMEOUT_NS:
             raise RequestTimeoutError
