--- a/lugtally/downstream/request_reader.py
+++ b/lugtally/downstream/request_reader.py
@@ -50,7 +50,13 @@
         connection = self.connection
         if self.queue.has_input:
             connection.loop.sleep(0)  # other tasks run before the next pipelined request of this client
-        request = self._next_buffered_request() or self._receive_request()
+        request = self._next_buffered_request()
+        # Right after a response, ``recv`` would most likely find nothing, so wait first.  While a write stalled,
+        # however, nothing watched for input.
+        wait_first = connection.state is ConnectionState.IDLE and not connection.write_stalled
+        connection.write_stalled = False
+        if request is None:
+            request = self._receive_request(wait_first)
         if request is not None:
             connection.close_requested_in = None
             connection.evicted = False
@@ -71,7 +77,10 @@
         return len(data) < RECEIVE_BYTES
 
     def _next_buffered_request(self) -> ReceivedRequest | None:
-        """Leave the state of the previous request; return the next one if it was received meanwhile."""
+        """Return the next request if it was received while the previous one was in progress.
+
+        The connection leaves ``WRITING_RESPONSE`` in any case.
+        """
         connection = self.connection
         if connection.state is ConnectionState.ACCEPTED:
             connection.transition(TransitionCause.READING_STARTED)
@@ -86,10 +95,12 @@
             connection.transition(TransitionCause.RESPONSE_COMPLETE)
         return request
 
-    def _receive_request(self) -> ReceivedRequest | None:
-        """Read until a request is complete; return ``None`` if the connection is to be closed."""
+    def _receive_request(self, wait_first: bool) -> ReceivedRequest | None:
+        """Read until a request is complete; return ``None`` if the connection is to be closed.
+
+        ``wait_first`` omits the first ``recv``.
+        """
         connection = self.connection
-        wait_first = self._should_wait_first()
         continue_sent = False
         request = None
         while request is None:
@@ -104,21 +115,15 @@
                 continue
             if not data:
                 return None
-            self._start_or_check_request_time()
+            if connection.state is ConnectionState.READING_REQUEST:
+                self._check_request_time()
+            else:
+                self._start_request_time()
             self.queue.feed(data, self.arrival.received_after_ns)
             request = self.queue.pop()
         connection.transition(TransitionCause.REQUEST_COMPLETE)
         return request
 
-    def _should_wait_first(self) -> bool:
-        """Return whether to wait for input before the first ``recv``, which would most likely find none.
-
-        True right after a response, unless writing it stalled: bytes may have arrived unnoticed meanwhile.
-        """
-        write_stalled = self.connection.write_stalled
-        self.connection.write_stalled = False
-        return self.connection.state is ConnectionState.IDLE and not write_stalled
-
     def _reject_incomplete_request(self) -> None:
         """Raise the error that gives an incomplete request its response; do nothing if no byte of it was received."""
         if self.connection.state is ConnectionState.READING_REQUEST:
@@ -168,12 +173,14 @@
         deadline_ns = connection.since_ns + (REQUEST_TIMEOUT_NS if is_reading else CLIENT_IDLE_TIMEOUT_NS)
         return min(deadline_ns, shutdown.last_request_ns) if shutdown.closing else deadline_ns
 
-    def _start_or_check_request_time(self) -> None:
-        """Start the time of a request at its first bytes; check that later bytes were received within it."""
+    def _start_request_time(self) -> None:
+        """Start the time of a request at its first bytes; that of the first request started with the connection."""
         connection = self.connection
-        if connection.state is not ConnectionState.READING_REQUEST:
-            if connection.state is ConnectionState.IDLE:  # the first request's time starts with the connection
-                connection.since_ns = connection.loop.now()
-            connection.transition(TransitionCause.FIRST_BYTES_RECEIVED)
-        elif self.arrival.received_after_ns > connection.since_ns + REQUEST_TIMEOUT_NS:
+        if connection.state is ConnectionState.IDLE:
+            connection.since_ns = connection.loop.now()
+        connection.transition(TransitionCause.FIRST_BYTES_RECEIVED)
+
+    def _check_request_time(self) -> None:
+        """Raise :class:`RequestTimeoutError` if the bytes just read were received after the request timed out."""
+        if self.arrival.received_after_ns > self.connection.since_ns + REQUEST_TIMEOUT_NS:
             raise RequestTimeoutError
