--- a/lugtally/admin/server.py
+++ b/lugtally/admin/server.py
@@ -12,7 +12,7 @@
 
 from lugtally.address import Address
 from lugtally.admin.calls import AdminBackend, AdminCall, AdminResponse, execute_call, parse_call
-from lugtally.eventloop import READABLE, WRITABLE, Event, EventLoop, WakeReason
+from lugtally.eventloop import READABLE, Event, EventLoop, WakeReason, send_all
 from lugtally.http1 import Message, MessageParser, ProtocolError, serialize_response
 from lugtally.units import NS_PER_MS
 
@@ -181,14 +181,9 @@
         A caller that does not read within ``RESPONSE_WRITE_TIMEOUT_NS`` receives a truncated response.
         """
         headers = [("Content-Type", response.content_type)]
-        view = memoryview(serialize_response(response.status, response.body, headers, close=True))
-        deadline_ns = self._loop.now() + RESPONSE_WRITE_TIMEOUT_NS
-        while view:
-            try:
-                view = view[caller.sock.send(view) :]
-            except BlockingIOError:
-                if self._loop.wait(caller.sock.fileno(), WRITABLE, deadline_ns) is not WakeReason.READY:
-                    return
+        data = serialize_response(response.status, response.body, headers, close=True)
+        if not send_all(self._loop, caller.sock, data, self._loop.now() + RESPONSE_WRITE_TIMEOUT_NS):
+            return
         try:
             caller.sock.shutdown(socket.SHUT_WR)
         except OSError:
--- a/lugtally/daemon/status_socket.py
+++ b/lugtally/daemon/status_socket.py
@@ -15,7 +15,7 @@
 from loguru import logger
 
 from lugtally.daemon.errors import StatusSocketError
-from lugtally.eventloop import READABLE, WRITABLE, EventLoop, WakeReason
+from lugtally.eventloop import READABLE, EventLoop, WakeReason, send_all
 from lugtally.units import NS_PER_MS
 
 CLIENT_WRITE_TIMEOUT_NS = 1000 * NS_PER_MS
@@ -80,14 +80,8 @@
 
     def _write_snapshot(self, client: socket.socket) -> None:
         """Write a snapshot, or a part of it if the client does not read within ``CLIENT_WRITE_TIMEOUT_NS``."""
-        view = memoryview(ujson.dumps(self._snapshot(), escape_forward_slashes=False).encode() + b"\n")
-        deadline_ns = self._loop.now() + CLIENT_WRITE_TIMEOUT_NS
-        while view:
-            try:
-                view = view[client.send(view) :]
-            except BlockingIOError:
-                if self._loop.wait(client.fileno(), WRITABLE, deadline_ns) is not WakeReason.READY:
-                    return
+        data = ujson.dumps(self._snapshot(), escape_forward_slashes=False).encode() + b"\n"
+        send_all(self._loop, client, data, self._loop.now() + CLIENT_WRITE_TIMEOUT_NS)
 
 
 def _listen(path: str) -> socket.socket:
--- a/lugtally/eventloop/__init__.py
+++ b/lugtally/eventloop/__init__.py
@@ -6,6 +6,7 @@
 
 from lugtally.eventloop.event import Event
 from lugtally.eventloop.loop import PEER_CLOSED, READABLE, WRITABLE, EventLoop
+from lugtally.eventloop.socket_io import send_all
 from lugtally.eventloop.task import Task, WakeReason
 
-__all__ = ["PEER_CLOSED", "READABLE", "WRITABLE", "Event", "EventLoop", "Task", "WakeReason"]
+__all__ = ["PEER_CLOSED", "READABLE", "WRITABLE", "Event", "EventLoop", "Task", "WakeReason", "send_all"]
--- /dev/null
+++ b/tests/eventloop/conftest.py
@@ -0,0 +1,10 @@
+from __future__ import annotations
+
+import pytest
+
+from lugtally.eventloop import EventLoop
+
+
+@pytest.fixture
+def loop() -> EventLoop:
+    return EventLoop()
--- a/tests/eventloop/test_loop.py
+++ b/tests/eventloop/test_loop.py
@@ -2,17 +2,10 @@
 
 from __future__ import annotations
 
-import pytest
-
 from lugtally.eventloop import Event, EventLoop, WakeReason
 from lugtally.units import NS_PER_MS
 
 
-@pytest.fixture
-def loop() -> EventLoop:
-    return EventLoop()
-
-
 def test_an_interrupted_task_does_not_block_again(loop: EventLoop) -> None:
     reasons: list[WakeReason] = []
 
