--- a/tests/eventloop/test_socket_io.py
+++ b/tests/eventloop/test_socket_io.py
@@ -4,6 +4,7 @@
 
 import socket
 from collections.abc import Iterator
+from typing import NamedTuple
 
 import pytest
 
@@ -14,17 +15,22 @@
 READ_BYTES = 65536
 
 
+class SocketPair(NamedTuple):
+    sender: socket.socket
+    receiver: socket.socket
+
+
 @pytest.fixture
-def sockets() -> Iterator[tuple[socket.socket, socket.socket]]:
+def sockets() -> Iterator[SocketPair]:
     sender, receiver = socket.socketpair()
     sender.setblocking(False)
     receiver.setblocking(False)
-    yield sender, receiver
+    yield SocketPair(sender, receiver)
     sender.close()
     receiver.close()
 
 
-def test_send_all_waits_for_a_slow_receiver(loop: EventLoop, sockets: tuple[socket.socket, socket.socket]) -> None:
+def test_send_all_waits_for_a_slow_receiver(loop: EventLoop, sockets: SocketPair) -> None:
     sender, receiver = sockets
     results: list[bool] = []
     received = bytearray()
@@ -47,7 +53,7 @@
     assert received == DATA
 
 
-def test_send_all_ends_at_its_deadline(loop: EventLoop, sockets: tuple[socket.socket, socket.socket]) -> None:
+def test_send_all_ends_at_its_deadline(loop: EventLoop, sockets: SocketPair) -> None:
     sender, _ = sockets
     results: list[bool] = []
 
@@ -60,9 +66,7 @@
     assert results == [False]
 
 
-def test_send_all_raises_if_the_connection_failed(
-    loop: EventLoop, sockets: tuple[socket.socket, socket.socket]
-) -> None:
+def test_send_all_raises_if_the_connection_failed(loop: EventLoop, sockets: SocketPair) -> None:
     sender, receiver = sockets
     errors: list[OSError] = []
 
--- a/tests/http1/test_parser.py
+++ b/tests/http1/test_parser.py
@@ -9,7 +9,8 @@
 from hypothesis import seed as hypothesis_seed
 from hypothesis import strategies as st
 
-from lugtally.http1 import MessageParser, ProtocolError
+from lugtally.http1 import Message, MessageParser, ProtocolError
+from lugtally.http1.message import Headers
 
 HYPOTHESIS_SEED = 1  # fixed: by default the examples change whenever the source of a test does
 
@@ -18,7 +19,7 @@
 REQUEST_LINE = b"GET /campaign-read HTTP/1.1"
 
 
-def oracle(lines: list[bytes]) -> list[tuple[str, str]] | None:
+def oracle(lines: list[bytes]) -> Headers | None:
     """Return names and values of the header lines, or ``None`` if one is malformed."""
     headers = []
     for line in lines:
@@ -69,20 +70,21 @@
     ids=["content length", "chunked"],
 )
 def test_split_at_any_byte_gives_the_same_messages(data: bytes) -> None:
-    def messages(*pieces: bytes) -> list[tuple[str, str, bytes, bool]]:
-        parser, parsed = MessageParser(responses=False), []
+    def parse(*pieces: bytes) -> list[Message]:
+        parser = MessageParser(responses=False)
+        parsed: list[Message] = []
         for piece in pieces:
             message = parser.feed(piece)
             while message is not None:
-                parsed.append((message.method, message.target, message.body, message.keep_alive))
+                parsed.append(message)
                 message = parser.feed(b"")
         assert parser.is_idle
         return parsed
 
-    expected = messages(data)
+    expected = parse(data)
     assert len(expected) == 2
-    assert expected[0][2] in (b"hello", b"abcde")
-    assert all(messages(data[:index], data[index:]) == expected for index in range(len(data) + 1))
+    assert expected[0].body in (b"hello", b"abcde")
+    assert all(parse(data[:index], data[index:]) == expected for index in range(len(data) + 1))
 
 
 def test_cached_head_is_checked_against_the_limit_of_each_parser() -> None:
--- a/tests/overload/test_admission.py
+++ b/tests/overload/test_admission.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import os
+from typing import NamedTuple
 
 import pytest
 from hypothesis import given, settings
@@ -33,44 +34,52 @@
     return AdmissionController(CLASSES, OverloadLimits(), 1, 0)
 
 
+class CheckedRequests(NamedTuple):
+    """The result of checking requests for some time."""
+
+    end_ns: int
+    admitted: list[list[bool]]
+    """By class, whether each request was admitted."""
+
+
 def send_requests(
     admission: AdmissionController, start_ns: int, duration_ns: int, delay_ns: int, interval_ns: int = NS_PER_MS
-) -> tuple[int, list[list[bool]]]:
-    """Check requests of all classes under a constant delay; return the end time, and by class what was admitted."""
+) -> CheckedRequests:
+    """Check requests of all classes under a constant delay."""
     admitted: list[list[bool]] = [[], [], []]
-    now = start_ns
-    while now < start_ns + duration_ns:
+    now_ns = start_ns
+    while now_ns < start_ns + duration_ns:
         for class_index in range(3):
-            admitted[class_index].append(admission.check(now, class_index, TIME_LEFT_NS, delay_ns, 0.0) is None)
-        now += interval_ns
-    return now, admitted
+            admitted[class_index].append(admission.check(now_ns, class_index, TIME_LEFT_NS, delay_ns, 0.0) is None)
+        now_ns += interval_ns
+    return CheckedRequests(now_ns, admitted)
 
 
 def test_short_delays_shed_nothing(admission: AdmissionController) -> None:
     """A burst that the sidecar can process is not an overload."""
-    now, seen = send_requests(admission, 0, 2000 * NS_PER_MS, 4 * NS_PER_MS)
+    now_ns, admitted = send_requests(admission, 0, 2000 * NS_PER_MS, 4 * NS_PER_MS)
     for _ in range(20):  # single long turns, such as those with a garbage collection
-        admission.check(now, READ, TIME_LEFT_NS, 40 * NS_PER_MS, 0.0)
-        now, more = send_requests(admission, now, 100 * NS_PER_MS, 2 * NS_PER_MS)
-        seen = [earlier + later for earlier, later in zip(seen, more, strict=True)]
-    assert all(all(admitted) for admitted in seen)
+        admission.check(now_ns, READ, TIME_LEFT_NS, 40 * NS_PER_MS, 0.0)
+        now_ns, more = send_requests(admission, now_ns, 100 * NS_PER_MS, 2 * NS_PER_MS)
+        admitted = [earlier + later for earlier, later in zip(admitted, more, strict=True)]
+    assert all(all(of_class) for of_class in admitted)
     assert not admission.is_shedding
 
 
 def test_standing_delay_sheds_reads_first_and_receipts_last(admission: AdmissionController) -> None:
-    now, _ = send_requests(admission, 0, 100 * NS_PER_MS, 2 * NS_PER_MS)
-    now, seen = send_requests(admission, now, 600 * NS_PER_MS, 60 * NS_PER_MS)
-    shares = [sum(admitted) / len(admitted) for admitted in seen]
+    normal = send_requests(admission, 0, 100 * NS_PER_MS, 2 * NS_PER_MS)
+    delayed = send_requests(admission, normal.end_ns, 600 * NS_PER_MS, 60 * NS_PER_MS)
+    shares = [sum(of_class) / len(of_class) for of_class in delayed.admitted]
     assert shares[READ] < shares[PLEDGE] < shares[RECEIPT] or shares[READ] < 0.2
     assert admission.is_shedding
     assert admission.rejected[ShedReason.DELAY] > 0
-    now, late = send_requests(admission, now, 1500 * NS_PER_MS, 60 * NS_PER_MS)
-    assert sum(late[READ][-200:]) == 0
+    still_delayed = send_requests(admission, delayed.end_ns, 1500 * NS_PER_MS, 60 * NS_PER_MS)
+    assert sum(still_delayed.admitted[READ][-200:]) == 0
     assert admission.shed_fraction <= OverloadLimits().max_shed_fraction
     # All requests are admitted again within a second after the delay has ended.
-    now, after = send_requests(admission, now, 1000 * NS_PER_MS, 0)
-    now, after = send_requests(admission, now, 100 * NS_PER_MS, 0)
-    assert all(all(admitted) for admitted in after)
+    recovering = send_requests(admission, still_delayed.end_ns, 1000 * NS_PER_MS, 0)
+    recovered = send_requests(admission, recovering.end_ns, 100 * NS_PER_MS, 0)
+    assert all(all(of_class) for of_class in recovered.admitted)
     assert not admission.is_shedding
 
 
@@ -129,12 +138,12 @@
 
 def test_shed_fraction_decays_while_idle(admission: AdmissionController) -> None:
     """Regression: each update of an idle controller counted one empty period, so that the next requests were shed."""
-    now, _ = send_requests(admission, 0, 2500 * NS_PER_MS, 60 * NS_PER_MS)
+    overload = send_requests(admission, 0, 2500 * NS_PER_MS, 60 * NS_PER_MS)
     assert admission.shed_fraction > 0.9
     for tick in range(1, 11):
-        admission.update_when_idle(now + tick * 250 * NS_PER_MS)
+        admission.update_when_idle(overload.end_ns + tick * 250 * NS_PER_MS)
     assert admission.shed_fraction == 0.0
-    assert admission.check(now + 2600 * NS_PER_MS, READ, TIME_LEFT_NS, 0, 0.0) is None
+    assert admission.check(overload.end_ns + 2600 * NS_PER_MS, READ, TIME_LEFT_NS, 0, 0.0) is None
 
 
 def test_empty_period_has_no_delay() -> None:
--- a/tests/overload/test_sockets.py
+++ b/tests/overload/test_sockets.py
@@ -4,6 +4,7 @@
 
 import threading
 import time
+from dataclasses import dataclass
 from pathlib import Path
 
 import pytest
@@ -61,20 +62,28 @@
 OPERATOR_FILE = "[overload]\nenabled = true\n"
 
 
+@dataclass(frozen=True, slots=True)
+class FloodRun:
+    """The report and the event log of a run of the flood."""
+
+    report: Report
+    records: list[Record]
+
+
 @pytest.fixture(scope="module")
-def flooded(tmp_path_factory: pytest.TempPathFactory) -> tuple[Report, list[Record]]:
+def flooded(tmp_path_factory: pytest.TempPathFactory) -> FloodRun:
     folder = tmp_path_factory.mktemp("flood")
     (folder / "operator.toml").write_text(OPERATOR_FILE)
     run = runner.Run(
         scenario_file.decode(FLOOD, "flood.toml"), 2, folder=folder / "run", operator=folder / "operator.toml"
     )
     report = run.play()
-    return report, event_log.read_records([folder / "run" / name for name in ("load.jsonl", "world.jsonl")])
+    return FloodRun(report, event_log.read_records([folder / "run" / name for name in ("load.jsonl", "world.jsonl")]))
 
 
-def test_flood_on_starved_core_violates_no_rule_on_effects(flooded: tuple[Report, list[Record]]) -> None:
+def test_flood_on_starved_core_violates_no_rule_on_effects(flooded: FloodRun) -> None:
     """Late responses depend on the machine; requests that run twice do not."""
-    report, records = flooded
+    report, records = flooded.report, flooded.records
     wrong = {violation.name for violation in report.findings.violations if violation.rule != 1}
     assert not wrong, report.reasons
     assert "sidecar-crashed" not in report.violations_by_name, report.reasons
@@ -83,8 +92,8 @@
     assert len({receipt.request_id for receipt in receipts}) == len(receipts)
 
 
-def test_shed_request_has_one_response_and_was_never_sent(flooded: tuple[Report, list[Record]]) -> None:
-    report, records = flooded
+def test_shed_request_has_one_response_and_was_never_sent(flooded: FloodRun) -> None:
+    report, records = flooded.report, flooded.records
     attempts = [record for record in records if isinstance(record, ClientAttempt)]
     assert not [attempt for attempt in attempts if attempt.duplicate_response or attempt.outcome == "foreign"]
     assert report.verdict != Verdict.BROKEN or set(report.violations_by_name) <= {"late", "dropped"}
