--- a/lugtally/overload/admission.py
+++ b/lugtally/overload/admission.py
@@ -71,10 +71,10 @@
 
 
 class ShedReason(Enum):
-    """Why a request was shed."""
+    """Why a request was shed.  The value is the key of the count in the status."""
 
-    DELAY = "own delay"
-    HOPELESS = "too little time left until the deadline"
+    DELAY = "delay"
+    DEADLINE = "hopeless"
     MEMORY = "memory"
     DESCRIPTORS = "descriptors"
 
@@ -135,7 +135,7 @@
         if usage.descriptors_fraction >= self.limits.descriptors_fraction:
             return ShedReason.DESCRIPTORS
         if time_left_ns - delay_ns < self.limits.min_time_left_fraction * typical_duration_ns:
-            return ShedReason.HOPELESS
+            return ShedReason.DEADLINE
         if self.shed_fraction > 0.0:
             fraction = self.order.class_shed_fraction(class_index, self.shed_fraction)
             if fraction > 0.0 and (fraction >= 1.0 or self._random.random() < fraction):
@@ -149,7 +149,7 @@
             "refusing": self.is_shedding,
             "share": round(self.shed_fraction, 4),
             "let_in": self.admitted,
-            "refused": {reason.name.lower(): count for reason, count in self.rejected.items()},
+            "refused": {reason.value: count for reason, count in self.rejected.items()},
             "delay_ms": round(self.meter.mean_delay_ns / NS_PER_MS, 3),
             "worst_ms": round(self.meter.max_delay_ns / NS_PER_MS, 3),
             "cpu": round(usage.cpu_fraction, 3),
--- a/tests/overload/test_admission.py
+++ b/tests/overload/test_admission.py
@@ -86,7 +86,7 @@
 def test_request_with_too_little_time_left_is_shed() -> None:
     admission = AdmissionController(CLASSES, OverloadLimits(min_time_left_fraction=0.5), 1, 0)
     assert admission.check(0, RECEIPT, 50 * NS_PER_MS, 5 * NS_PER_MS, 40.0 * NS_PER_MS) is None
-    assert admission.check(0, RECEIPT, 50 * NS_PER_MS, 31 * NS_PER_MS, 40.0 * NS_PER_MS) is ShedReason.HOPELESS
+    assert admission.check(0, RECEIPT, 50 * NS_PER_MS, 31 * NS_PER_MS, 40.0 * NS_PER_MS) is ShedReason.DEADLINE
     assert admission.check(0, READ, 0, 0, 0.0) is None, "the typical duration is unknown"
 
 
@@ -100,6 +100,21 @@
     assert admission.check(0, READ, TIME_LEFT_NS, 0, 0.0) is None
 
 
+def test_snapshot_has_the_keys_of_the_status(admission: AdmissionController) -> None:
+    admission.check(0, READ, TIME_LEFT_NS, 0, 0.0)
+    assert admission.snapshot() == {
+        "refusing": False,
+        "share": 0.0,
+        "let_in": 1,
+        "refused": {"delay": 0, "hopeless": 0, "memory": 0, "descriptors": 0},
+        "delay_ms": 0.0,
+        "worst_ms": 0.0,
+        "cpu": 0.0,
+        "memory": 0.0,
+        "descriptors": 0.0,
+    }
+
+
 def test_shedding_order_is_configurable() -> None:
     assert SheddingOrder(CLASSES).order == [READ, PLEDGE, RECEIPT]
     assert SheddingOrder(CLASSES, ("pledge-record",)).order == [PLEDGE, READ, RECEIPT]
