--- a/lugtally/cli/daemon.py
+++ b/lugtally/cli/daemon.py
@@ -13,7 +13,7 @@
 
 if TYPE_CHECKING:
     from lugtally.balancing import Settings
-    from lugtally.config.operator import Operator
+    from lugtally.config.operator_file import OperatorFile
     from lugtally.logs import Format
     from lugtally.overload.admission import OverloadLimits
 
@@ -75,11 +75,11 @@
     )
 
 
-def _load_operator_file(path: str) -> Operator:
+def _load_operator_file(path: str) -> OperatorFile:
     """Load the operator's file.  Its decoder is imported only if there is such a file."""
-    from lugtally.config import operator
+    from lugtally.config import operator_file
 
-    return operator.load(path)
+    return operator_file.load(path)
 
 
 @click.command("check-config")
--- a/lugtally/config/operator.py
+++ b/lugtally/config/operator_file.py
@@ -17,14 +17,14 @@
     """The file cannot be read or is invalid; the text is one line that names the field."""
 
 
-class Log(Struct, frozen=True, forbid_unknown_fields=True):
+class LogSection(Struct, frozen=True, forbid_unknown_fields=True):
     """``[log]``: the log on standard error."""
 
     format: Literal["text", "json"] = "text"
     level: Literal["DEBUG", "INFO", "WARNING", "ERROR"] = "INFO"
 
 
-class Overload(Struct, frozen=True, forbid_unknown_fields=True):
+class OverloadSection(Struct, frozen=True, forbid_unknown_fields=True):
     """``[overload]``: shed load by priority when the sidecar itself is overloaded."""
 
     enabled: bool = False
@@ -38,22 +38,22 @@
     """Names of the classes that are shed before all others."""
 
 
-class Control(Struct, frozen=True, forbid_unknown_fields=True):
+class ControlSection(Struct, frozen=True, forbid_unknown_fields=True):
     """``[control]``: the status socket."""
 
     socket: str = ""
     """Path of the Unix socket; empty for none."""
 
 
-class Operator(Struct, frozen=True, forbid_unknown_fields=True):
+class OperatorFile(Struct, frozen=True, forbid_unknown_fields=True):
     """The operator's file."""
 
-    log: Log = Log()
-    overload: Overload = Overload()
-    control: Control = Control()
+    log: LogSection = LogSection()
+    overload: OverloadSection = OverloadSection()
+    control: ControlSection = ControlSection()
 
 
-def load(path: str) -> Operator:
+def load(path: str) -> OperatorFile:
     """Read and validate the file at ``path``.
 
     Raises:
@@ -66,7 +66,7 @@
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise OperatorFileError(f"operator file: {path}: invalid TOML: {error}") from error
     try:
-        return msgspec.convert(raw, Operator)
+        return msgspec.convert(raw, OperatorFile)
     except msgspec.ValidationError as error:
         reason, _, location = str(error).partition(" - at `$")
         field = location.rstrip("`").lstrip(".")
--- a/lugtally/daemon/overload_protection.py
+++ b/lugtally/daemon/overload_protection.py
@@ -13,21 +13,21 @@
 from lugtally.units import NS_PER_MS
 
 if TYPE_CHECKING:
-    from lugtally.config.operator import Overload
+    from lugtally.config.operator_file import OverloadSection
 
 RESOURCE_READ_INTERVAL_NS = 250 * NS_PER_MS
 
 
-def overload_limits(overload: Overload, settings: balancing.Settings) -> OverloadLimits | None:
+def overload_limits(section: OverloadSection, settings: balancing.Settings) -> OverloadLimits | None:
     """Convert the ``[overload]`` section to the limits of the admission controller; ``None`` if it is disabled."""
-    if not overload.enabled:
+    if not section.enabled:
         return None
     max_retry_after_ns = min(settings.max_retry_after_ns, MAX_RETRY_AFTER_NS) if settings.retry_after_allowed else 0
     return OverloadLimits(
-        target_ns=int(overload.target_ms * NS_PER_MS),
-        memory_fraction=overload.memory,
-        descriptors_fraction=overload.descriptors,
-        shed_first=overload.refuse_first,
+        target_ns=int(section.target_ms * NS_PER_MS),
+        memory_fraction=section.memory,
+        descriptors_fraction=section.descriptors,
+        shed_first=section.refuse_first,
         max_retry_after_ns=max_retry_after_ns,
     )
 
--- a/lugtally/overload/admission.py
+++ b/lugtally/overload/admission.py
@@ -95,8 +95,8 @@
         self.order = SheddingOrder(classes, limits.shed_first)
         self.shed_fraction = 0.0
         """The fraction of all requests that is shed because of delay."""
-        self.rejected: dict[ShedReason, int] = dict.fromkeys(ShedReason, 0)
-        self.admitted = 0
+        self.shed_counts: dict[ShedReason, int] = dict.fromkeys(ShedReason, 0)
+        self.admitted_count = 0
         self._random = Random(seed)
         self._last_standing_ns = 0.0  # standing delay of the previous period
         self._last_mean_ns = 0.0  # mean delay of the previous period
@@ -120,9 +120,9 @@
         self.order.record_request(now_ns, class_index)
         reason = self._reason_to_shed(class_index, time_left_ns, delay_ns, typical_duration_ns)
         if reason is None:
-            self.admitted += 1
+            self.admitted_count += 1
         else:
-            self.rejected[reason] += 1
+            self.shed_counts[reason] += 1
         return reason
 
     def _reason_to_shed(
@@ -148,8 +148,8 @@
         return {
             "refusing": self.is_shedding,
             "share": round(self.shed_fraction, 4),
-            "let_in": self.admitted,
-            "refused": {reason.value: count for reason, count in self.rejected.items()},
+            "let_in": self.admitted_count,
+            "refused": {reason.value: count for reason, count in self.shed_counts.items()},
             "delay_ms": round(self.meter.mean_delay_ns / NS_PER_MS, 3),
             "worst_ms": round(self.meter.max_delay_ns / NS_PER_MS, 3),
             "cpu": round(usage.cpu_fraction, 3),
--- a/tests/config/test_operator.py
+++ b/tests/config/test_operator_file.py
@@ -14,7 +14,7 @@
 import pytest
 
 from lugtally import balancing
-from lugtally.config import operator
+from lugtally.config import operator_file
 from lugtally.daemon.overload_protection import overload_limits
 from lugtally.overload.admission import OverloadLimits
 from tests.sidecar_program import ROOT
@@ -37,8 +37,8 @@
 )
 
 
-def serve_command(operator_file: Path) -> list[str]:
-    return [sys.executable, "-B", "-m", "lugtally", "serve", "--operator", str(operator_file)]
+def serve_command(operator_path: Path) -> list[str]:
+    return [sys.executable, "-B", "-m", "lugtally", "serve", "--operator", str(operator_path)]
 
 
 def environment_without_config() -> dict[str, str]:
@@ -61,8 +61,8 @@
 def test_invalid_file_gives_one_line_and_status_2(tmp_path: Path, text: str, error_text: str) -> None:
     path = tmp_path / "operator.toml"
     path.write_text(text)
-    with pytest.raises(operator.OperatorFileError) as caught:
-        operator.load(str(path))
+    with pytest.raises(operator_file.OperatorFileError) as caught:
+        operator_file.load(str(path))
     assert error_text in str(caught.value)
     done = subprocess.run(
         [sys.executable, "-m", "lugtally", "check-config", "--operator", str(path)],
@@ -78,19 +78,19 @@
 
 
 def test_example_file_has_the_default_values() -> None:
-    assert operator.load(str(ROOT / "deploy" / "operator.example.toml")) == operator.Operator()
+    assert operator_file.load(str(ROOT / "deploy" / "operator.example.toml")) == operator_file.OperatorFile()
 
 
 def test_default_overload_section_equals_default_limits() -> None:
-    assert overload_limits(operator.Overload(), balancing.Settings()) is None
-    assert overload_limits(operator.Overload(enabled=True), balancing.Settings()) == OverloadLimits()
+    assert overload_limits(operator_file.OverloadSection(), balancing.Settings()) is None
+    assert overload_limits(operator_file.OverloadSection(enabled=True), balancing.Settings()) == OverloadLimits()
 
 
 def test_json_log_has_the_documented_events(tmp_path: Path, config_path: Path) -> None:
-    operator_file = tmp_path / "operator.toml"
-    operator_file.write_text("[log]\nformat = 'json'\nlevel = 'DEBUG'\n")
+    operator_path = tmp_path / "operator.toml"
+    operator_path.write_text("[log]\nformat = 'json'\nlevel = 'DEBUG'\n")
     child = subprocess.Popen(
-        serve_command(operator_file),
+        serve_command(operator_path),
         cwd=ROOT,
         stderr=subprocess.PIPE,
         text=True,
@@ -161,17 +161,17 @@
 
 
 @pytest.fixture
-def status_operator_file(tmp_path: Path, socket_path: Path) -> Path:
+def status_operator_path(tmp_path: Path, socket_path: Path) -> Path:
     """The path of an operator's file with the status socket, overload protection and JSON logs."""
     path = tmp_path / "operator.toml"
     path.write_text(f"[control]\nsocket = '{socket_path}'\n[overload]\nenabled = true\n[log]\nformat = 'json'\n")
     return path
 
 
-def test_file_at_the_socket_path_is_an_error(socket_path: Path, status_operator_file: Path, config_path: Path) -> None:
+def test_file_at_the_socket_path_is_an_error(socket_path: Path, status_operator_path: Path, config_path: Path) -> None:
     socket_path.write_text("a file of another program")
     done = subprocess.run(
-        serve_command(status_operator_file),
+        serve_command(status_operator_path),
         check=False,
         cwd=ROOT,
         capture_output=True,
@@ -184,11 +184,11 @@
 
 
 def test_status_command_shows_a_running_sidecar(
-    socket_path: Path, status_operator_file: Path, config_path: Path
+    socket_path: Path, status_operator_path: Path, config_path: Path
 ) -> None:
     leave_stale_socket(socket_path)
     child = subprocess.Popen(
-        serve_command(status_operator_file),
+        serve_command(status_operator_path),
         cwd=ROOT,
         stderr=subprocess.PIPE,
         text=True,
--- a/tests/overload/test_admission.py
+++ b/tests/overload/test_admission.py
@@ -72,7 +72,7 @@
     shares = [sum(of_class) / len(of_class) for of_class in delayed.admitted]
     assert shares[READ] < shares[PLEDGE] < shares[RECEIPT] or shares[READ] < 0.2
     assert admission.is_shedding
-    assert admission.rejected[ShedReason.DELAY] > 0
+    assert admission.shed_counts[ShedReason.DELAY] > 0
     still_delayed = send_requests(admission, delayed.end_ns, 1500 * NS_PER_MS, 60 * NS_PER_MS)
     assert sum(still_delayed.admitted[READ][-200:]) == 0
     assert admission.shed_fraction <= OverloadLimits().max_shed_fraction
