--- a/lugtally/testbed/experiments/__init__.py
+++ b/lugtally/testbed/experiments/__init__.py
@@ -1,5 +1,5 @@
-"""Playing one run, or a matrix of runs, and the baseline policies to compare with.
+"""Execution of a run or of a matrix of runs, and the baseline policies for comparisons.
 
-It owns the processes of a run and their end, whatever happens.  It must not know how they work inside: it starts
-them, passes them words and signals, and hands their event logs to the verifier.
+It owns the processes of a run and ends them in any case.  It does not know their insides: it starts them, sends them
+commands and signals, and passes their event logs to the verifier.
 """
--- a/lugtally/testbed/experiments/baselines.py
+++ b/lugtally/testbed/experiments/baselines.py
@@ -1,7 +1,7 @@
-"""Plain policies to compare with, behind the same dispatcher and the same network code as the shipped decisions.
+"""Baseline policies for comparisons, run by the same dispatcher and network code as the shipped balancer.
 
-They are part of the testbed and cannot be selected for the daemon: this module is started by the runner alone.  Each
-keeps the rules on retries and on drains; none watches load, silence or cold starts.
+They are part of the testbed and cannot be selected for the daemon; only the runner starts this module.  Each obeys the
+rules on retries and drains.  None considers load, unresponsive endpoints or cold starts.
 """
 
 from __future__ import annotations
@@ -9,13 +9,14 @@
 import os
 import sys
 from random import Random
+from typing import NamedTuple
 
 from lugtally import balancing
 from lugtally.balancing import DeduplicationScope, Endpoint, EndpointState, Idempotency
 from lugtally.units import NS_PER_MS
 
 MAX_RETRIES = 3
-ATTEMPT_SHARE = 0.5  # of the time left that an attempt gets where another may follow
+ATTEMPT_SHARE = 0.5  # of the time left, for an attempt that may be retried
 RETRY_LIST_DELAY_NS = 100 * NS_PER_MS
 RETRY = "+retry"
 RANDOM, ROUND_ROBIN, LEAST_IN_FLIGHT = "random", "round-robin", "least-in-flight"
@@ -23,20 +24,27 @@
 NAMES = tuple(pick + retry for pick in PICKS for retry in ("", RETRY))
 
 
+class SentAttempt(NamedTuple):
+    """An attempt that may have run."""
+
+    endpoint_id: int
+    sent_at_ns: int
+
+
 class PendingRequest:
-    """A request whose final response is due."""
+    """A request without a final response."""
 
     __slots__ = ("request_class", "deadline_ns", "tried", "may_have_run")
 
     def __init__(self, request_class: balancing.RequestClass, deadline_ns: int) -> None:
         self.request_class = request_class
         self.deadline_ns = deadline_ns
-        self.tried: list[int] = []  # endpoints, by attempt
-        self.may_have_run: list[tuple[int, int]] = []  # attempts: endpoint, and when it was sent
+        self.tried: list[int] = []  # endpoint of each attempt
+        self.may_have_run: list[SentAttempt] = []
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether a repeat is harmless wherever it goes."""
+        """Whether a repeat at any endpoint is harmless."""
         return self.request_class.idempotency is Idempotency.IDEMPOTENT
 
     @property
@@ -46,23 +54,23 @@
 
 
 class Baseline:
-    """A policy in the place of :class:`lugtally.balancing.balancer.Balancer`: events in, actions out."""
+    """A policy that replaces :class:`lugtally.balancing.balancer.Balancer`: events in, actions out."""
 
     def __init__(self, name: str, settings: balancing.Settings, seed: int) -> None:
-        """Build the policy of that name.  Raises ValueError for an unknown one."""
+        """Create the policy of that name.  Raises ValueError if there is none."""
         if name not in NAMES:
             raise ValueError(f"{name}: no such policy")
         self._pick, _, retry = name.partition("+")
         self._retries = bool(retry)
         self._settings = settings
         self._random = Random(seed)
-        self._turn = self._random.randrange(1 << 20)
+        self._next_index = self._random.randrange(1 << 20)
         self._endpoints: dict[int, Endpoint] = {}
         self._in_flight: dict[int, int] = {}
         self._requests: dict[str, PendingRequest] = {}
 
     def handle(self, now: int, event: balancing.Event) -> list[balancing.Action]:
-        """Return what to do about an event."""
+        """Return the actions that follow from an event."""
         match event:
             case balancing.EndpointUpdate():
                 return self._update_endpoints(event)
@@ -98,30 +106,32 @@
         request.tried.append(chosen.id)
         self._in_flight[chosen.id] = self._in_flight.get(chosen.id, 0) + 1
         time_left_ns = request.deadline_ns - now
-        may_follow = self._retries and len(request.tried) <= MAX_RETRIES and not request.is_non_idempotent
-        timeout_ns = max(NS_PER_MS, int(time_left_ns * ATTEMPT_SHARE)) if may_follow else time_left_ns
+        is_retriable = self._retries and len(request.tried) <= MAX_RETRIES and not request.is_non_idempotent
+        timeout_ns = max(NS_PER_MS, int(time_left_ns * ATTEMPT_SHARE)) if is_retriable else time_left_ns
         return [balancing.SendAttempt(request_id, chosen.id, timeout_ns)]
 
     def _candidates(self, request: PendingRequest) -> list[Endpoint]:
-        """Ready endpoints within the scope of deduplication, those not yet tried first."""
-        candidates = [one for one in self._endpoints.values() if one.state is EndpointState.READY]
+        """Return the ready endpoints within the deduplication scope, without those already tried if others are left."""
+        candidates = [endpoint for endpoint in self._endpoints.values() if endpoint.state is EndpointState.READY]
         if request.may_have_run:
             scope = request.request_class.deduplication_scope
-            first = self._endpoints.get(request.may_have_run[0][0])
+            first = self._endpoints.get(request.may_have_run[0].endpoint_id)
             if scope is DeduplicationScope.ZONE:
-                candidates = [one for one in candidates if first is not None and one.zone == first.zone]
+                candidates = [endpoint for endpoint in candidates if first is not None and endpoint.zone == first.zone]
             elif scope is DeduplicationScope.CELL:
-                candidates = [one for one in candidates if first is not None and one.cell == first.cell]
-        return [one for one in candidates if one.id not in request.tried] or candidates
+                candidates = [endpoint for endpoint in candidates if first is not None and endpoint.cell == first.cell]
+        return [endpoint for endpoint in candidates if endpoint.id not in request.tried] or candidates
 
     def _choose(self, candidates: list[Endpoint]) -> Endpoint:
         if self._pick == RANDOM:
             return self._random.choice(candidates)
         if self._pick == ROUND_ROBIN:
-            self._turn += 1
-            return sorted(candidates, key=lambda one: one.id)[self._turn % len(candidates)]
-        fewest = min(self._in_flight.get(one.id, 0) for one in candidates)
-        return self._random.choice([one for one in candidates if self._in_flight.get(one.id, 0) == fewest])
+            self._next_index += 1
+            return sorted(candidates, key=lambda endpoint: endpoint.id)[self._next_index % len(candidates)]
+        fewest = min(self._in_flight.get(endpoint.id, 0) for endpoint in candidates)
+        return self._random.choice(
+            [endpoint for endpoint in candidates if self._in_flight.get(endpoint.id, 0) == fewest]
+        )
 
     def _finish_attempt(self, now: int, event: balancing.AttemptFinished) -> list[balancing.Action]:
         self._in_flight[event.endpoint_id] = self._in_flight.get(event.endpoint_id, 1) - 1
@@ -130,7 +140,7 @@
             self._requests.pop(event.request_id, None)
             return []
         if event.result not in balancing.NOT_PROCESSED:
-            request.may_have_run.append((event.endpoint_id, now - event.duration_ns))
+            request.may_have_run.append(SentAttempt(event.endpoint_id, now - event.duration_ns))
         declined = event.result is balancing.AttemptResult.DECLINED
         if declined or not self._retries or not self._may_retry(now, request):
             return self._give_up(event.request_id, request)
@@ -146,7 +156,8 @@
             return True
         if request.is_non_idempotent:
             return False
-        return now - request.may_have_run[0][1] < request.request_class.deduplication_window_ns - margin_ns
+        elapsed_ns = now - request.may_have_run[0].sent_at_ns
+        return elapsed_ns < request.request_class.deduplication_window_ns - margin_ns
 
     def _give_up(self, request_id: str, request: PendingRequest) -> list[balancing.Action]:
         self._requests.pop(request_id, None)
@@ -156,7 +167,7 @@
 
 
 def main(name: str) -> int:
-    """Serve as the daemon does, with this policy deciding."""
+    """Serve as the daemon does, with this policy instead of the balancer."""
     from lugtally.config.sidecar import load
     from lugtally.daemon.sidecar import serve
 
--- a/lugtally/testbed/experiments/experiment.py
+++ b/lugtally/testbed/experiments/experiment.py
@@ -1,4 +1,4 @@
-"""Experiments: settings x policies x scenarios x seeds, as a file describes them."""
+"""Experiment files: a matrix of settings, policies, scenarios and seeds."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 from lugtally.testbed.scenario.scenario import ScenarioError
 from lugtally.testbed.scenario.scenario_file import from_tree, shipped
 
-CORES_PER_RUN = 4  # two for the testbed, two for its sidecars
+CORES_PER_RUN = 4  # two for the testbed, two for the sidecars
 
 
 class Setting(Struct, frozen=True, forbid_unknown_fields=True, rename={"changes": "set"}):
-    """Changes to every scenario, by ``table.field``."""
+    """Changes to every scenario, by ``table.key``."""
 
     name: str
     changes: dict[str, Any] = {}
-    operator: str = ""  # an operator's file for the sidecars, beside the experiment's own or by its path
+    operator: str = ""  # path of an operator's file for the sidecars, relative to the experiment's file
 
 
 class Experiment(Struct, frozen=True, forbid_unknown_fields=True, rename={"cores_per_run": "cores_each"}):
-    """What an experiment's file holds."""
+    """Content of an experiment file."""
 
     name: str
     scenarios: tuple[str, ...]
@@ -47,13 +47,13 @@
 
     @property
     def name(self) -> str:
-        """Its name as a file."""
+        """Name of its files, without a suffix."""
         text = f"{self.setting.name}.{Path(self.scenario).stem}.{self.policy}.{self.seed}"
         return "".join(character if character.isalnum() or character in ".-+" else "_" for character in text)
 
 
 def read(path: Path) -> Experiment:
-    """Read an experiment's file.  Raises ScenarioError, whose one line names the field."""
+    """Read an experiment file.  Raises ScenarioError, with a message of one line that names the field."""
     try:
         experiment = msgspec.convert(tomllib.loads(path.read_text(encoding="utf-8")), Experiment)
     except OSError as error:
@@ -72,7 +72,7 @@
 
 
 def changed_scenario(name: str, setting: Setting) -> str:
-    """The text of a scenario, as JSON, with the setting's changes.  Raises ScenarioError."""
+    """Return a scenario with the changes of a setting, as JSON.  Raises ScenarioError."""
     texts = shipped()
     try:
         text = texts[name] if name in texts else Path(name).read_text(encoding="utf-8")
@@ -94,7 +94,7 @@
 
 
 def cells_of(experiment: Experiment) -> list[Cell]:
-    """All runs, seeds outermost: what an interrupt leaves is complete for the first seeds."""
+    """Return all runs.  Seeds are the outermost loop, so that an interrupted experiment has complete seeds."""
     return [
         Cell(setting, scenario, seed, policy)
         for seed in experiment.seeds
@@ -105,7 +105,7 @@
 
 
 def _with_operator_path(setting: Setting, path: Path) -> Setting:
-    """Resolve the operator's file beside the experiment's own.  Raises ScenarioError where there is none."""
+    """Resolve the path of the operator's file.  Raises ScenarioError if the file does not exist."""
     operator = Path(setting.operator)
     if setting.operator and not operator.is_absolute():
         setting = msgspec.structs.replace(setting, operator=str(path.parent / operator))
--- a/lugtally/testbed/experiments/matrix.py
+++ b/lugtally/testbed/experiments/matrix.py
@@ -1,7 +1,7 @@
-"""Plays the runs of an experiment side by side, within the cores there are.
+"""Parallel execution of the runs of an experiment, within the cores of the machine.
 
-Each cell is a run in a process of its own and one report file.  A cell whose file is there is not played again, so an
-experiment goes on where an interrupt left it.  A void cell is played again, twice at most, and left out after that.
+Each cell is a run in a process of its own, with one report file.  A cell with a report is not executed again, so that
+an interrupted experiment resumes.  A void cell is executed up to three times.
 """
 
 from __future__ import annotations
@@ -19,57 +19,58 @@
 from lugtally.testbed.reporting import report_file
 from lugtally.testbed.reporting.report import INTERRUPTED, Report, Verdict
 
-MAX_TURNS = 3  # of a void cell
+MAX_RUNS = 3  # of a void cell
 POLL_S = 0.1
-OnProgress = Callable[[int, str], None]  # cells that have a report, and the names of those being played
+OnProgress = Callable[[int, str], None]  # number of cells with a report, names of the running ones
 
 
-class _Turn(NamedTuple):
-    """A cell, and how many times it is played with this one."""
+class _CellRun(NamedTuple):
+    """A run of a cell; ``number`` counts its runs from 1."""
 
     cell: Cell
     number: int
 
 
 def _ignore_progress(_done: int, _playing: str) -> None:
-    """Show nothing."""
+    """Do nothing."""
 
 
 def play_cells(
     cells: list[Cell], folder: Path, max_parallel: int, on_progress: OnProgress = _ignore_progress
 ) -> dict[str, Report]:
-    """Play the cells that have no report yet; return all reports by the cells' names."""
+    """Execute the cells without a report; return all reports by the name of their cell."""
     folder.mkdir(parents=True, exist_ok=True)
     reports = {cell.name: _finished_report(folder, cell) for cell in cells}
-    waiting = deque(_Turn(cell, 1) for cell in cells if reports[cell.name] is None)
-    running: dict[subprocess.Popen[bytes], _Turn] = {}
+    waiting = deque(_CellRun(cell, 1) for cell in cells if reports[cell.name] is None)
+    running: dict[subprocess.Popen[bytes], _CellRun] = {}
     try:
         while waiting or running:
             while waiting and len(running) < max_parallel:
-                turn = waiting.popleft()
-                running[_start(turn.cell, folder)] = turn
+                run = waiting.popleft()
+                running[_start(run.cell, folder)] = run
             time.sleep(POLL_S)
             for child in [child for child in running if child.poll() is not None]:
-                turn = running.pop(child)
-                reports[turn.cell.name] = report = _finished_report(folder, turn.cell)
-                if (report is None or report.verdict == Verdict.VOID) and turn.number < MAX_TURNS:
-                    waiting.append(_Turn(turn.cell, turn.number + 1))
-            playing = ", ".join(turn.cell.name for turn in running.values())
+                run = running.pop(child)
+                reports[run.cell.name] = report = _finished_report(folder, run.cell)
+                if (report is None or report.verdict == Verdict.VOID) and run.number < MAX_RUNS:
+                    waiting.append(_CellRun(run.cell, run.number + 1))
+            playing = ", ".join(run.cell.name for run in running.values())
             on_progress(sum(report is not None for report in reports.values()), playing)
     finally:
         for child in running:
-            child.terminate()  # SIGTERM ends a run as Ctrl-C does
+            child.terminate()  # a run handles SIGTERM like Ctrl-C
         for child in running:
             child.wait()
     return {name: report for name, report in reports.items() if report is not None}
 
 
 def max_parallel_runs(cores_per_run: int) -> int:
-    """How many runs the machine carries side by side."""
+    """Return how many runs the cores of the machine allow in parallel."""
     return max(1, (os.cpu_count() or 1) // max(1, cores_per_run))
 
 
 def _start(cell: Cell, folder: Path) -> subprocess.Popen[bytes]:
+    """Start the process of a run."""
     path = folder / f"{cell.name}{report_file.SCENARIO_SUFFIX}"
     path.write_text(changed_scenario(cell.scenario, cell.setting), encoding="utf-8")
     command = [sys.executable, "-B", "-m", "lugtally", "rehearse", "run", str(path)]
@@ -86,7 +87,7 @@
 
 
 def _finished_report(folder: Path, cell: Cell) -> Report | None:
-    """The report of a cell; none where there is none, or where the run was interrupted."""
+    """Return the report of a cell, None if there is none or the run was interrupted."""
     try:
         (report,) = report_file.load(_report_path(folder, cell))
     except (report_file.ReportError, ValueError):
--- a/lugtally/testbed/experiments/runner.py
+++ b/lugtally/testbed/experiments/runner.py
@@ -1,7 +1,7 @@
-"""Plays one run: starts the emulated fleet, the real sidecars and the load generator, and has their logs verified.
+"""Execution of one run: the emulated fleet, the real sidecars and the load generator, then the verification.
 
-Every process is a child of this one in a session of its own, and is ended by its id whatever happens here: Ctrl-C
-leaves none of them and still gives a report on what was seen so far.
+Every process is a child in a session of its own and is ended by its id in any case.  After Ctrl-C no process is left,
+and the report covers the run until then.
 """
 
 from __future__ import annotations
@@ -32,20 +32,20 @@
 from lugtally.testbed.verification.records import ProcessEvent
 from lugtally.testbed.verification.verifier import verify
 
-START_DELAY_S = 0.4  # between the word ``go`` and the first second of the scenario
+START_DELAY_S = 0.4  # between the command ``go`` and the start of the scenario
 POLL_S = 0.05
 MODULE = "module"  # the policy that the daemon ships
 
-FLEET, LOAD, RUNNER = "world", "load", "runner"  # as the files of a run are named
+FLEET, LOAD, RUNNER = "world", "load", "runner"  # names of the files of a run
 PROCESS_MODULES = {FLEET: "lugtally.testbed.emulator.process", LOAD: "lugtally.testbed.loadgen.generator"}
 
 
 def _ignore_progress(_seconds: float, _phase: str) -> None:
-    """Show nothing."""
+    """Do nothing."""
 
 
 class Run:
-    """One scenario under one seed with one policy.  ``on_progress`` gets the seconds played and the phase."""
+    """A run of a scenario with one seed and policy.  ``on_progress`` gets the elapsed seconds and the phase."""
 
     def __init__(
         self,
@@ -58,9 +58,9 @@
         command: list[str] | None = None,
         operator: Path | None = None,
     ) -> None:
-        """Draw the schedule.  Raises RunError for an unknown policy.
+        """Draw the schedule.  Raises RunError if the policy is unknown.
 
-        Without ``folder`` the files of the run are temporary; ``command`` starts another program as the sidecar;
+        Without ``folder`` the files of the run are temporary.  ``command`` replaces the sidecar by another program,
         ``operator`` is an operator's file for the sidecars.
         """
         self._scenario, self._seed, self._policy = scenario, seed, policy
@@ -71,12 +71,12 @@
         self._folder.mkdir(parents=True, exist_ok=True)
         self._command = command or _sidecar_command(policy, operator)
         self._base = time.monotonic()
-        self._start = 0.0  # of the scenario's first second
+        self._start = 0.0  # of the scenario, in seconds since the base
         self._children = ChildProcesses(self._folder)
         self._event_log = EventLogWriter(self._event_log_path(RUNNER))
 
     def play(self) -> Report:
-        """Play it to the end, or to Ctrl-C, and verify what was recorded.  Raises RunError."""
+        """Execute the run until its end or Ctrl-C, and verify its records.  Raises RunError."""
         block = loopback.LoopbackBlock()
         sidecars = SidecarGroup(
             self._schedule, block.number, self._command, self._folder, self._children, self._clock, self._record
@@ -87,7 +87,7 @@
         except KeyboardInterrupt:
             was_interrupted = True
         finally:
-            # From here on a second Ctrl-C must not leave processes behind either.
+            # A second Ctrl-C must not interrupt the end of the processes.
             with _stop_signals_ignored():
                 sidecars.stop()
                 self._children.stop()
@@ -110,19 +110,19 @@
         self._on_progress(self._scenario.length_s, "stopping")
 
     def _follow(self, fleet: subprocess.Popen[bytes], load: subprocess.Popen[bytes], sidecars: SidecarGroup) -> None:
-        """Play the faults of sidecars until the load generator is done."""
+        """Apply the faults of sidecars until the load generator is done."""
         events = [event for event in self._schedule.events if event.fault.kind.startswith(SIDECAR_PREFIX)]
         assert load.stdout is not None
         while True:
             is_done, _, _ = select.select([load.stdout], [], [], POLL_S)
             if is_done:
-                return  # it said so, or it ended
+                return  # the load generator printed ``done`` or ended
             now = self._clock()
             while events and now >= self._start + events[0].at:
                 sidecars.apply(events.pop(0))
             sidecars.poll()
             if fleet.poll() is not None:
-                raise RunError(f"the stand-ins ended; their log is in {self._folder}")
+                raise RunError(f"the emulated fleet ended; its log is in {self._folder}")
             self._on_progress(min(self._scenario.length_s, max(0.0, now - self._start)), "playing")
 
     def _report(self, sidecars: SidecarGroup, was_interrupted: bool) -> Report:
@@ -158,23 +158,23 @@
         self._event_log.flush()
 
     def _clock(self) -> float:
-        """Seconds since the base."""
+        """Return the seconds since the base."""
         return time.monotonic() - self._base
 
 
 def _sidecar_command(policy: str, operator: Path | None) -> list[str]:
-    """The command of the real sidecar, or of a baseline policy.  Raises RunError."""
+    """Return the command of the real sidecar or of a baseline policy.  Raises RunError."""
     if policy == MODULE:
         options = ["--operator", str(operator.resolve())] if operator is not None else []
         return [sys.executable, "-B", "-m", "lugtally", "serve", "--log-level", "WARNING", *options]
     if policy not in baselines.NAMES:
-        raise RunError(f"{policy}: no policy; there are {MODULE}, {', '.join(baselines.NAMES)}")
+        raise RunError(f"{policy}: unknown policy; known are {MODULE}, {', '.join(baselines.NAMES)}")
     return [sys.executable, "-B", "-m", "lugtally.testbed.experiments.baselines", policy]
 
 
 @contextmanager
 def _stop_signals_ignored() -> Iterator[None]:
-    """Ignore the signals that end a run; only the main thread can receive them at all."""
+    """Ignore the signals that end a run.  Does nothing outside the main thread, which alone receives signals."""
     if threading.current_thread() is not threading.main_thread():
         yield
         return
--- a/lugtally/testbed/experiments/sidecar_configuration.py
+++ b/lugtally/testbed/experiments/sidecar_configuration.py
@@ -1,4 +1,4 @@
-"""What a sidecar is started with: its ``config.json``, in the words of the platform's wire."""
+"""The ``config.json`` of a sidecar, with the keys of the platform."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def sidecar_configuration(schedule: Schedule, block: int, sidecar: int) -> dict[str, Any]:
-    """Build the configuration of a sidecar, whose addresses are in that block of loopback."""
+    """Return the configuration of a sidecar with addresses in a block of loopback."""
     scenario = schedule.scenario
     return {
         "name": f"n{sidecar}",
--- a/lugtally/testbed/experiments/sidecars.py
+++ b/lugtally/testbed/experiments/sidecars.py
@@ -1,4 +1,4 @@
-"""The sidecar processes of a run: starting, faults, restarts, what they use, and their end."""
+"""Sidecar processes of a run: start, faults, restarts, resource usage and stop."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from lugtally.testbed.scenario.schedule import Schedule
 from lugtally.testbed.verification.records import ProcessEvent, ProcessEventKind
 
-STOP_TIMEOUT_S = 8.0  # for a sidecar to end after SIGTERM, beyond the longest deadline
+STOP_TIMEOUT_S = 8.0  # for a sidecar to end after SIGTERM, in addition to the longest deadline
 STOP_POLL_S = 0.01
 START_POLL_S = 0.02
 SAMPLE_INTERVAL_S = 0.5
@@ -40,18 +40,18 @@
 
 @dataclass(slots=True)
 class Sidecar:
-    """One sidecar's process, and what is to become of it."""
+    """A sidecar: its process, state and resource usage."""
 
     number: int
     process: subprocess.Popen[bytes] | None = None
     statistics: psutil.Process | None = None
     is_ready: bool = False
-    is_stopping: bool = False  # it was sent a signal that ends it
+    is_stopping: bool = False  # a signal that ends it was sent
     restart_at: float | None = None
-    cpu_s: float = 0.0  # over all its restarts
+    cpu_s: float = 0.0  # over all restarts
     cpu_before_restart_s: float = 0.0
     max_rss_mb: float = 0.0
-    core: int | None = None  # to which it is pinned
+    core: int | None = None  # that it is pinned to
 
 
 class SidecarGroup:
@@ -67,7 +67,7 @@
         clock: Callable[[], float],
         record: Callable[[ProcessEvent], None],
     ) -> None:
-        """``command`` starts a sidecar; its configuration is written to ``folder``."""
+        """Prepare the sidecars that ``command`` starts.  Their configurations are written to ``folder``."""
         self._schedule = schedule
         self._block = block
         self._command = command
@@ -89,18 +89,19 @@
             self._start(sidecar)
 
     def await_ready(self) -> None:
-        """Wait until all sidecars answer that they are ready.  Raises RunError."""
+        """Wait until all sidecars are ready.  Raises RunError."""
         until = self._clock() + READY_TIMEOUT_S
         while not all(sidecar.is_ready for sidecar in self._sidecars):
             self.poll()
             if self._clock() > until:
                 raise RunError(f"a sidecar was not ready after {READY_TIMEOUT_S:g} s; its log is in {self._folder}")
-            if any(one.process is not None and one.process.poll() is not None for one in self._sidecars):
+            processes = [sidecar.process for sidecar in self._sidecars if sidecar.process is not None]
+            if any(process.poll() is not None for process in processes):
                 raise RunError(f"a sidecar ended before it was ready; its log is in {self._folder}")
             time.sleep(START_POLL_S)
 
     def poll(self) -> None:
-        """Record which sidecars are ready or have ended, and restart those that are due."""
+        """Record the sidecars that became ready or ended, and restart those that are due."""
         self._sample_usage()
         for sidecar in self._sidecars:
             if sidecar.process is not None:
@@ -110,7 +111,7 @@
                 self._start(sidecar)
 
     def apply(self, event: FaultEvent) -> None:
-        """Begin or end a fault of a sidecar."""
+        """Apply the begin or end of a fault of a sidecar."""
         sidecar, fault = self._sidecars[event.fault.sidecar], event.fault
         if fault.kind == "sidecar-starved":
             self._starve(sidecar, event)
@@ -123,7 +124,7 @@
         self._send_signal(sidecar, sidecar.process, kind)
 
     def stop(self) -> None:
-        """Stop all sidecars as planned: SIGTERM, and time for the requests in flight."""
+        """Send SIGTERM to all sidecars and wait until they have shut down."""
         self._sample_usage(force=True)
         self._contention.kill_all()
         for sidecar in self._sidecars:
@@ -137,8 +138,8 @@
             time.sleep(STOP_POLL_S)
 
     def usage(self) -> list[SidecarUsage]:
-        """What each sidecar used."""
-        return [SidecarUsage(round(one.cpu_s, 3), round(one.max_rss_mb, 2)) for one in self._sidecars]
+        """Return the resource usage of each sidecar."""
+        return [SidecarUsage(round(sidecar.cpu_s, 3), round(sidecar.max_rss_mb, 2)) for sidecar in self._sidecars]
 
     def _configuration_path(self, sidecar: Sidecar) -> Path:
         return self._folder / f"sidecar-{sidecar.number}.json"
@@ -159,7 +160,7 @@
         sidecar.is_ready = False
 
     def _pin_to_cores(self) -> None:
-        """Give each sidecar a core from the last one down, as the testbed's own processes begin at the first."""
+        """Assign a core to each sidecar, from the last core down."""
         cores = sorted(os.sched_getaffinity(0))
         for sidecar in self._sidecars:
             sidecar.core = cores[-1 - sidecar.number % len(cores)]
@@ -188,7 +189,7 @@
         if not event.begins:
             self._contention.stop(sidecar.number)
             return
-        assert sidecar.core is not None, "a scenario that starves a sidecar pins them"
+        assert sidecar.core is not None, "scenarios with starved sidecars pin them"
         self._contention.start(sidecar.number, sidecar.core, event.fault.size)
 
     def _sample_usage(self, *, force: bool = False) -> None:
@@ -208,7 +209,7 @@
 
 
 def is_ready(block: int, sidecar: int) -> bool:
-    """Whether a sidecar answers that it is ready."""
+    """Return whether a sidecar reports that it is ready."""
     address = (loopback.sidecar_host(block, sidecar), loopback.PORT)
     try:
         with socket.create_connection(address, HEALTH_TIMEOUT_S) as connection:
