--- a/lugtally/testbed/reporting/__init__.py
+++ b/lugtally/testbed/reporting/__init__.py
@@ -1,5 +1,5 @@
-"""Reports of runs: figures, pages, tables and comparisons.
+"""Reports of runs: documents, pages, tables, plots and comparisons.
 
-It owns the report's document with its keys and schema, and all that is printed or drawn from it.  It must not know
-how a run was played: it gets the schedule, the findings and the event log.
+It owns the document of a report with its keys and schema, and everything that is printed or drawn from it.  It does
+not know how a run was executed: its input is the schedule, the findings and the event log.
 """
--- a/lugtally/testbed/reporting/compare.py
+++ b/lugtally/testbed/reporting/compare.py
@@ -1,7 +1,7 @@
-"""Two sets of runs side by side: differences paired by scenario and seed, with bootstrap intervals.
+"""Comparison of two sets of runs: differences paired by scenario and seed, with bootstrap intervals.
 
-The percentile bootstrap of Efron (1979) over the paired differences.  Where the interval holds zero, or where there
-are too few pairs for one, the finding is "no difference seen".
+The intervals are percentile bootstraps (Efron, 1979) of the paired differences.  If an interval contains zero, or
+there are too few pairs for one, the finding is "no difference seen".
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 from lugtally.testbed.scenario.random_streams import stream
 
 RESAMPLES = 10_000
-LEVEL = 0.95
-MIN_PAIRS = 4  # with fewer, resampling says nothing of the spread
+CONFIDENCE_LEVEL = 0.95
+MIN_PAIRS = 4  # for an interval
 NO_DIFFERENCE = "no difference seen"
 
 
@@ -26,12 +26,37 @@
 
 
 class Measure(NamedTuple):
-    """A figure of a run."""
+    """A figure of a run, and in which direction it is better."""
 
     value: Callable[[Report], float]
     more_is_better: bool
 
 
+class RunPair(NamedTuple):
+    """Runs of the same scenario and seed, one of each set."""
+
+    a: Report
+    b: Report
+
+
+class Interval(NamedTuple):
+    """A confidence interval."""
+
+    low: float
+    high: float
+
+    def contains_zero(self) -> bool:
+        """Return whether the interval contains zero."""
+        return self.low <= 0 <= self.high
+
+
+class _RunKey(NamedTuple):
+    """What the runs of a pair have in common."""
+
+    scenario: str
+    seed: int
+
+
 def _per_client_attempt(value: float, report: Report) -> float:
     return value / max(1, report.findings.client_attempts)
 
@@ -46,67 +71,73 @@
     "waste": Measure(lambda report: report.findings.prices["waste"], False),
     "broken rules": Measure(lambda report: float(sum(report.violations_by_name.values())), False),
     "sidecar CPU ms a try": Measure(
-        lambda report: _per_client_attempt(1000 * sum(one.cpu_s for one in report.sidecars), report), False
+        lambda report: _per_client_attempt(1000 * sum(sidecar.cpu_s for sidecar in report.sidecars), report), False
     ),
 }
 
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """One measure, B less A."""
+    """Difference of a measure: B minus A."""
 
     measure: str
     pairs: int
     mean_a: float
     mean_b: float
     mean: float
-    low: float  # of the interval; equal to ``mean`` where there is none
-    high: float
+    low: float  # of the interval; ``mean`` if there is none
+    high: float  # the same
     finding: str
 
 
-def pair_runs(first: list[Report], second: list[Report]) -> list[tuple[Report, Report]]:
-    """Pair runs of the same scenario and seed in both sets; void ones say nothing and are left out.
-
-    Raises CompareError where there is no pair.
-    """
-    by_key_first, by_key_second = _by_scenario_and_seed(first), _by_scenario_and_seed(second)
-    common = sorted(by_key_first.keys() & by_key_second.keys())
+def pair_runs(set_a: list[Report], set_b: list[Report]) -> list[RunPair]:
+    """Pair the runs of the same scenario and seed, without void ones.  Raises CompareError if there is no pair."""
+    runs_a, runs_b = _by_scenario_and_seed(set_a), _by_scenario_and_seed(set_b)
+    common = sorted(runs_a.keys() & runs_b.keys())
     if not common:
-        raise CompareError("no scenario was played under the same seed in both")
-    return [(by_key_first[key], by_key_second[key]) for key in common]
+        raise CompareError("no scenario was run with the same seed in both")
+    return [RunPair(runs_a[key], runs_b[key]) for key in common]
 
 
-def bootstrap_interval(differences: list[float], *name: object) -> tuple[float, float]:
-    """The bootstrap interval of their mean; the same numbers give the same interval."""
+def bootstrap_interval(differences: list[float], *name: object) -> Interval:
+    """Return the bootstrap interval of the mean.  The same differences and name give the same interval."""
     values = np.array(differences)
     draws = stream(0, "bootstrap", len(values), *name).integers(len(values), size=(RESAMPLES, len(values)))
     means = values[draws].mean(axis=1)
-    tail = (1 - LEVEL) / 2
+    tail = (1 - CONFIDENCE_LEVEL) / 2
     low, high = np.quantile(means, [tail, 1 - tail])
-    return float(low), float(high)
+    return Interval(float(low), float(high))
 
 
-def compare(first: list[Report], second: list[Report]) -> list[Difference]:
-    """Compare every measure, B less A.  Raises CompareError."""
-    pairs = pair_runs(first, second)
+def compare(set_a: list[Report], set_b: list[Report]) -> list[Difference]:
+    """Compare every measure of two sets.  Raises CompareError if there is no pair."""
+    pairs = pair_runs(set_a, set_b)
     return [_compare_measure(name, measure, pairs) for name, measure in MEASURES.items()]
 
 
-def _by_scenario_and_seed(reports: list[Report]) -> dict[tuple[str, int], Report]:
-    return {(report.scenario, report.seed): report for report in reports if report.verdict != Verdict.VOID}
+def _by_scenario_and_seed(reports: list[Report]) -> dict[_RunKey, Report]:
+    return {_RunKey(report.scenario, report.seed): report for report in reports if report.verdict != Verdict.VOID}
 
 
-def _compare_measure(name: str, measure: Measure, pairs: list[tuple[Report, Report]]) -> Difference:
-    values_a = [measure.value(report) for report, _ in pairs]
-    values_b = [measure.value(report) for _, report in pairs]
+def _compare_measure(name: str, measure: Measure, pairs: list[RunPair]) -> Difference:
+    values_a = [measure.value(pair.a) for pair in pairs]
+    values_b = [measure.value(pair.b) for pair in pairs]
     differences = [value_b - value_a for value_a, value_b in zip(values_a, values_b, strict=True)]
     mean = float(np.mean(differences))
     if len(pairs) < MIN_PAIRS:
-        low = high = mean
+        interval = Interval(mean, mean)
         finding = f"{NO_DIFFERENCE}: {len(pairs)} pairs, {MIN_PAIRS} needed"
     else:
-        low, high = bootstrap_interval(differences, name)
-        better = "B is better" if (mean > 0) == measure.more_is_better else "B is worse"
-        finding = NO_DIFFERENCE if low <= 0 <= high else better
-    return Difference(name, len(pairs), float(np.mean(values_a)), float(np.mean(values_b)), mean, low, high, finding)
+        interval = bootstrap_interval(differences, name)
+        direction = "B is better" if (mean > 0) == measure.more_is_better else "B is worse"
+        finding = NO_DIFFERENCE if interval.contains_zero() else direction
+    return Difference(
+        measure=name,
+        pairs=len(pairs),
+        mean_a=float(np.mean(values_a)),
+        mean_b=float(np.mean(values_b)),
+        mean=mean,
+        low=interval.low,
+        high=interval.high,
+        finding=finding,
+    )
--- a/lugtally/testbed/reporting/page.py
+++ b/lugtally/testbed/reporting/page.py
@@ -1,4 +1,4 @@
-"""A report as one self-contained HTML page."""
+"""Report as a self-contained HTML page."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def write_page(report: Report, path: Path) -> None:
-    """Write one HTML file that needs nothing else."""
+    """Write a report to an HTML file without external resources."""
     text = (resources.files("lugtally.testbed.reporting") / TEMPLATE).read_text(encoding="utf-8")
     template = jinja2.Environment(autoescape=True, undefined=jinja2.StrictUndefined).from_string(text)
     page = template.render(
--- a/lugtally/testbed/reporting/plots.py
+++ b/lugtally/testbed/reporting/plots.py
@@ -1,4 +1,4 @@
-"""Plots as SVG; the same data give the same bytes."""
+"""Plots as SVG.  The same data give the same bytes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def pyplot() -> Any:
-    """Load matplotlib for files, without a display."""
+    """Load matplotlib with a backend that needs no display."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -25,18 +25,18 @@
 
 
 def save_svg(figure: Any, file: Path | io.StringIO) -> None:
-    """Write a figure and close it."""
+    """Write a figure to a file and close it."""
     figure.savefig(file, format="svg", bbox_inches="tight", metadata=NO_METADATA)
     pyplot().close(figure)
 
 
 def plot_report(report: Report) -> dict[str, str]:
-    """Draw the plots of a run: title to SVG element."""
+    """Return the plots of a run as SVG elements, by title."""
     return {
         "Service over time, by class": _plot_service(report),
         "Latency of served requests": _plot_latencies(report),
-        "Requests held, by server": _plot_in_flight(report),
-        "Attempts per try": _plot_attempts(report),
+        "Requests in flight, by server": _plot_in_flight(report),
+        "Server attempts per client attempt": _plot_attempts(report),
     }
 
 
@@ -48,7 +48,7 @@
 
 
 def _mark_faults(axes: Any, report: Report) -> None:
-    """Shade the time of each fault."""
+    """Shade the duration of each fault."""
     for index, fault in enumerate(report.faults):
         end = report.length_s if fault.ended_s is None else fault.ended_s
         axes.axvspan(fault.began_s, end, color=f"C{3 + index % 6}", alpha=0.12, lw=0)
@@ -68,7 +68,7 @@
     for name, values in report.findings.per_second.items():
         axes.step(range(len(values)), values, where="post", label=name)
     _mark_faults(axes, report)
-    axes.set(xlabel="seconds", ylabel="share of worth", ylim=(0, 1.05), xlim=(0, report.length_s))
+    axes.set(xlabel="seconds", ylabel="share of the weight", ylim=(0, 1.05), xlim=(0, report.length_s))
     axes.legend(loc="lower left", fontsize=7)
     return _svg_element(figure)
 
@@ -87,9 +87,10 @@
 def _plot_in_flight(report: Report) -> str:
     figure, axes = pyplot().subplots(figsize=(9, 3))
     for server, samples in sorted(report.in_flight.items()):
-        axes.plot([at for at, _ in samples], [requests for _, requests in samples], lw=0.8, label=server)
+        times, counts = [sample.at for sample in samples], [sample.requests for sample in samples]
+        axes.plot(times, counts, lw=0.8, label=server)
     _mark_faults(axes, report)
-    axes.set(xlabel="seconds", ylabel="requests held", xlim=(0, report.length_s))
+    axes.set(xlabel="seconds", ylabel="requests in flight", xlim=(0, report.length_s))
     if len(report.in_flight) <= MAX_LEGEND_SERVERS:
         axes.legend(fontsize=5, ncol=4)
     return _svg_element(figure)
@@ -99,5 +100,5 @@
     figure, axes = pyplot().subplots(figsize=(9, 2.5))
     counts = report.attempts_per_client_attempt
     axes.bar(list(counts), [max(count, 0.5) for count in counts.values()])
-    axes.set(xlabel="attempts of a try (9: or more)", ylabel="tries", yscale="log")
+    axes.set(xlabel="server attempts (9: or more)", ylabel="client attempts", yscale="log")
     return _svg_element(figure)
--- a/lugtally/testbed/reporting/report.py
+++ b/lugtally/testbed/reporting/report.py
@@ -1,4 +1,4 @@
-"""The report: everything that a run showed, as one JSON document with a versioned schema.
+"""Report of a run, a JSON document with a versioned schema.
 
 The keys of the document are stored data: a field whose name differs from its key is listed in its ``rename`` table.
 """
@@ -9,6 +9,7 @@
 import platform
 from collections import Counter, defaultdict
 from enum import StrEnum
+from typing import NamedTuple
 
 import msgspec
 from hdrh.histogram import HdrHistogram
@@ -19,20 +20,20 @@
 from lugtally.testbed.scenario.scenario import Expect, RequestClass
 from lugtally.testbed.scenario.schedule import Schedule
 from lugtally.testbed.verification.event_log import EventLog
-from lugtally.testbed.verification.records import ClientOutcome, TimerLagReport
+from lugtally.testbed.verification.records import ClientAttempt, ClientOutcome, TimerLagReport
 from lugtally.testbed.verification.verifier import Findings
 
 SCHEMA = 1
-MAX_LISTED_VIOLATIONS = 200  # all are counted
-MAX_COUNTED_ATTEMPTS = 9  # of a client's attempt; more count as so many
+MAX_LISTED_VIOLATIONS = 200  # the counts by name include all
+MAX_COUNTED_ATTEMPTS = 9  # of a client attempt; more are counted as 9
 MAX_LATENCY_US = 120_000_000
 SIGNIFICANT_FIGURES = 3
 PERCENTILES = (50.0, 90.0, 99.0, 99.9, 100.0)
-INTERRUPTED = "interrupted"  # the first word of the reason why a run that was interrupted is void
+INTERRUPTED = "interrupted"  # start of the reason of a void run that was interrupted
 
 
 class Verdict(StrEnum):
-    """The one word on a run."""
+    """Verdict on a run."""
 
     PASSED = "passed"
     FAILED = "failed"
@@ -44,7 +45,7 @@
 
 
 class Latency(Struct):
-    """Served requests of a class: milliseconds from the intended time of the first attempt, by percentile."""
+    """Latency of the served requests of a class, in milliseconds from the intended time of the first attempt."""
 
     name: str
     count: int
@@ -52,19 +53,33 @@
 
 
 class PlayedFault(Struct, rename={"began_s": "begun_s"}):
-    """A fault as it was played."""
+    """A fault of a run."""
 
     kind: str
     began_s: float
     ended_s: float | None
-    servers: list[str]  # empty where all servers had it
+    servers: list[str]  # empty if it affected all servers
 
 
 class SidecarUsage(Struct):
-    """What a sidecar used."""
+    """Resource usage of a sidecar."""
 
     cpu_s: float
-    rss_mb: float  # the most seen
+    rss_mb: float  # maximum
+
+
+class InFlightSample(NamedTuple):
+    """Number of requests in service or queued at a server, ``at`` seconds into the run."""
+
+    at: float
+    requests: int
+
+
+class Judgement(NamedTuple):
+    """Verdict on a run and its reasons."""
+
+    verdict: Verdict
+    reasons: list[str]
 
 
 class Report(
@@ -76,7 +91,7 @@
         "timer_lags": "late",
     },
 ):
-    """One run."""
+    """Report of a run."""
 
     schema: int
     scenario: str
@@ -93,26 +108,28 @@
     violations_by_name: dict[str, int]
     findings: Findings
     latencies: list[Latency]
-    in_flight: dict[str, list[tuple[float, int]]]  # by server: seconds, requests in work or waiting
+    in_flight: dict[str, list[InFlightSample]]  # by server
     attempts_per_client_attempt: dict[str, int]
     faults: list[PlayedFault]
     timer_lags: list[TimerLagReport]
     sidecars: list[SidecarUsage]
 
 
-def judge_run(findings: Findings, expect: Expect) -> tuple[Verdict, list[str]]:
-    """The verdict on a run and its reasons.  A run whose testbed ran late is void, whatever it shows."""
+def judge_run(findings: Findings, expect: Expect) -> Judgement:
+    """Judge a run.  Void reasons take precedence over violations, and violations over missed minimums."""
     if findings.void_reasons:
-        return Verdict.VOID, list(findings.void_reasons)
+        return Judgement(Verdict.VOID, list(findings.void_reasons))
     if findings.violations:
-        return Verdict.BROKEN, _broken_rules(findings)
-    floors = [
+        return Judgement(Verdict.BROKEN, _broken_rules(findings))
+    minimums = [
         ("service", findings.service, expect.service),
         ("worst class", findings.worst_class, expect.worst_class),
         ("worst 10 s", findings.worst_10s, expect.worst_10s),
     ]
-    missed = [f"{name} {value:.3f}, expected {floor:g} or more" for name, value, floor in floors if value < floor]
-    return (Verdict.FAILED, missed) if missed else (Verdict.PASSED, [])
+    missed = [
+        f"{name} {value:.3f}, expected {minimum:g} or more" for name, value, minimum in minimums if value < minimum
+    ]
+    return Judgement(Verdict.FAILED if missed else Verdict.PASSED, missed)
 
 
 def build_report(
@@ -123,9 +140,9 @@
     start: float,
     sidecars: list[SidecarUsage],
 ) -> Report:
-    """Put together the report of a run that began ``start`` seconds after the base of its records."""
+    """Return the report of a run that began ``start`` seconds after the base of its records."""
     scenario = schedule.scenario
-    verdict, reasons = judge_run(findings, scenario.expect)
+    judgement = judge_run(findings, scenario.expect)
     return Report(
         schema=SCHEMA,
         scenario=scenario.name,
@@ -137,8 +154,8 @@
         length_s=scenario.length_s,
         rate_per_s=schedule.rate,
         servers=scenario.fleet.servers,
-        verdict=verdict,
-        reasons=reasons,
+        verdict=judgement.verdict,
+        reasons=judgement.reasons,
         violations_by_name=_violations_by_name(findings),
         findings=msgspec.structs.replace(findings, violations=findings.violations[:MAX_LISTED_VIOLATIONS]),
         latencies=measure_latencies(schedule, log),
@@ -151,26 +168,28 @@
 
 
 def measure_latencies(schedule: Schedule, log: EventLog) -> list[Latency]:
-    """Measure the served requests of each class."""
-    intended_at: dict[str, float] = {}
-    served_at: dict[str, tuple[float, int]] = {}  # by first id: time and class
+    """Measure the latency of the served requests of each class."""
+    intended_at: dict[str, float] = {}  # by first id
+    served: dict[str, ClientAttempt] = {}  # first served attempt, by first id
     for attempt in log.client_attempts:
         first_id = attempt.first_id
         intended_at[first_id] = min(intended_at.get(first_id, attempt.intended_at), attempt.intended_at)
-        if attempt.outcome == ClientOutcome.SERVED and (
-            first_id not in served_at or attempt.ended_at < served_at[first_id][0]
-        ):
-            served_at[first_id] = attempt.ended_at, attempt.class_index
+        is_first = first_id not in served or attempt.ended_at < served[first_id].ended_at
+        if attempt.outcome == ClientOutcome.SERVED and is_first:
+            served[first_id] = attempt
     by_class: dict[int, list[float]] = defaultdict(list)
-    for first_id, (ended_at, class_index) in served_at.items():
-        by_class[class_index].append(ended_at - intended_at[first_id])
-    return [_latency(one, by_class[index]) for index, one in enumerate(schedule.scenario.classes)]
+    for first_id, attempt in served.items():
+        by_class[attempt.class_index].append(attempt.ended_at - intended_at[first_id])
+    return [
+        _latency(request_class, by_class[class_index])
+        for class_index, request_class in enumerate(schedule.scenario.classes)
+    ]
 
 
 def _latency(request_class: RequestClass, seconds: list[float]) -> Latency:
     histogram = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_FIGURES)
-    for one in seconds:
-        histogram.record_value(max(1, int(one * 1e6)))
+    for latency_s in seconds:
+        histogram.record_value(max(1, int(latency_s * 1e6)))
     percentiles = {
         f"{percentile:g}": round(histogram.get_value_at_percentile(percentile) / 1000, 3) for percentile in PERCENTILES
     }
@@ -178,6 +197,7 @@
 
 
 def _broken_rules(findings: Findings) -> list[str]:
+    """Return one line for each kind of violation, the most frequent first."""
     rules: dict[str, int] = {}
     for violation in findings.violations:
         rules[violation.name] = min(rules.get(violation.name, violation.rule), violation.rule)
@@ -189,16 +209,16 @@
     return dict(Counter(violation.name.value for violation in findings.violations))
 
 
-def _in_flight(log: EventLog, start: float) -> dict[str, list[tuple[float, int]]]:
-    by_server: dict[str, list[tuple[float, int]]] = defaultdict(list)
+def _in_flight(log: EventLog, start: float) -> dict[str, list[InFlightSample]]:
+    by_server: dict[str, list[InFlightSample]] = defaultdict(list)
     for sample in log.load_samples:
         if start <= sample.at:
-            by_server[sample.server].append((round(sample.at - start, 2), sample.in_flight))
+            by_server[sample.server].append(InFlightSample(round(sample.at - start, 2), sample.in_flight))
     return dict(by_server)
 
 
 def _attempts_per_client_attempt(log: EventLog) -> dict[str, int]:
-    """How many client attempts led to how many server attempts."""
+    """Return the number of client attempts, by the number of server attempts that they led to."""
     server_attempts = log.server_attempts_by_request
     counts = Counter(
         min(len(server_attempts.get(attempt.request_id, ())), MAX_COUNTED_ATTEMPTS)
@@ -209,23 +229,22 @@
 
 
 def _played_faults(schedule: Schedule) -> list[PlayedFault]:
-    all_servers = schedule.scenario.fleet.servers
     return [
-        PlayedFault(
-            event.fault.kind,
-            event.at,
-            _end_of(event, schedule.events),
-            [schedule.machines[server_index].name for server_index in event.server_indices]
-            if len(event.server_indices) < all_servers
-            else [],
-        )
+        PlayedFault(event.fault.kind, event.at, _end_of(event, schedule.events), _affected_servers(event, schedule))
         for event in schedule.events
         if event.begins
     ]
 
 
+def _affected_servers(event: FaultEvent, schedule: Schedule) -> list[str]:
+    """Return the names of the servers that a fault affects; empty if it affects all."""
+    if len(event.server_indices) >= schedule.scenario.fleet.servers:
+        return []
+    return [schedule.machines[server_index].name for server_index in event.server_indices]
+
+
 def _end_of(begin: FaultEvent, events: tuple[FaultEvent, ...]) -> float | None:
-    """When a fault that began ends; none where it stays."""
+    """Return when a fault ends, None if it lasts until the end of the run."""
     return next(
         (
             event.at
--- a/lugtally/testbed/reporting/report_file.py
+++ b/lugtally/testbed/reporting/report_file.py
@@ -9,11 +9,11 @@
 
 from lugtally.testbed.reporting.report import SCHEMA, Report
 
-SCENARIO_SUFFIX = ".scenario.json"  # of the other files in the folder of an experiment
+SCENARIO_SUFFIX = ".scenario.json"  # of the scenarios in the folder of an experiment
 
 
 class ReportError(Exception):
-    """A file is no report, or one of a schema that this program does not know."""
+    """A file is not a report, or has an unknown schema."""
 
 
 class Document(Struct):
@@ -24,14 +24,14 @@
 
 
 def save(reports: list[Report], path: Path) -> None:
-    """Write reports to a file, completely or not at all."""
+    """Write reports to a file atomically."""
     temporary = path.with_suffix(path.suffix + ".part")
     temporary.write_bytes(msgspec.json.encode(Document(SCHEMA, reports)) + b"\n")
     temporary.replace(path)
 
 
 def load(path: Path) -> list[Report]:
-    """Read the reports of a file.  Raises ReportError, whose one line says what is wrong with it."""
+    """Read the reports of a file.  Raises ReportError, with a message of one line."""
     try:
         raw = path.read_bytes()
         head = msgspec.json.decode(raw)
--- a/lugtally/testbed/reporting/table.py
+++ b/lugtally/testbed/reporting/table.py
@@ -1,4 +1,4 @@
-"""An experiment's results: one table with intervals, and one plot."""
+"""Results of an experiment: a table with intervals and a plot."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Column(NamedTuple):
-    """What the runs of a column have in common."""
+    """A column of the results: the runs with the same setting and policy."""
 
     setting: str
     policy: str
@@ -28,12 +28,12 @@
 
 
 def columns_of(experiment: Experiment) -> list[Column]:
-    """All columns; the first is the one that the others are compared with."""
+    """Return all columns.  The others are compared with the first one."""
     return [Column(setting.name, policy) for policy in experiment.policies for setting in experiment.settings]
 
 
 def collect(cells: list[Cell], reports: dict[str, Report], measure: str) -> Results:
-    """The measure of each run by scenario, column and seed; void runs are left out."""
+    """Return the measure of each run by scenario, column and seed, without void runs."""
     value = MEASURES[measure].value
     results: Results = defaultdict(lambda: defaultdict(dict))
     for cell in cells:
@@ -44,7 +44,7 @@
 
 
 def print_table(experiment: Experiment, cells: list[Cell], reports: dict[str, Report], console: Console) -> None:
-    """Print means by scenario and column; against the first column, paired by seed, with the bootstrap interval."""
+    """Print the mean of each scenario and column, and its difference to the first column, paired by seed."""
     results = collect(cells, reports, experiment.measure)
     columns = columns_of(experiment)
     table = _empty_table(f"{experiment.name}: {experiment.measure}")
@@ -54,7 +54,7 @@
         for column in columns:
             values = results[scenario][column]
             if not values:
-                table.add_row(scenario, column.policy, column.setting, "0", *[""] * 5, "no run that counts")
+                table.add_row(scenario, column.policy, column.setting, "0", *[""] * 5, "no valid run")
                 continue
             comparison = ["", "", ""]
             if column != columns[0]:
@@ -65,7 +65,7 @@
 
 
 def plot(experiment: Experiment, cells: list[Cell], reports: dict[str, Report], path: Path) -> None:
-    """Draw the same as bars with the range over the seeds, as SVG."""
+    """Draw the means as bars, with the range over the seeds, as SVG."""
     results = collect(cells, reports, experiment.measure)
     columns = columns_of(experiment)
     width = 0.8 / len(columns)
@@ -95,7 +95,7 @@
     table = Table(title=title, box=None, pad_edge=False)
     for name in ("scenario", "policy", "setting"):
         table.add_column(name)
-    for name in ("runs", "mean", "least", "most", "first column less this", "interval"):
+    for name in ("runs", "mean", "min", "max", "first column minus this", "interval"):
         table.add_column(name, justify="right")
     table.add_column("")
     return table
@@ -107,14 +107,14 @@
 
 
 def _compare(base: ValuesBySeed, values: ValuesBySeed, more_is_better: bool, name: tuple[str, ...]) -> list[str]:
-    """Mean difference, interval and finding; ``name`` names the random stream of the bootstrap."""
+    """Return mean difference, interval and finding.  ``name`` is that of the random stream of the bootstrap."""
     differences = [base[seed] - values[seed] for seed in sorted(base.keys() & values.keys())]
     if len(differences) < MIN_PAIRS:
         return [f"{np.mean(differences):+.3f}" if differences else "", "", "too few pairs"]
-    low, high = bootstrap_interval(differences, *name)
-    better = "first is better" if (low > 0) == more_is_better else "first is worse"
-    finding = NO_DIFFERENCE if low <= 0 <= high else better
-    return [f"{np.mean(differences):+.3f}", f"{low:+.3f} to {high:+.3f}", finding]
+    interval = bootstrap_interval(differences, *name)
+    direction = "first is better" if (interval.low > 0) == more_is_better else "first is worse"
+    finding = NO_DIFFERENCE if interval.contains_zero() else direction
+    return [f"{np.mean(differences):+.3f}", f"{interval.low:+.3f} to {interval.high:+.3f}", finding]
 
 
 def _print_counts(cells: list[Cell], reports: dict[str, Report], console: Console) -> None:
--- a/lugtally/testbed/reporting/terminal.py
+++ b/lugtally/testbed/reporting/terminal.py
@@ -1,4 +1,4 @@
-"""Reports on the terminal: lines and a table for one run, and one line each for many."""
+"""Reports on the terminal: details of one run, or a summary of many."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 COLOURS = {Verdict.PASSED: "green", Verdict.FAILED: "yellow", Verdict.BROKEN: "red", Verdict.VOID: "magenta"}
 WIDTH = 118
 MAX_SHOWN_VIOLATIONS = 12
-MAX_REASONS_LENGTH = 90  # in the summary
+MAX_REASONS_LENGTH = 90  # characters in the summary
 SHOWN_PERCENTILES = ("50", "99", "100")
 
 
 def console_for_tables() -> Console:
-    """The terminal, or lines long enough for the tables where there is none."""
+    """Return the terminal, or a console wide enough for the tables if there is none."""
     console = Console()
     return console if console.is_terminal and console.width >= WIDTH else Console(width=WIDTH)
 
 
 def print_report(report: Report, console: Console) -> None:
-    """Print the verdict first, then service by class, latencies, prices and what the testbed itself used."""
+    """Print the verdict, violations, service by class, latencies, prices and resource usage of a run."""
     findings = report.findings
     console.print(
         f"[bold {COLOURS[report.verdict]}]{report.verdict.upper()}[/]  {report.scenario}, seed "
@@ -33,9 +33,9 @@
         console.print(f"  {reason}", highlight=False, markup=False)
     _print_violations(report, console)
     console.print(
-        f"whole run {findings.overall:.3f}, worst 10 s {findings.worst_10s:.3f}, worst class "
-        f"{findings.worst_class:.3f}; {report.rate_per_s:.0f} first tries/s, {findings.client_attempts} tries, "
-        f"{findings.server_attempts} attempts, {findings.retries} of them retries",
+        f"complete run {findings.overall:.3f}, worst 10 s {findings.worst_10s:.3f}, worst class "
+        f"{findings.worst_class:.3f}; {report.rate_per_s:.0f} requests/s, {findings.client_attempts} client "
+        f"attempts, {findings.server_attempts} server attempts, {findings.retries} of them retries",
         highlight=False,
     )
     console.print(_class_table(report))
@@ -44,13 +44,13 @@
 
 
 def print_summary(reports: list[Report], console: Console) -> None:
-    """Print one line a run."""
+    """Print one line for each run."""
     table = Table(box=None, pad_edge=False)
     for name in ("verdict", "scenario", "seed", "policy"):
         table.add_column(name)
     for name in ("service", "net", "worst 10 s", "worst class", "late p99 ms"):
         table.add_column(name, justify="right")
-    table.add_column("why")
+    table.add_column("reasons")
     for report in reports:
         findings = report.findings
         table.add_row(
@@ -69,21 +69,21 @@
 
 
 def print_differences(differences: list[Difference], console: Console) -> None:
-    """Print one line a measure."""
+    """Print one line for each measure."""
     table = Table(box=None, pad_edge=False)
     table.add_column("measure")
-    for name in ("pairs", "A", "B", "B less A", "95% interval"):
+    for name in ("pairs", "A", "B", "B minus A", "95% interval"):
         table.add_column(name, justify="right")
     table.add_column("")
-    for one in differences:
+    for difference in differences:
         table.add_row(
-            one.measure,
-            str(one.pairs),
-            f"{one.mean_a:.4f}",
-            f"{one.mean_b:.4f}",
-            f"{one.mean:+.4f}",
-            f"{one.low:+.4f} to {one.high:+.4f}",
-            one.finding,
+            difference.measure,
+            str(difference.pairs),
+            f"{difference.mean_a:.4f}",
+            f"{difference.mean_b:.4f}",
+            f"{difference.mean:+.4f}",
+            f"{difference.low:+.4f} to {difference.high:+.4f}",
+            difference.finding,
         )
     console.print(table)
 
@@ -115,7 +115,7 @@
 def _class_table(report: Report) -> Table:
     table = Table(box=None, pad_edge=False)
     table.add_column("class", no_wrap=True)
-    for name in ("asked", "served", "late", "refused", "failed", "service", "p50 ms", "p99 ms", "max ms"):
+    for name in ("requests", "served", "late", "rejected", "failed", "service", "p50 ms", "p99 ms", "max ms"):
         table.add_column(name, justify="right")
     latencies = {latency.name: latency.percentiles for latency in report.latencies}
     for row in report.findings.classes:
