--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,4 +1,4 @@
-"""Data stored by the version before the renaming is read as it was: a drain file, event logs and a report."""
+"""Data stored by an earlier version is read and written unchanged: a drain file, event logs and a report."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 EVENT_LOGS = ("world.jsonl", "load.jsonl", "runner.jsonl")
 
 
-def test_a_drain_file_is_read_and_written_in_the_same_form(tmp_path: Path) -> None:
+def test_stored_drain_file_is_read_and_written_unchanged(tmp_path: Path) -> None:
     drained = {"s-001", "s-003", "płyta/ő"}
     shutil.copy(STORED / "drains.json", tmp_path / "lugtally-n1-drains.json")
     assert DrainStore(str(tmp_path), "n1").read() == drained
@@ -27,7 +27,7 @@
     assert (tmp_path / "lugtally-n2-drains.json").read_bytes() == (STORED / "drains.json").read_bytes()
 
 
-def test_each_kind_of_record_is_read_and_written_in_the_same_form(tmp_path: Path) -> None:
+def test_stored_records_are_read_and_written_unchanged(tmp_path: Path) -> None:
     records = read_records([STORED / "kinds.jsonl"])
     assert len({type(record) for record in records}) == len(records) == 11
     copy = EventLogWriter(tmp_path / "copy.jsonl")
@@ -37,7 +37,7 @@
     assert (tmp_path / "copy.jsonl").read_bytes() == (STORED / "kinds.jsonl").read_bytes()
 
 
-def test_the_event_logs_of_a_run_lead_to_the_findings_of_its_report() -> None:
+def test_stored_event_logs_give_findings_of_stored_report() -> None:
     specification = read_specification(str(STORED / "load.spec.json"))
     drawn = make_schedule(specification.scenario, specification.seed)
     log = EventLog(read_records(STORED / name for name in EVENT_LOGS))
@@ -49,8 +49,8 @@
     assert {key: findings[key] for key in expected} == expected
 
 
-def test_a_report_is_read_and_written_in_the_same_form(tmp_path: Path) -> None:
+def test_stored_report_is_read_and_written_unchanged(tmp_path: Path) -> None:
     reports = report_file.load_all(STORED / "report.json")
-    assert [one.scenario for one in reports] == ["tiny"]
+    assert [report.scenario for report in reports] == ["tiny"]
     report_file.save(reports, tmp_path / "copy.json")
     assert json.loads((tmp_path / "copy.json").read_text()) == json.loads((STORED / "report.json").read_text())
--- a/tests/testbed/faulty_sidecar.py
+++ b/tests/testbed/faulty_sidecar.py
@@ -1,8 +1,8 @@
-"""Small faulty sidecars: each breaks one rule on purpose, to show that the verifier detects it.
+"""Small faulty sidecars, each of which violates one rule, to test that the verifier reports it.
 
     python -m tests.testbed.faulty_sidecar FAULT        with PROXY_CONFIG set, as the daemon is started
 
-``honest`` breaks none: it sends each request once, to a ready server chosen at random.
+``honest`` violates none: it sends each request once, to a random ready server.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class Fault(StrEnum):
-    """The rule that a faulty sidecar breaks; the value is the command's argument."""
+    """Fault of a sidecar; the value is the argument of the command."""
 
     HONEST = "honest"
     DROP = "drop"
@@ -64,7 +64,7 @@
     # ------------------------------------------------------------ the endpoint list
 
     async def watch(self) -> None:
-        """Follow the endpoint list, as the platform requires."""
+        """Watch the endpoint list as the platform requires."""
         host, port = self.configuration["discovery"].split(":")
         while True:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError, ValueError):
@@ -86,7 +86,7 @@
                 self.servers[row["id"]] = row
 
     def choose(self, zone: str | None = None, excluded_id: str = "") -> dict[str, Any] | None:
-        """Return a server that is ready as far as this sidecar knows; None if there is none."""
+        """Return a server that is ready by the endpoint list, None if there is none."""
         ready = [
             server
             for server in self.servers.values()
@@ -118,7 +118,7 @@
         writer.close()
 
     async def respond(self, request: HttpMessage) -> bytes | None:
-        """Return the final response, with the fault in one of so many; None drops the connection."""
+        """Return the final response, None to drop the connection.  One request in 20 meets the fault."""
         is_faulty = self.request_count % 20 == 0
         time_left_s = float(request.headers["x-time-left"])
         if self.fault is Fault.FORGE_RESPONSE and is_faulty:
@@ -143,7 +143,7 @@
     async def _repeat(
         self, request: HttpMessage, server: dict[str, Any], response: ServerResponse, due: float, is_faulty: bool
     ) -> ServerResponse:
-        """Send the request again where that is this sidecar's fault; return the response that counts."""
+        """Send the request again if that is this sidecar's fault; return the final response."""
         if response.status != 200:
             return response
         is_faulty_pledge = is_faulty and request.headers["x-service-class"] == "pledge-record"
@@ -157,7 +157,7 @@
         elif self.fault is Fault.REPEAT_NON_IDEMPOTENT and is_receipt(request) and self.request_count % 5 == 0:
             other = self.choose(excluded_id=server["id"])
             if other is not None:
-                # Its client waits no longer for two attempts than for one.
+                # The client's deadline is the same for both attempts.
                 return await self.send(other, request, remaining_s(due))
         return response
 
@@ -166,7 +166,7 @@
         await self.send(server, request, 1.0)
 
     async def send(self, server: dict[str, Any], request: HttpMessage, time_left_s: float) -> ServerResponse:
-        """Make one attempt, over a connection of its own."""
+        """Make one attempt over a new connection."""
         host, port = server["addr"].split(":")
         writer = None
         try:
@@ -218,7 +218,7 @@
     await stop.wait()
     server.close()
     watch.cancel()
-    await asyncio.sleep(1.0)  # requests in flight finish meanwhile; the load has ended
+    await asyncio.sleep(1.0)  # for the requests in flight
 
 
 if __name__ == "__main__":
--- a/tests/testbed/test_arrivals.py
+++ b/tests/testbed/test_arrivals.py
@@ -1,4 +1,4 @@
-"""The drawn arrivals: the work of a class and the rate of a burst."""
+"""Arrivals: the work of a class and the rate of a burst."""
 
 from __future__ import annotations
 
--- a/tests/testbed/test_compare.py
+++ b/tests/testbed/test_compare.py
@@ -16,14 +16,14 @@
 
 
 def shifted(report: Report, seed: int, difference: float) -> Report:
-    """Return the same run under another seed, better by ``difference``."""
+    """Return a copy of a report with another seed and a service that is better by ``difference``."""
     copy = msgspec.convert(msgspec.to_builtins(report), Report)
     copy.seed, copy.verdict = seed, Verdict.PASSED
     copy.findings.service += difference
     return copy
 
 
-def test_comparisons_are_paired_and_say_where_no_difference_is_seen(tmp_path: Path) -> None:
+def test_compare_pairs_by_seed_and_reports_no_difference(tmp_path: Path) -> None:
     report = play_until_valid(scenario_file.decode(SHORT_DRAIN, "drain.toml"), 1)
     spread = (-0.04, 0.03, -0.02, 0.04, -0.01, 0.02)
     base = [shifted(report, seed, noise) for seed, noise in enumerate(spread)]
--- a/tests/testbed/test_experiment.py
+++ b/tests/testbed/test_experiment.py
@@ -1,4 +1,4 @@
-"""Experiments: runs of a matrix of settings, and the errors of a description."""
+"""Experiments: execution of a matrix of settings, and errors in experiment files."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tests.testbed.runs import SHORT_DRAIN
 
 
-def test_an_experiment_resumes_where_it_was_interrupted(tmp_path: Path) -> None:
+def test_interrupted_experiment_resumes(tmp_path: Path) -> None:
     (tmp_path / "day.toml").write_text(SHORT_DRAIN)
     (tmp_path / "try.toml").write_text(
         f"name = 'try'\nscenarios = ['{tmp_path}/day.toml']\nseeds = [1]\npolicies = ['module', 'round-robin+retry']\n"
@@ -29,7 +29,7 @@
         root, ["experiment", str(tmp_path / "try.toml"), "--out", str(tmp_path / "out")], standalone_mode=False
     )
     assert "4 of 4 runs" in result.output, result.output
-    assert all(path.stat().st_mtime_ns == stamp for path, stamp in stamps.items()), "a run was played again"
+    assert all(path.stat().st_mtime_ns == stamp for path, stamp in stamps.items()), "a finished run was executed again"
     assert (tmp_path / "out" / "try.svg").read_text().startswith("<?xml")
     rates = {cell.setting.name: first[cell.name].rate_per_s for cell in cells[:3]}
     assert rates == {"base": 50.0, "busy": 70.0}
@@ -43,7 +43,7 @@
         ("[[settings]]\nname='a'\nset={'load.rate' = 1}", "quiet with a: load: Object contains unknown field `rate`"),
     ],
 )
-def test_a_bad_experiment_is_named(tmp_path: Path, line: str, complaint: str) -> None:
+def test_invalid_experiment_error_names_file_and_field(tmp_path: Path, line: str, complaint: str) -> None:
     (tmp_path / "try.toml").write_text(f"name = 'try'\nscenarios = ['quiet']\nseeds = [1]\n{line}\n")
     with pytest.raises(scenario.ScenarioError) as caught:
         experiment.read(tmp_path / "try.toml")
--- a/tests/testbed/test_faulty_sidecars.py
+++ b/tests/testbed/test_faulty_sidecars.py
@@ -1,4 +1,4 @@
-"""The verifier detects each faulty sidecar by the name of its fault, and passes the true one in the same scenario."""
+"""The verifier reports each faulty sidecar by its violation, and passes the real one in the same scenario."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from tests.testbed.faulty_sidecar import Fault
 
 SCENARIO = """
-name = "offences"
-about = "A drain, and a crash with a cold return, for the judge's own tests."
+name = "violations"
+about = "A drain, and a crash with a cold restart, for the tests of the verifier."
 length_s = 7
 [fleet]
 servers = 5
@@ -56,43 +56,41 @@
 }
 
 
-TRUE = "true"  # the sidecar of this project, in place of a faulty one
+REAL = "real"  # the sidecar of this project
 
 
 @pytest.fixture(scope="module")
 def reports() -> dict[str, Report]:
-    """Run all faulty sidecars and the true one in the same scenario, four at a time."""
-    scenario = scenario_file.decode(SCENARIO, "offences.toml")
+    """Run all faulty sidecars and the real one in the same scenario, four at a time."""
+    scenario = scenario_file.decode(SCENARIO, "violations.toml")
 
     def play(sidecar: str) -> Report:
-        command = None if sidecar == TRUE else [sys.executable, "-B", "-m", "tests.testbed.faulty_sidecar", sidecar]
-        for _ in range(3):  # a busy machine gives no verdict: run again
+        command = None if sidecar == REAL else [sys.executable, "-B", "-m", "tests.testbed.faulty_sidecar", sidecar]
+        for _ in range(3):  # a run on a busy machine may be void: run again
             report = runner.Run(scenario, 4, command=command).play()
             if report.verdict != Verdict.VOID:
                 break
         return report
 
     with ThreadPoolExecutor(4) as pool:
-        sidecars = [TRUE, *Fault]
+        sidecars = [REAL, *Fault]
         return dict(zip(sidecars, pool.map(play, sidecars), strict=True))
 
 
 @pytest.mark.parametrize("fault", DETECTED)
-def test_a_fault_is_detected_under_its_own_name(reports: dict[str, Report], fault: Fault) -> None:
+def test_faulty_sidecar_is_reported_by_its_violation(reports: dict[str, Report], fault: Fault) -> None:
     report = reports[fault]
     assert DETECTED[fault] in report.violations_by_name, (report.verdict, report.reasons)
     if fault is Fault.REPEAT_AFTER_WINDOW:
-        assert ViolationName.TWO_EFFECTS in report.violations_by_name, (
-            "the repeat came after the time in which it is dropped"
-        )
+        assert ViolationName.TWO_EFFECTS in report.violations_by_name, "the repeat came after the deduplication window"
     others = set(report.violations_by_name) - {DETECTED[fault], ViolationName.TWO_EFFECTS}
-    assert not others, f"accused of more than it did: {report.violations_by_name}"
+    assert not others, f"violations that the sidecar did not commit: {report.violations_by_name}"
     violation = next(found for found in report.findings.violations if found.name == DETECTED[fault])
     assert violation.subject
     assert violation.description
     assert -0.5 < violation.at < 12
 
 
-@pytest.mark.parametrize("sidecar", [TRUE, Fault.HONEST])
-def test_a_sidecar_that_follows_the_rules_passes(reports: dict[str, Report], sidecar: str) -> None:
+@pytest.mark.parametrize("sidecar", [REAL, Fault.HONEST])
+def test_correct_sidecar_passes(reports: dict[str, Report], sidecar: str) -> None:
     assert reports[sidecar].verdict == Verdict.PASSED, reports[sidecar].reasons
--- a/tests/testbed/test_load_generator.py
+++ b/tests/testbed/test_load_generator.py
@@ -1,4 +1,4 @@
-"""The load generator: it hides no stall, and its connections attribute each response to its request."""
+"""Load generator: stalls show in the latencies, and connections attribute each response to its request."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 async def _serve_with_stall(block: int, seed: int, base: float, child: subprocess.Popen[bytes]) -> None:
-    """Serve in the place of a sidecar: each request immediately, but none at all for a second."""
+    """Serve in place of a sidecar: respond immediately, but not during a stall of a second."""
     start = 0.0
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -73,7 +73,7 @@
     server.close()
 
 
-def test_a_stall_of_a_second_shows_in_full(tmp_path: Path) -> None:
+def test_stall_shows_in_full_in_latencies(tmp_path: Path) -> None:
     scenario, block = scenario_file.decode(SCENARIO, "stall.toml"), loopback.LoopbackBlock()
     base = time.monotonic()
     specification = ProcessSpecification(scenario, 5, block.number, base, str(tmp_path / "load.jsonl"))
@@ -92,9 +92,9 @@
         block.close()
     log = event_log.EventLog(event_log.read_records([tmp_path / "load.jsonl"]))
     drawn = schedule.make_schedule(scenario, 5)
-    assert len(log.client_attempts) == len(drawn.arrivals), "every arrival was sent, whatever the responses did"
+    assert len(log.client_attempts) == len(drawn.arrivals), "every arrival is sent, independently of responses"
     (measured,) = report.measure_latencies(drawn, log)
-    # A fifth of the run stalls: those sent then wait evenly between nothing and a second.
+    # Requests sent during the stall wait between 0 and 1 s, uniformly distributed.
     latencies = [attempt.ended_at - attempt.intended_at for attempt in log.client_attempts]
     slow = [latency for latency in latencies if latency > STALL_S / 2]
     expected = sum(STALL_AT <= arrival.at < STALL_AT + STALL_S / 2 for arrival in drawn.arrivals)
@@ -106,7 +106,7 @@
 
 
 class RecordingTransport(asyncio.Transport):
-    """Record what is written; the connection stays up until it is aborted."""
+    """Transport that records what is written."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -121,7 +121,7 @@
 
 
 class RecordedRequest:
-    """One request on a connection, and all events that the connection reports of it."""
+    """Request on a connection, and the handler that records all its events."""
 
     def __init__(self, name: str) -> None:
         self.body = build_body(5, name, "s-000")
@@ -145,7 +145,7 @@
 
 
 @pytest.mark.parametrize("pieces", [1, 2, 150], ids=["at once", "in two", "byte by byte"])
-def test_a_duplicate_response_that_crosses_the_next_request_belongs_to_the_first(pieces: int) -> None:
+def test_late_duplicate_is_reported_to_its_own_request(pieces: int) -> None:
     connection, transport, first, second = (
         ClientConnection(lambda _: None),
         RecordingTransport(),
@@ -155,17 +155,17 @@
     connection.connection_made(transport)
     first.send(connection)
     connection.data_received(first.response)
-    second.send(connection)  # the connection was returned to its pool; the duplicate is on its way
+    second.send(connection)  # while the duplicate of the first response is in flight
     data = first.response + second.response
     size = -(-len(data) // pieces)
     for offset in range(0, len(data), size):
         connection.data_received(data[offset : offset + size])
     assert first.events == [("response", first.body), ("extra", b"")]
-    assert second.events == [("response", second.body)], "the duplicate of the first is no response to it"
-    assert not connection.is_reusable, "a connection on which too much came is not used again"
+    assert second.events == [("response", second.body)], "the duplicate of the first response is not reported to it"
+    assert not connection.is_reusable, "a connection with extra bytes is not reused"
 
 
-def test_a_foreign_body_is_reported_to_the_request_in_flight() -> None:
+def test_foreign_body_is_reported_to_request_in_flight() -> None:
     connection, first, second, forged = (
         ClientConnection(lambda _: None),
         RecordedRequest("a"),
@@ -181,7 +181,7 @@
     assert second.events == [("response", forged.body)]
 
 
-def test_a_connection_closed_after_a_duplicate_response_gave_the_next_request_no_byte() -> None:
+def test_close_after_duplicate_reports_no_bytes_received() -> None:
     connection, first, second = ClientConnection(lambda _: None), RecordedRequest("a"), RecordedRequest("b")
     connection.connection_made(RecordingTransport())
     first.send(connection)
--- a/tests/testbed/test_runs.py
+++ b/tests/testbed/test_runs.py
@@ -1,4 +1,4 @@
-"""Whole runs with the real sidecar: a drain that goes silent, the short scenario, Ctrl-C."""
+"""Complete runs with the real sidecar: a server that is silent during its drain, the short scenario, Ctrl-C."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from tests.testbed.runs import DRAIN, play_until_valid
 
 
-def test_a_server_that_falls_silent_in_its_drain_gets_nothing_new_and_all_are_answered(tmp_path: Path) -> None:
+def test_server_silent_during_drain_gets_no_new_requests(tmp_path: Path) -> None:
     result = play_until_valid(scenario_file.decode(DRAIN, "drain.toml"), 3, tmp_path)
     assert result.verdict == Verdict.PASSED, result.reasons
     recorded = event_log.read_records([tmp_path / "world.jsonl", tmp_path / "load.jsonl"])
@@ -31,15 +31,15 @@
     received = [record for record in recorded if isinstance(record, records.ServerAttempt) and record.server == drained]
     assert received
     assert max(attempt.last_byte_at for attempt in received) < drained_at + 1.55, "the drain was not noticed"
-    assert any(attempt.outcome in ("gone", "unanswered") for attempt in received), "nobody met the silent server"
+    assert any(attempt.outcome in ("gone", "unanswered") for attempt in received), "no request met the silent server"
     attempts = [record for record in recorded if isinstance(record, records.ClientAttempt)]
     assert len(attempts) > 200
     assert all(attempt.outcome in ("served", "refused", "failed", "left") for attempt in attempts)
 
 
-def test_the_short_scenario_passes_and_its_reports_can_be_read(tmp_path: Path) -> None:
+def test_short_scenario_passes_and_its_reports_are_readable(tmp_path: Path) -> None:
     file, html = tmp_path / "a.json", tmp_path / "a.html"
-    for _ in range(3):  # a busy machine gives no verdict: run again
+    for _ in range(3):  # a run on a busy machine may be void: run again
         done = subprocess.run(
             [sys.executable, "-m", "lugtally", "rehearse", "run", "short", "--json", str(file), "--html", str(html)],
             check=False,
@@ -66,7 +66,7 @@
     assert CliRunner().invoke(root, ["rehearse", "report", str(file)], standalone_mode=False).return_value == 2
 
 
-def test_ctrl_c_leaves_no_process_and_a_readable_report(tmp_path: Path) -> None:
+def test_ctrl_c_leaves_readable_report_and_no_process(tmp_path: Path) -> None:
     child = subprocess.Popen(
         [
             sys.executable,
--- a/tests/testbed/test_scenario.py
+++ b/tests/testbed/test_scenario.py
@@ -1,4 +1,4 @@
-"""Scenario files: the errors that name a field, and the schedule that a seed draws from them."""
+"""Scenario files: errors that name a field, and the schedules drawn from a seed."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 SHIPPED = sorted(scenario_file.shipped())
 
 
-def test_the_library_has_the_named_scenarios() -> None:
+def test_named_scenarios_are_shipped() -> None:
     assert {
         "quiet",
         "christmas-appeal",
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("name", SHIPPED)
-def test_a_shipped_scenario_is_sound_and_draws_the_same_again(name: str) -> None:
+def test_shipped_scenario_is_valid_and_reproducible(name: str) -> None:
     loaded = scenario_file.load(name)
     assert loaded.name == name
     assert loaded.about
@@ -66,7 +66,7 @@
         ),
     ],
 )
-def test_a_bad_file_is_named_with_table_and_field(text: str, complaint: str) -> None:
+def test_invalid_scenario_error_names_file_and_field(text: str, complaint: str) -> None:
     head = "" if text.startswith("name") else "name = 'x'\nabout = 'y'\n"
     with pytest.raises(scenario.ScenarioError) as caught:
         scenario_file.decode(head + text, "day.toml")
@@ -74,7 +74,7 @@
     assert "\n" not in str(caught.value)
 
 
-def test_the_command_exits_2_with_one_line(tmp_path: Path) -> None:
+def test_invalid_scenario_exits_2_with_one_line(tmp_path: Path) -> None:
     path = str(tmp_path / "bad.toml")
     Path(path).write_text("name = 'x'\nabout = 'y'\n[clients]\nretries = -1\n", encoding="utf-8")
     for command in (["rehearse", "run", path], ["rehearse", "check", path], ["rehearse", "run", "no-such-day"]):
@@ -84,7 +84,7 @@
     assert CliRunner().invoke(root, ["rehearse", "list"], standalone_mode=False).output.count("\n") == len(SHIPPED)
 
 
-def test_one_more_process_moves_no_other_draw() -> None:
+def test_additional_servers_change_no_other_draw() -> None:
     small, large = (
         scenario_file.decode(f"name='x'\nabout='y'\n[fleet]\nservers={servers}\nsidecars={sidecars}\n", "x")
         for servers, sidecars in ((6, 3), (9, 3))
--- a/tests/testbed/test_server_model.py
+++ b/tests/testbed/test_server_model.py
@@ -1,4 +1,4 @@
-"""The model of an emulated server: against queueing theory, and each way in which it degrades."""
+"""Server model: agreement with queueing theory, and each way of degradation."""
 
 from __future__ import annotations
 
@@ -12,8 +12,7 @@
 from lugtally.testbed.emulator.server_model import Admission, Job, ServerModel, ServerTraits
 from lugtally.testbed.scenario.random_streams import stream
 
-DRAWS = 1  # the examples must not change with the text of a test, as they would by its digest
-
+DRAWS = 1  # fixed seed, as hypothesis would derive one from the text of the test
 UNLIMITED = 10**9
 
 
@@ -45,7 +44,7 @@
 
 
 def erlang_c_wait(cores: int, load: float) -> float:
-    """Return the same from the Erlang C formula (Kleinrock 1975, 3.5)."""
+    """Return the same by the Erlang C formula (Kleinrock 1975, 3.5)."""
     offered = load * cores
     last = offered**cores / factorial(cores) / (1 - load)
     waits = last / (sum(offered**busy / factorial(busy) for busy in range(cores)) + last)
@@ -56,11 +55,11 @@
     ("cores", "load", "count"),
     [(1, 0.3, 60_000), (1, 0.5, 120_000), (1, 0.7, 250_000), (3, 0.4, 120_000), (3, 0.6, 120_000), (3, 0.75, 200_000)],
 )
-def test_waits_agree_with_queueing_theory(cores: int, load: float, count: int) -> None:
+def test_queue_waits_match_erlang_c(cores: int, load: float, count: int) -> None:
     assert mean_wait(cores, load, count) == pytest.approx(erlang_c_wait(cores, load), rel=0.03)
 
 
-def test_a_full_queue_and_a_drain_reject() -> None:
+def test_full_queue_and_draining_server_reject() -> None:
     server = ServerModel(ServerTraits(cores=1, slots=1, max_queue=1), 0.0)
     assert [server.offer(0.0, Job(str(number), 1.0)) for number in range(3)] == [
         Admission.ADMITTED,
@@ -72,7 +71,7 @@
     assert server.offer(5.0, Job("late", 1.0)) is Admission.DRAINING
 
 
-def test_a_silent_server_admits_all_and_works_on_afterwards() -> None:
+def test_silent_server_admits_all_and_resumes_work() -> None:
     server = ServerModel(ServerTraits(cores=1, slots=1, max_queue=1), 0.0)
     server.silent = server.draining = True
     assert all(server.offer(0.0, Job(str(number), 0.5)) is Admission.ADMITTED for number in range(5))
@@ -83,7 +82,7 @@
     assert [job.name for job in server.advance(70.0)] == ["0", "1", "2", "3", "4"]
 
 
-def test_work_stops_at_cancel_and_an_overdue_request_is_dropped_unworked() -> None:
+def test_cancel_stops_work_and_expired_request_gets_none() -> None:
     server = ServerModel(ServerTraits(cores=1, slots=1, max_queue=9), 0.0)
     first, second, third = Job("1", 5.0), Job("2", 1.0, deadline=0.5), Job("3", 1.0)
     for job in (first, second, third):
@@ -98,7 +97,7 @@
     assert third.ended_at == pytest.approx(2.0)
 
 
-def test_a_cold_server_warms_up_and_collapses_only_under_overload() -> None:
+def test_cold_server_warms_up_and_collapses_under_overload() -> None:
     traits = ServerTraits(
         cores=2,
         slots=2,
@@ -112,7 +111,7 @@
     assert server.warm_fraction == pytest.approx(0.3)
     server.advance(102.5)
     assert server.warm_fraction == pytest.approx(0.65)
-    for tick in range(20):  # twice what it can do: it copes
+    for tick in range(20):  # twice its capacity: below the limit
         server.advance(102.5 + tick * 0.05)
         server.offer(102.5 + tick * 0.05, Job("x", 2 * server.capacity * 0.05, sidecar=tick % 2))
     assert not server.collapsed
@@ -128,7 +127,7 @@
     assert not warm.collapsed
 
 
-def test_the_choke_begins_when_congested_and_ends_when_idle() -> None:
+def test_choke_starts_when_congested_and_ends_when_idle() -> None:
     traits = ServerTraits(
         cores=1,
         slots=1,
@@ -154,7 +153,7 @@
     assert not server.choke.is_active
 
 
-def test_congestion_a_neighbour_and_a_full_connection_table_slow_it_down() -> None:
+def test_congestion_neighbour_and_full_table_slow_server_down() -> None:
     def duration_s(cause: str) -> float:
         server = ServerModel(
             ServerTraits(
@@ -180,7 +179,7 @@
     assert duration_s("congestion") == pytest.approx(1 + 0.5 * 1.5)
 
 
-def test_the_table_of_connections_is_capped_and_handshakes_cost_work() -> None:
+def test_connection_table_is_capped_and_handshakes_cost_work() -> None:
     server = ServerModel(ServerTraits(cores=1, slots=1, max_connections=2, handshake_work=0.1), 0.0)
     assert [server.connect(), server.connect(), server.connect()] == [True, True, False]
     server.offer(0.0, Job("x", 1.0))
@@ -196,8 +195,8 @@
 @draws_from(DRAWS)
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.lists(OPERATION, max_size=60))
-def test_no_request_is_lost_or_worked_twice(operations: list[tuple[float, float, str]]) -> None:
-    """Whatever happens: each admitted request ends one time or was cancelled; no more is done than the cores can do."""
+def test_no_request_is_lost_or_processed_twice(operations: list[tuple[float, float, str]]) -> None:
+    """Each admitted request ends once or is cancelled, and the work done is at most that of the cores."""
     server = ServerModel(
         ServerTraits(
             cores=2,
@@ -211,16 +210,16 @@
         0.0,
     )
     now, admitted, ended, cancelled = 0.0, {}, [], set()
-    for number, (gap, work, what) in enumerate(operations):
+    for number, (gap, work, operation) in enumerate(operations):
         now += gap
         ended += server.advance(now)
-        if what == "cancel" and server.queue:
+        if operation == "cancel" and server.queue:
             job = server.queue[-1]
             server.cancel(now, job)
             cancelled.add(job.name)
-        elif what == "slow":
+        elif operation == "slow":
             server.slowdown = 1 + work
-        elif what == "silence":
+        elif operation == "silence":
             server.silent = not server.silent
         job = Job(str(number), work, deadline=now + 1)
         if server.offer(now, job) is Admission.ADMITTED:
--- a/tests/testbed/test_validity.py
+++ b/tests/testbed/test_validity.py
@@ -1,4 +1,4 @@
-"""The validity of a run: a testbed that runs late or a truncated event log makes it void."""
+"""Validity of a run: timer lag or a truncated event log makes it void."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
         (records.TimerLagReport("load", 9, 1.0, 251.0, 1.0), "void"),
     ],
 )
-def test_timer_lag_of_the_testbed_makes_a_run_void(lag_report: records.TimerLagReport, verdict: str) -> None:
+def test_timer_lag_makes_run_void(lag_report: records.TimerLagReport, verdict: str) -> None:
     drawn = schedule.make_schedule(scenario_file.load("quiet"), 1)
     log = event_log.EventLog([lag_report, records.TimerLagReport("stand-ins", 9, 1.0, 2.0, 1.0)])
-    assert report.judge_run(verifier.verify(log, drawn, 0.0), scenario.Expect())[0] == verdict
+    assert report.judge_run(verifier.verify(log, drawn, 0.0), scenario.Expect()).verdict == verdict
 
 
-def test_a_truncated_event_log_makes_a_run_void_and_is_read_up_to_there(tmp_path: Path) -> None:
+def test_truncated_event_log_is_read_and_makes_run_void(tmp_path: Path) -> None:
     writer = event_log.EventLogWriter(tmp_path / "a.jsonl")
     for second in range(3):
         writer.write(records.HealthCheck(float(second), "s-000", 0))
@@ -34,4 +34,4 @@
     (tmp_path / "a.jsonl").write_bytes(complete[:-5])
     assert len(event_log.read_records([tmp_path / "a.jsonl", tmp_path / "none.jsonl"])) == 2
     findings = verifier.verify(event_log.EventLog([]), schedule.make_schedule(scenario_file.load("quiet"), 1), 0.0)
-    assert report.judge_run(findings, scenario.Expect())[0] == "void"
+    assert report.judge_run(findings, scenario.Expect()).verdict == "void"
--- a/tests/testbed/test_verifier.py
+++ b/tests/testbed/test_verifier.py
@@ -1,4 +1,4 @@
-"""The verifier by itself: the violations that it finds in a few records."""
+"""The verifier: the violations that it finds in a few records."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     return [violation.name for violation in verifier.verify(EventLog(recorded), SCHEDULE, 0.0).violations]
 
 
-def test_what_never_ran_may_be_sent_again_and_rejected() -> None:
+def test_request_that_never_ran_may_be_retried_or_rejected() -> None:
     assert (
         violations(client_attempt("a", RECEIPT), server_attempt("a", 1.0, "turned-away"), server_attempt("a", 1.05))
         == []
@@ -56,7 +56,7 @@
     assert violations(client_attempt("a", READ, "refused"), server_attempt("a", 1.0, "gone")) == []
 
 
-def test_a_request_with_a_key_may_be_repeated_within_its_window_and_zone_only() -> None:
+def test_keyed_request_repeats_only_within_window_and_zone() -> None:
     assert violations(client_attempt("a", PLEDGE), server_attempt("a", 1.0, "reset"), server_attempt("a", 1.64)) == []
     assert violations(client_attempt("a", PLEDGE), server_attempt("a", 1.0, "reset"), server_attempt("a", 1.66)) == [
         ViolationName.REPEATED_AFTER_WINDOW
@@ -70,7 +70,7 @@
         )
         == []
     )
-    # Counted from the first that may have run, however many came after it.
+    # The window starts at the first attempt that may have run.
     assert violations(
         client_attempt("a", PLEDGE),
         server_attempt("a", 1.0, "gone"),
@@ -79,7 +79,7 @@
     ) == [ViolationName.REPEATED_AFTER_WINDOW]
 
 
-def test_a_response_is_due_within_its_tolerance_and_a_killed_sidecar_owes_none() -> None:
+def test_response_is_due_in_time_unless_sidecar_was_killed() -> None:
     served = server_attempt("a", 1.0)
     assert violations(client_attempt("a", READ, ended_at=2.149), served) == []
     assert violations(client_attempt("a", READ, ended_at=2.151), served) == [ViolationName.LATE]
@@ -91,7 +91,7 @@
     ]
     term = records.ProcessEvent(0.9, 0, ProcessEventKind.TERM)
     assert violations(client_attempt("a", READ, "dropped", 1.1), term) == [], (
-        "it crossed the end, and nothing was forwarded"
+        "it met the planned stop, and no server received it"
     )
     assert violations(client_attempt("a", READ, "dropped", 1.1), served, term) == [ViolationName.DROPPED]
     assert violations(client_attempt("a", READ)) == [ViolationName.FOREIGN_RESPONSE], (
@@ -99,7 +99,7 @@
     )
 
 
-def test_a_drain_binds_from_its_notification_on_or_where_nobody_polled() -> None:
+def test_drain_counts_from_notification_or_missed_poll() -> None:
     change = records.EndpointChanged(1.0, "s-east", "draining")
     notified = records.EndpointNotified(2.0, 0, "s-east", "draining")
     polling = records.DiscoveryCall(0, 0.0, 30.0, True)
@@ -116,7 +116,7 @@
         )
         == []
     )
-    # It stopped polling at 0.5: from 1.55 on it counts as notified of what was in the list a second before.
+    # It stopped polling at 0.5: from 1.55 on it counts as notified of the changes until a second before.
     stopped = records.DiscoveryCall(0, 0.0, 0.5, True)
     earlier_change = records.EndpointChanged(0.4, "s-east", "draining")
     assert violations(earlier_change, stopped, client_attempt("a", READ, deadline_at=9), server_attempt("a", 3.0)) == []
@@ -125,7 +125,7 @@
     ]
 
 
-def test_a_collapse_is_the_sidecars_fault_only_where_they_were_notified() -> None:
+def test_cold_overload_counts_only_for_notified_sidecars() -> None:
     collapse = records.ColdServerOverloaded(5.0, "s-east", 3.0, {"0": 2.0, "1": 1.0})
     notified = records.EndpointNotified(4.0, 0, "s-east", "ready", 3.0)
     assert violations(collapse) == []
