--- a/benchmarks/saturate.py
+++ b/benchmarks/saturate.py
@@ -1,10 +1,10 @@
-"""How much one sidecar carries: pinned to one core, before ten servers that answer at once.
+"""Measure the capacity of one sidecar, pinned to one core, in front of ten servers that respond immediately.
 
     python benchmarks/saturate.py --connections 1,16,64 --seconds 4 --runs 3 [--pause-ms 0] [--json FILE]
 
-Clients are a closed loop: each connection sends its next request when the last one is answered, after a pause if one
-is asked for; after a rejection it sends again at once.  Servers and clients are processes of their own on other cores.
-CPU is the sidecar's own, from its process times; memory is the most seen in ten samples a second.
+Clients are a closed loop: each connection sends its next request after the response to the last one, also a rejection,
+and an optional pause.  Servers and clients are processes of their own on other cores.  CPU is from the process times of
+the sidecar; memory is the maximum of ten samples a second.
 """
 
 from __future__ import annotations
@@ -54,18 +54,21 @@
 key_scope = "all"
 """
 WARM_UP_S = 1.0
-HOLD_S = 10  # of a watch
+WATCH_HOLD_S = 10
 RECONNECT_DELAY_S = 0.01
 SAMPLE_INTERVAL_S = 0.1
 STOP_TIMEOUT_S = 5
+READY_TIMEOUT_S = 10
+READY_POLL_S = 0.02
+BYTES_PER_MB = 2**20
 OK, REJECTED = 200, 503
 
 
 class Server(asyncio.Protocol):
-    """Answers each request at once."""
+    """Server that responds immediately."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to parse."""
+        """Create the parser of the connection."""
         self._transport: Any = transport
         self._parser = httptools.HttpRequestParser(self)
 
@@ -74,32 +77,33 @@
         self._parser.feed_data(data)
 
     def on_message_complete(self) -> None:
-        """Answer a complete request."""
+        """Respond to a complete request."""
         self._transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello")
 
 
 class UnchangingDiscovery(asyncio.Protocol):
-    """An endpoint list without changes: it lets each watch wait."""
+    """Discovery service whose endpoint list does not change."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the connection."""
+        """Store the connection."""
         self._transport: Any = transport
 
     def data_received(self, data: bytes) -> None:
-        """Answer a call late: nothing changed."""
+        """Respond after the hold time that nothing changed."""
         body = b'{"version":1,"full":false,"servers":[]}'
         response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
-        asyncio.get_running_loop().call_later(HOLD_S, self._transport.write, response)
+        asyncio.get_running_loop().call_later(WATCH_HOLD_S, self._transport.write, response)
 
 
 def run_servers(block: int, ready: Any, cores: set[int]) -> None:
-    """The process of the servers and of discovery."""
+    """Run the servers and the discovery service, as a process of their own."""
     os.sched_setaffinity(0, cores)
 
     async def serve() -> None:
         loop = asyncio.get_running_loop()
-        for place in range(SERVERS):
-            await loop.create_server(Server, loopback.server_host(block, place, 0), loopback.PORT, backlog=512)
+        for server_index in range(SERVERS):
+            host = loopback.server_host(block, server_index, 0)
+            await loop.create_server(Server, host, loopback.PORT, backlog=512)
         await loop.create_server(UnchangingDiscovery, loopback.discovery_host(block, 0), loopback.PORT)
         ready.set()
         await asyncio.sleep(3600)
@@ -108,7 +112,7 @@
 
 
 class Client(asyncio.Protocol):
-    """One connection of the application."""
+    """A connection of the application."""
 
     def __init__(self, load: Load) -> None:
         self._load = load
@@ -119,7 +123,7 @@
         self._send()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Open another connection where the sidecar closed this one."""
+        """Replace the connection that the sidecar closed."""
         if not self._load.is_over:
             asyncio.get_running_loop().create_task(self._load.connect())
 
@@ -128,12 +132,12 @@
         self._parser.feed_data(data)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Note whether the connection may be used again."""
+        """Record whether the sidecar closes the connection."""
         if name.lower() == b"connection" and value.lower() == b"close":
             self._must_close = True
 
     def on_message_complete(self) -> None:
-        """Count a complete response, and go on."""
+        """Count a complete response and send the next request."""
         self._load.count(self._parser.get_status_code(), time.perf_counter() - self._sent_at)
         if self._must_close:
             self._transport.close()
@@ -155,7 +159,7 @@
 
 
 class Load:
-    """All clients, and what they saw."""
+    """All clients and their results."""
 
     def __init__(self, host: str, pause_s: float) -> None:
         self.pause_s = pause_s
@@ -167,19 +171,19 @@
         self._latencies_s: list[float] = []
 
     def next_serial(self) -> int:
-        """The number of the next request."""
+        """Return the number of the next request."""
         self._serial += 1
         return self._serial
 
     def count(self, status: int, latency_s: float) -> None:
-        """Count a response."""
+        """Count a response if the measurement is running."""
         if self.is_counting:
             self._statuses[status] = self._statuses.get(status, 0) + 1
             if status == OK:
                 self._latencies_s.append(latency_s)
 
     async def connect(self) -> None:
-        """Open one client's connection; try again until there is one."""
+        """Open a connection, with retries until it is established."""
         while not self.is_over:
             try:
                 await asyncio.get_running_loop().create_connection(lambda: Client(self), self._host, loopback.PORT)
@@ -188,7 +192,7 @@
                 await asyncio.sleep(RECONNECT_DELAY_S)
 
     def result(self, seconds: float) -> ClientResult:
-        """What was seen in that many seconds."""
+        """Return the results of a measurement of this length."""
         latencies_s = sorted(self._latencies_s)
         p50_ms = 1000 * latencies_s[len(latencies_s) // 2] if latencies_s else 0.0
         p99_ms = 1000 * latencies_s[int(len(latencies_s) * 0.99)] if latencies_s else 0.0
@@ -197,7 +201,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientResult:
-    """What the clients saw."""
+    """Results of the clients."""
 
     statuses: dict[int, int]
     seconds: float
@@ -207,7 +211,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientOptions:
-    """What the clients do."""
+    """Number of connections, length of the measurement and pause between requests."""
 
     connections: int
     seconds: float
@@ -215,7 +219,7 @@
 
 
 def run_clients(host: str, options: ClientOptions, cores: set[int], pipe: Any) -> None:
-    """The process of the clients; sends ``begin`` and then a :class:`ClientResult`."""
+    """Run the clients, as a process of their own; send ``begin`` and then a :class:`ClientResult`."""
     os.sched_setaffinity(0, cores)
 
     async def play() -> None:
@@ -236,12 +240,12 @@
 
 @contextmanager
 def running_servers(block: int, cores: set[int]) -> Iterator[None]:
-    """Servers and discovery that are ready."""
+    """Run servers and discovery; they are ready on entry."""
     ready = multiprocessing.Event()
     servers = multiprocessing.Process(target=run_servers, args=(block, ready, cores), daemon=True)
     servers.start()
     try:
-        ready.wait(10)
+        ready.wait(READY_TIMEOUT_S)
         yield
     finally:
         servers.terminate()
@@ -249,7 +253,7 @@
 
 @contextmanager
 def running_sidecar(block: int, memory_mb: int, core: int) -> Iterator[psutil.Process]:
-    """A sidecar that is ready, pinned to that core."""
+    """Run a sidecar pinned to a core and yield it when it is ready."""
     schedule = make_schedule(scenario_file.decode(SCENARIO, "saturate"), 1)
     configuration = sidecar_configuration(schedule, block, 0)
     configuration["limits"] = {"cores": 1.0, "memory_mb": memory_mb, "sockets": 1024}
@@ -262,7 +266,7 @@
     try:
         os.sched_setaffinity(child.pid, {core})
         while not is_ready(block, 0):
-            time.sleep(0.02)
+            time.sleep(READY_POLL_S)
         yield psutil.Process(child.pid)
     finally:
         child.terminate()
@@ -273,7 +277,7 @@
 
 
 def measure(options: ClientOptions, memory_mb: int) -> dict[str, float]:
-    """Measure one run of one sidecar on the first core."""
+    """Measure a sidecar on the first core, servers on the second and clients on the third."""
     cores = sorted(os.sched_getaffinity(0))
     block = loopback.LoopbackBlock()
     try:
@@ -290,26 +294,26 @@
     sidecar: psutil.Process, block: int, options: ClientOptions, client_cores: set[int]
 ) -> dict[str, float]:
     """Measure a sidecar under the clients' load."""
-    here, there = multiprocessing.Pipe()
+    results, client_end = multiprocessing.Pipe()
     host = loopback.sidecar_host(block, 0)
-    clients = multiprocessing.Process(target=run_clients, daemon=True, args=(host, options, client_cores, there))
+    clients = multiprocessing.Process(target=run_clients, daemon=True, args=(host, options, client_cores, client_end))
     clients.start()
-    assert here.recv() == "begin"
+    assert results.recv() == "begin"
     before, max_rss_mb = sidecar.cpu_times(), 0.0
-    while not here.poll(SAMPLE_INTERVAL_S):
-        max_rss_mb = max(max_rss_mb, sidecar.memory_info().rss / 2**20)
-    after, seen = sidecar.cpu_times(), here.recv()
+    while not results.poll(SAMPLE_INTERVAL_S):
+        max_rss_mb = max(max_rss_mb, sidecar.memory_info().rss / BYTES_PER_MB)
+    after, result = sidecar.cpu_times(), results.recv()
     cpu_s = after.user + after.system - before.user - before.system
     clients.join(STOP_TIMEOUT_S)
-    responses = sum(seen.statuses.values())
+    responses = sum(result.statuses.values())
     return {
         "connections": options.connections,
-        "served_per_s": seen.statuses.get(OK, 0) / seen.seconds,
-        "refused": seen.statuses.get(REJECTED, 0),
-        "other": responses - sum(seen.statuses.get(status, 0) for status in (OK, REJECTED)),
-        "p50_ms": seen.p50_ms,
-        "p99_ms": seen.p99_ms,
-        "cores": cpu_s / seen.seconds,
+        "served_per_s": result.statuses.get(OK, 0) / result.seconds,
+        "refused": result.statuses.get(REJECTED, 0),
+        "other": responses - sum(result.statuses.get(status, 0) for status in (OK, REJECTED)),
+        "p50_ms": result.p50_ms,
+        "p99_ms": result.p99_ms,
+        "cores": cpu_s / result.seconds,
         "cpu_us": 1e6 * cpu_s / max(1, responses),
         "rss_mb": max_rss_mb,
     }
@@ -328,10 +332,10 @@
 
 
 def main() -> None:
-    """Measure and print a table: the median of the runs, and least to most of what was served."""
+    """Measure and print a table: medians of the runs, and the range of the served requests."""
     options = parse_options()
     rows = []
-    print("| connections | served/s (least to most) | refused | other | p50 ms | p99 ms | CPU µs/request | RSS MB |")
+    print("| connections | served/s (range) | rejected | other | p50 ms | p99 ms | CPU µs/request | RSS MB |")
     print("| --- | --- | --- | --- | --- | --- | --- | --- |")
     for connections in map(int, options.connections.split(",")):
         clients = ClientOptions(connections, options.seconds, options.pause_ms / 1000)
