--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,4 +1,4 @@
-"""Tests that data stored by an earlier version is read: a drain file, event logs and a report."""
+"""Data stored by an earlier version is read and written unchanged: a drain file, event logs and a report."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     assert (tmp_path / "copy.jsonl").read_bytes() == (STORED / "kinds.jsonl").read_bytes()
 
 
-def test_stored_event_logs_give_the_findings_of_their_report() -> None:
+def test_stored_event_logs_give_findings_of_stored_report() -> None:
     specification = read_specification(str(STORED / "load.spec.json"))
     drawn = make_schedule(specification.scenario, specification.seed)
     log = EventLog(read_records(STORED / name for name in EVENT_LOGS))
