--- a/tests/balancing/test_admission.py
+++ b/tests/balancing/test_admission.py
@@ -19,7 +19,7 @@
 
 
 def test_concurrency_limit_rejects_when_no_attempt_finishes() -> None:
-    """The limit holds for the balancer as a whole: at most four requests for each server in its share of the fleet."""
+    """The limit counts all attempts of the balancer: at most four for each server in its share of the fleet."""
     world = start_world(settings(max_attempts=1, fleet_size=6), make_endpoints(54))
     serve_requests(world, 150)
     sends = len(world.sends)
--- a/tests/integration/player.py
+++ b/tests/integration/player.py
@@ -60,9 +60,10 @@
     serve_environment,
 )
 
-PATIENCE_S = 20.0
+DEFAULT_TIMEOUT_S = 20.0
 READY_POLL_S = 0.05
 INHERITED_DESCRIPTOR = 7
+LOG_NAME = "stderr.log"
 MAX_UNEXPECTED_BYTES = 300
 MAX_SHOWN_BYTES = 500
 
@@ -79,17 +80,17 @@
         # The backlog of this listener is full, so that connections to it are never established.
         self.unresponsive = listener(0)
         self.addresses["@S"] = address(self.unresponsive)
-        self.fillers = [socket.socket() for _ in range(4)]
-        for filler in self.fillers:
-            filler.setblocking(False)
-            filler.connect_ex(self.unresponsive.getsockname())
+        self.backlog_connections = [socket.socket() for _ in range(4)]
+        for sock in self.backlog_connections:
+            sock.setblocking(False)
+            sock.connect_ex(self.unresponsive.getsockname())
         # Released last, so that none of the sockets above takes their ports.
-        refusing, self.listen, self.operator = _unused_addresses(3)
-        self.addresses |= {"@C": refusing, "@O": self.operator}
-        self.patience = PATIENCE_S
-        self.known: list[str] = ["A"]
-        self.files = self.sockets = 1024
-        self.links: dict[str, socket.socket] = {}
+        refusing, self.listen_address, self.admin_address = _unused_addresses(3)
+        self.addresses |= {"@C": refusing, "@O": self.admin_address}
+        self.timeout_s = DEFAULT_TIMEOUT_S
+        self.known_endpoints: list[str] = ["A"]
+        self.max_descriptors = self.max_sockets = 1024
+        self.connections: dict[str, socket.socket] = {}
         self.accepted_by: dict[str, str] = {}
         self.program: subprocess.Popen[bytes] | None = None
         self.inherited: socket.socket | None = None  # the sidecar's listening socket after the step ``inherit``
@@ -109,9 +110,9 @@
                 raise AssertionError(f"line {line_number}: {line[:90]}: {error}") from error
 
     def _run_step(self, line: str) -> None:
-        name, *arguments = line.split()
-        if (program_step := PROGRAM_STEPS.get(name)) is not None:
-            program_step(self, *arguments)
+        first_word, *arguments = line.split()
+        if (run_program_step := PROGRAM_STEPS.get(first_word)) is not None:
+            run_program_step(self, *arguments)
             return
         connection, step, *text = line.split(" ", 2)
         CONNECTION_STEPS[step](self, connection, text[0] if text else "")
@@ -122,43 +123,48 @@
             self.program.kill()
             self.program.wait()
         listeners = [*self.upstream.values(), self.discovery, self.second_discovery, self.unresponsive]
-        for sock in [*self.links.values(), *self.fillers, *listeners, *([self.inherited] if self.inherited else [])]:
+        for sock in [
+            *self.connections.values(),
+            *self.backlog_connections,
+            *listeners,
+            *([self.inherited] if self.inherited else []),
+        ]:
             sock.close()
 
     # ------------------------------------------------------------ the program
 
     def config(self) -> dict[str, Any]:
         """Return the content of ``config.json``."""
-        records = [endpoint_record(f"s-{name}", self.addresses[f"@{name}"]) for name in self.known]
+        records = [endpoint_record(f"s-{name}", self.addresses[f"@{name}"]) for name in self.known_endpoints]
         return {
             "name": "n1",
-            "listen": self.listen,
+            "listen": self.listen_address,
             "discovery": address(self.discovery),
             "seed": "5e",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.sockets},
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.max_sockets},
             "settings": SETTINGS,
             "known": {"version": 1, "full": True, "servers": records},
-            "operator": self.operator,
+            "operator": self.admin_address,
         }
 
     def do_known(self, *names: str) -> None:
-        self.known = list(names)
+        self.known_endpoints = list(names)
 
     def do_patience(self, seconds: str) -> None:
-        self.patience = float(seconds)
+        self.timeout_s = float(seconds)
 
     def do_files(self, limit: str) -> None:
-        self.files = int(limit)
+        self.max_descriptors = int(limit)
 
     def do_sockets(self, limit: str) -> None:
-        self.sockets = int(limit)
+        self.max_sockets = int(limit)
 
     def do_connect_clients(self, count: str, name: str) -> None:
         for number in range(int(count)):
-            self.link(f"{name}{number}")
+            self.connection(f"{name}{number}")
 
     def do_inherit(self) -> None:
-        host, port = self.listen.split(":")
+        host, port = self.listen_address.split(":")
         self.inherited = socket.socket()
         self.inherited.bind((host, int(port)))
         self.inherited.listen(64)
@@ -168,14 +174,15 @@
         environment = serve_environment(self.folder, address(self.discovery))
         if self.inherited is not None:
             environment["PROXY_SOCKET_FD"] = str(INHERITED_DESCRIPTOR)
-        self.program = subprocess.Popen(
-            serve_command(self.files),
-            cwd=ROOT,
-            stderr=subprocess.DEVNULL,
-            env=environment,
-            close_fds=False,
-            preexec_fn=self._pass_inherited,  # noqa: PLW1509  one thread, and the number of the descriptor is fixed
-        )
+        with (self.folder / LOG_NAME).open("ab") as log:
+            self.program = subprocess.Popen(
+                serve_command(self.max_descriptors),
+                cwd=ROOT,
+                stderr=log,
+                env=environment,
+                close_fds=False,
+                preexec_fn=self._pass_inherited,  # noqa: PLW1509  one thread, and the number of the descriptor is fixed
+            )
         self._wait_until_ready()
 
     def _pass_inherited(self) -> None:
@@ -185,21 +192,25 @@
 
     def _wait_until_ready(self) -> None:
         assert self.program is not None
-        deadline = time.monotonic() + PATIENCE_S
+        deadline = time.monotonic() + DEFAULT_TIMEOUT_S
         while time.monotonic() < deadline:
-            assert self.program.poll() is None, f"the program exited with {self.program.returncode} before it was ready"
+            assert self.program.poll() is None, f"exited with {self.program.returncode}: {self._log_end()}"
             try:
                 self.on_send("ready", "GET /_health HTTP/1.1|Host: x||")
                 self.on_want("ready", "HTTP/1.1 200 OK|Content-Length: 3||ok\n")
                 return
             except (OSError, AssertionError):
-                self.links.pop("ready", None)
+                self.connections.pop("ready", None)
                 time.sleep(READY_POLL_S)
-        raise AssertionError("the program did not become ready")
+        raise AssertionError(f"the program did not become ready: {self._log_end()}")
+
+    def _log_end(self) -> str:
+        """Return the end of the program's standard error."""
+        return (self.folder / LOG_NAME).read_text(errors="replace")[-MAX_SHOWN_BYTES:]
 
     def do_hup(self, name: str, value: str) -> None:
         assert self.program is not None
-        (self.folder / "config.json").write_text(json.dumps({**self.config(), name: self.bytes_of(value)}))
+        (self.folder / "config.json").write_text(json.dumps({**self.config(), name: self._expand(value)}))
         self.program.send_signal(signal.SIGHUP)
 
     def do_term(self) -> None:
@@ -208,89 +219,89 @@
 
     def do_exit(self, status: str) -> None:
         assert self.program is not None
-        assert self.program.wait(PATIENCE_S) == int(status)
+        assert self.program.wait(DEFAULT_TIMEOUT_S) == int(status)
 
     # ------------------------------------------------------------ the connections
 
-    def bytes_of(self, text: str) -> str:
+    def _expand(self, text: str) -> str:
         """Return the bytes of a step, as Latin-1 text."""
         for name, listen_address in self.addresses.items():
             text = text.replace(name, listen_address)
         text = re.sub(r"(.)\{x(\d+)\}", lambda match: match[1] * int(match[2]), text)
         return text.replace("|", "\r\n").replace("~", "\n")
 
-    def link(self, who: str) -> socket.socket:
+    def connection(self, name: str) -> socket.socket:
         """Return the connection of that name; the first call accepts or opens it."""
-        if who not in self.links:
-            self.links[who] = self._accept(who) if who[0] in "dpq" else self._connect(who)
-            self.links[who].settimeout(self.patience)
-        return self.links[who]
+        if name not in self.connections:
+            self.connections[name] = self._accept(name) if name[0] in "dpq" else self._connect(name)
+            self.connections[name].settimeout(self.timeout_s)
+        return self.connections[name]
 
-    def _accept(self, who: str) -> socket.socket:
-        discovery = {"p": self.discovery, "q": self.second_discovery}.get(who[0])
+    def _accept(self, name: str) -> socket.socket:
+        discovery = {"p": self.discovery, "q": self.second_discovery}.get(name[0])
         listeners = [discovery] if discovery else list(self.upstream.values())
-        ready, _, _ = select.select(listeners, [], [], self.patience)
+        ready, _, _ = select.select(listeners, [], [], self.timeout_s)
         assert ready, "nothing connected"
         connection: socket.socket = ready[0].accept()[0]
-        self.accepted_by[who] = address(ready[0])
+        self.accepted_by[name] = address(ready[0])
         return connection
 
-    def _connect(self, who: str) -> socket.socket:
-        host, port = (self.operator if who[0] == "o" else self.listen).split(":")
-        return socket.create_connection((host, int(port)), self.patience)
+    def _connect(self, name: str) -> socket.socket:
+        host, port = (self.admin_address if name[0] == "o" else self.listen_address).split(":")
+        return socket.create_connection((host, int(port)), self.timeout_s)
 
-    def on_send(self, who: str, text: str) -> None:
-        self.link(who).sendall(self.bytes_of(text).encode("latin-1"))
+    def on_send(self, name: str, text: str) -> None:
+        self.connection(name).sendall(self._expand(text).encode("latin-1"))
 
-    def on_want(self, who: str, text: str) -> None:
-        expected = self.bytes_of(text)
+    def on_want(self, name: str, text: str) -> None:
+        expected = self._expand(text)
         pattern = re.compile(re.escape(expected).replace(r"\*", "[^\r\n]*"))
         tail = expected.rpartition("*")[2]
         received = ""
         while not (received.endswith(tail) and pattern.fullmatch(received)):
-            data = self.link(who).recv(1 if "*" in text else max(1, len(expected) - len(received)))
+            data = self.connection(name).recv(1 if "*" in text else max(1, len(expected) - len(received)))
             received += data.decode("latin-1")
             assert data, f"the connection ended after {received[-MAX_SHOWN_BYTES:]!r}"
             assert len(received) <= len(expected) + MAX_UNEXPECTED_BYTES, f"received {received[-MAX_SHOWN_BYTES:]!r}"
 
-    def on_list(self, who: str, text: str) -> None:
-        body = self.bytes_of(text)
-        self.link(who).sendall(f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
+    def on_list(self, name: str, text: str) -> None:
+        body = self._expand(text)
+        self.connection(name).sendall(f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
 
-    def on_none(self, who: str, text: str) -> None:
-        assert not select.select([self.link(who)], [], [], float(text or 0.3))[0], "received bytes or an end"
+    def on_none(self, name: str, text: str) -> None:
+        assert not select.select([self.connection(name)], [], [], float(text or 0.3))[0], "received bytes or an end"
 
-    def on_closed(self, who: str, _: str) -> None:
+    def on_closed(self, name: str, _: str) -> None:
         with contextlib.suppress(ConnectionResetError):
-            assert self.link(who).recv(1) == b"", "the connection is open and sends"
+            assert self.connection(name).recv(1) == b"", "the connection is open and sends"
 
-    def on_broken(self, who: str, _: str) -> None:
+    def on_broken(self, name: str, _: str) -> None:
         try:
-            data = self.link(who).recv(1)
+            data = self.connection(name).recv(1)
         except ConnectionResetError:
             return
         raise AssertionError(f"no reset, received {data!r}")
 
-    def on_half(self, who: str, _: str) -> None:
-        self.link(who).shutdown(socket.SHUT_WR)
+    def on_half(self, name: str, _: str) -> None:
+        self.connection(name).shutdown(socket.SHUT_WR)
 
-    def on_shut(self, who: str, _: str) -> None:
-        self.link(who).close()
-        del self.links[who]
+    def on_shut(self, name: str, _: str) -> None:
+        self.connection(name).close()
+        del self.connections[name]
 
-    def on_reset(self, who: str, _: str) -> None:
-        self.link(who).setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        self.on_shut(who, "")
+    def on_reset(self, name: str, _: str) -> None:
+        self.connection(name).setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        self.on_shut(name, "")
 
-    def on_elsewhere(self, who: str, other: str) -> None:
-        self.link(who)
-        assert self.accepted_by[who] != self.accepted_by[other], "accepted by the same endpoint"
+    def on_elsewhere(self, name: str, other: str) -> None:
+        self.connection(name)
+        assert self.accepted_by[name] != self.accepted_by[other], "accepted by the same endpoint"
 
-    def on_at(self, who: str, name: str) -> None:
-        self.link(who)
-        assert self.accepted_by[who] == self.addresses[f"@{name}"], "accepted by another endpoint"
+    def on_at(self, name: str, endpoint: str) -> None:
+        self.connection(name)
+        assert self.accepted_by[name] == self.addresses[f"@{endpoint}"], "accepted by another endpoint"
 
-    def on_pause(self, who: str, seconds: str) -> None:
+    def on_pause(self, name: str, seconds: str) -> None:
         time.sleep(float(seconds))
 
 
--- a/tests/overload/test_sockets.py
+++ b/tests/overload/test_sockets.py
@@ -105,7 +105,7 @@
         until = time.monotonic() + 1.5
 
         def check_health(number: int) -> None:
-            connection = player.link(f"h{number}")
+            connection = player.connection(f"h{number}")
             while time.monotonic() < until:
                 connection.sendall(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
                 assert connection.recv(4096).startswith(b"HTTP/1.1 200")
--- a/tests/races/test_closing.py
+++ b/tests/races/test_closing.py
@@ -199,7 +199,7 @@
 def test_shutdown_before_first_endpoint_list_answers_503(tmp_path: Path) -> None:
     """Discovery never answers and no endpoint is cached; SIGTERM still ends the process."""
     player = Player(tmp_path)
-    player.known = []
+    player.known_endpoints = []
     (tmp_path / "config.json").write_text(json.dumps(player.config()))
     process = subprocess.Popen(
         [sys.executable, "-B", "-m", "lugtally", "serve"],
--- a/tests/races/test_shutdown_process.py
+++ b/tests/races/test_shutdown_process.py
@@ -69,14 +69,14 @@
 
 
 def send_request(player: Player, who: str) -> None:
-    player.link(who).sendall(request("campaign-read", who))
+    player.connection(who).sendall(request("campaign-read", who))
 
 
 def first_line(player: Player, who: str) -> bytes:
     """Return the first line that a client gets; what has come where its connection ends before."""
     received = b""
     with contextlib.suppress(ConnectionResetError):
-        while b"\r\n" not in received and (data := player.link(who).recv(4096)):
+        while b"\r\n" not in received and (data := player.connection(who).recv(4096)):
             received += data
     return received.partition(b"\r\n")[0]
 
@@ -106,15 +106,15 @@
 def test_sigterm_and_sighup_in_one_poll_answer_all_requests(player: Player) -> None:
     player.do_serve()
     send_request(player, "c1")
-    player.link("d1").recv(4096)
+    player.connection("d1").recv(4096)
     stop_process(player)
     os.kill(pid_of(player), signal.SIGTERM)
     os.kill(pid_of(player), signal.SIGHUP)
     send_request(player, "c2")
     os.kill(pid_of(player), signal.SIGCONT)
-    player.link("d2").recv(4096)
+    player.connection("d2").recv(4096)
     for who in ("d2", "d1"):
-        player.link(who).sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+        player.connection(who).sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
     for who in ("c1", "c2"):
         assert first_line(player, who) == b"HTTP/1.1 200 OK"
         player.on_shut(who, "")
@@ -128,16 +128,16 @@
     for who in ("kept1", "kept2"):
         send_request(player, who)
         assert first_line(player, who) == b"HTTP/1.1 200 OK"
-    player.link("new")
+    player.connection("new")
     send_request(player, "half")
     assert first_line(player, "half") == b"HTTP/1.1 200 OK"
-    player.link("half").sendall(request("campaign-read", "half2")[:30])
+    player.connection("half").sendall(request("campaign-read", "half2")[:30])
     player.do_term()
     wait_until_draining(player)  # by then it has accepted "new", which connected before
     stop_process(player)
     for who in ("kept1", "kept2", "new", "waiting"):  # the last lies in the backlog
         send_request(player, who)
-    player.link("half").sendall(request("campaign-read", "half2")[30:])
+    player.connection("half").sendall(request("campaign-read", "half2")[30:])
     time.sleep(1)
     os.kill(pid_of(player), signal.SIGCONT)
     answers = {who: first_line(player, who) for who in ("kept1", "kept2", "new", "waiting", "half")}
