--- a/tests/downstream/test_server.py
+++ b/tests/downstream/test_server.py
@@ -16,7 +16,8 @@
 from lugtally.units import NS_PER_MS
 from lugtally.upstream import ConnectionLimits, UpstreamPool
 from tests.dispatch.scripted_balancer import ScriptedBalancer
-from tests.sidecar_program import SETTINGS, listener
+from tests.sidecar_program import SETTINGS
+from tests.sockets import listener
 
 
 @pytest.fixture
--- a/tests/fault_injection/checker.py
+++ b/tests/fault_injection/checker.py
@@ -20,6 +20,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
+from lugtally.units import NS_PER_MS
 from tests.fault_injection.identity import MalformedBodyError, read_identity, read_identity_prefix
 from tests.fault_injection.records import (
     Answer,
@@ -33,7 +34,6 @@
 )
 from tests.fault_injection.verdict import NotJudged, Rule, Verdict, Violation
 
-NS_PER_MS = 1_000_000
 ANSWER_SLACK_NS = 500 * NS_PER_MS
 TIME_LEFT_SLACK_NS = 150 * NS_PER_MS
 CANCELLATION_SLACK_NS = 100 * NS_PER_MS
@@ -150,7 +150,9 @@
         if ended is None or ended.end is ConnectionEnd.CLOSED_BY_CLIENT:
             outcome = "no byte received"
         else:
-            outcome = f"{ended.end.value} {(ended.ended_ns - request.last_byte_ns) / 1e6:.0f} ms after its last byte"
+            outcome = (
+                f"{ended.end.value} {(ended.ended_ns - request.last_byte_ns) / NS_PER_MS:.0f} ms after its last byte"
+            )
         if answers:
             outcome = f"a truncated answer of status {answers[0].status} and {len(answers[0].body)} bytes; {outcome}"
         connection = "reused" if request.position else "new"
@@ -249,7 +251,7 @@
     def _check_answer_time(self, request: SentRequest, answer: Answer) -> None:
         late_ns = answer.ended_ns - self._due_ns(request)
         if late_ns > 0 and not request.reads_slowly and request.disconnected_ns is None:
-            detail = f"{late_ns / 1e6:.0f} ms after deadline and slack; status {answer.status}"
+            detail = f"{late_ns / NS_PER_MS:.0f} ms after deadline and slack; status {answer.status}"
             self._add(Rule.LATE_ANSWER, request.request_id, detail)
 
     def _check_attempts(self, request: SentRequest, complete_answer: Answer | None, attempts: list[Attempt]) -> None:
@@ -267,10 +269,10 @@
     def _check_attempt_end(self, request: SentRequest, attempt: Attempt, end: _RequestEnd) -> None:
         limit_ns = end.at_ns + CLOCK_TOLERANCE_NS
         if attempt.first_byte_ns > limit_ns:
-            detail = f"{attempt.endpoint}: {(attempt.first_byte_ns - end.at_ns) / 1e6:.0f} ms after {end.cause}"
+            detail = f"{attempt.endpoint}: {(attempt.first_byte_ns - end.at_ns) / NS_PER_MS:.0f} ms after {end.cause}"
             self._add(Rule.FORWARDED_AFTER_END, request.request_id, detail)
         elif attempt.latest_byte_ns > limit_ns:
-            detail = f"{attempt.endpoint}: {(attempt.latest_byte_ns - end.at_ns) / 1e6:.0f} ms after {end.cause}"
+            detail = f"{attempt.endpoint}: {(attempt.latest_byte_ns - end.at_ns) / NS_PER_MS:.0f} ms after {end.cause}"
             self._add(Rule.BYTES_AFTER_END, request.request_id, detail)
 
     def _check_time_left(self, request: SentRequest, attempt: Attempt) -> None:
@@ -278,7 +280,9 @@
             return
         excess_ns = attempt.time_left_ns - max(0, request.deadline_ns - attempt.first_byte_ns)
         if excess_ns > TIME_LEFT_SLACK_NS:
-            time_left = f"X-Time-Left {attempt.time_left_ns / 1e6:.0f} ms, {excess_ns / 1e6:.0f} ms too much"
+            time_left = (
+                f"X-Time-Left {attempt.time_left_ns / NS_PER_MS:.0f} ms, {excess_ns / NS_PER_MS:.0f} ms too much"
+            )
             self._add(Rule.TIME_LEFT_TOO_LARGE, request.request_id, f"{attempt.endpoint}: {time_left}")
 
 
--- a/tests/fault_injection/client.py
+++ b/tests/fault_injection/client.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass
 from random import Random
 
+from lugtally.units import NS_PER_S
 from tests.fault_injection.behaviour import ClientBehaviour
 from tests.fault_injection.client_connection import ClientConnection
-from tests.fault_injection.clock import NS_PER_S
 from tests.fault_injection.records import RequestClass, RunRecords, SentRequest
 from tests.fault_injection.wire import serialize_head
 
--- a/tests/fault_injection/client_connection.py
+++ b/tests/fault_injection/client_connection.py
@@ -6,10 +6,10 @@
 import contextlib
 import itertools
 import socket
-import struct
 from collections import deque
 
-from tests.fault_injection.clock import NS_PER_MS, NS_PER_S, latest_arrival_ns, now_ns
+from lugtally.units import NS_PER_MS, NS_PER_S
+from tests.fault_injection.clock import latest_arrival_ns, now_ns
 from tests.fault_injection.records import (
     Answer,
     ConnectionEnd,
@@ -18,13 +18,13 @@
     SentRequest,
 )
 from tests.fault_injection.wire import MalformedResponseError, ReadResponse, ResponseReader
+from tests.sockets import reset_on_close
 
 PATIENCE_AFTER_DEADLINE_NS = 4_200 * NS_PER_MS
 """The time that a client waits after a deadline: a sidecar may be stopped for 3 s."""
 SLOW_READ_BYTES = 4096
 SLOW_READ_DELAY_S = 0.01
 RECEIVE_BYTES = 64 * 1024
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 class ClientConnection:
@@ -103,7 +103,7 @@
             return
         unanswered = list(self._unanswered)
         if reset:
-            self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+            reset_on_close(self._sock)
         self.close()
         disconnected_ns = now_ns()
         for request in unanswered:
--- a/tests/fault_injection/clock.py
+++ b/tests/fault_injection/clock.py
@@ -7,10 +7,9 @@
 import struct
 import time
 
+from lugtally.units import NS_PER_MS, NS_PER_S
 from tests.fault_injection.records import Interval, RunRecords
 
-NS_PER_MS = 1_000_000
-NS_PER_S = 1_000_000_000
 LAG_PERIOD_NS = 10 * NS_PER_MS
 MAX_OWN_LAG_NS = 50 * NS_PER_MS
 TCP_INFO_BYTES = 104
--- a/tests/fault_injection/discovery.py
+++ b/tests/fault_injection/discovery.py
@@ -5,16 +5,16 @@
 import asyncio
 import json
 import re
-import socket
-import struct
 import time
 from dataclasses import dataclass
 from typing import Any
 
-from tests.fault_injection.clock import NS_PER_S, now_ns
+from lugtally.units import NS_PER_S
+from tests.fault_injection.clock import now_ns
 from tests.fault_injection.endpoint import Endpoint
 from tests.fault_injection.wire import HEAD_END, serialize_head
 from tests.sidecar_program import endpoint_record
+from tests.sockets import reset_on_close
 
 READY, DRAINING, REMOVED = "ready", "draining", "gone"
 """The states of an endpoint on the wire."""
@@ -102,8 +102,7 @@
     def reset_connections(self) -> None:
         """Reset every connection."""
         for writer in [writer for writer in self._writers if not writer.is_closing()]:
-            sock = writer.get_extra_info("socket")
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+            reset_on_close(writer.get_extra_info("socket"))
             writer.transport.abort()
 
     def pause_answers(self, duration_s: float) -> None:
--- a/tests/fault_injection/endpoint.py
+++ b/tests/fault_injection/endpoint.py
@@ -5,7 +5,8 @@
 import asyncio
 import socket
 
-from tests.fault_injection.clock import NS_PER_S, now_ns
+from lugtally.units import NS_PER_S
+from tests.fault_injection.clock import now_ns
 from tests.fault_injection.endpoint_connection import EndpointConnection, EndpointFleet
 
 BACKLOG = 256
--- a/tests/fault_injection/endpoint_connection.py
+++ b/tests/fault_injection/endpoint_connection.py
@@ -6,15 +6,16 @@
 import contextlib
 import itertools
 import socket
-import struct
 from collections import Counter
 
+from lugtally.units import NS_PER_MS, NS_PER_S
 from tests.fault_injection.behaviour import EndpointBehaviour
-from tests.fault_injection.clock import NS_PER_MS, NS_PER_S, latest_arrival_ns, now_ns
+from tests.fault_injection.clock import latest_arrival_ns, now_ns
 from tests.fault_injection.identity import BodyIdentity, make_body
 from tests.fault_injection.records import Attempt, ResponseKind, RunRecords
 from tests.fault_injection.response_plan import LONG_BODY_BYTES, Framing, Place, ResponsePlan, plan_response
 from tests.fault_injection.wire import HEAD_END, parse_head, serialize_chunk, serialize_head
+from tests.sockets import reset_on_close
 
 SILENCE_S = 6.0
 SECOND_COPY_DELAY_S = 0.002
@@ -24,7 +25,6 @@
 ENDLESS_PERIOD_S = 0.05
 ENDLESS_SLOW_CHUNK_BYTES = 100
 RECEIVE_BYTES = 64 * 1024
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 class EndpointFleet:
@@ -66,7 +66,7 @@
         finally:
             if reset:
                 with contextlib.suppress(OSError):
-                    self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+                    reset_on_close(self._sock)
             self._sock.close()
 
     # ------------------------------------------------------------ requests
--- a/tests/fault_injection/injector.py
+++ b/tests/fault_injection/injector.py
@@ -9,8 +9,9 @@
 from collections.abc import Awaitable, Callable, Iterator
 from dataclasses import dataclass
 
+from lugtally.units import NS_PER_S
 from tests.fault_injection.behaviour import TimedFault
-from tests.fault_injection.clock import NS_PER_S, now_ns
+from tests.fault_injection.clock import now_ns
 from tests.fault_injection.discovery import DRAINING, READY, REMOVED, DiscoveryService, EndpointCatalog
 from tests.fault_injection.endpoint import Endpoint
 from tests.fault_injection.faults import ScheduledFault
--- a/tests/fault_injection/report.py
+++ b/tests/fault_injection/report.py
@@ -7,6 +7,7 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
+from lugtally.units import NS_PER_MS, NS_PER_S
 from tests.fault_injection.records import RunRecords, SentRequest
 from tests.fault_injection.scenario import RunResult, Scenario
 from tests.fault_injection.verdict import NotJudged, Verdict, Violation
@@ -15,11 +16,11 @@
 MAX_TIMELINES_PER_SHAPE = 2
 MAX_SHAPES = 20
 _NUMBER = re.compile(r"(?<![A-Za-z])-?\d+|(?<=\be)\d+")
-BEFORE_REQUEST_NS = 200_000_000
-AFTER_DEADLINE_NS = 1_000_000_000
+BEFORE_REQUEST_NS = 200 * NS_PER_MS
+AFTER_DEADLINE_NS = NS_PER_S
 MAX_NEIGHBOURS = 3
 """The number of requests before and after it on its connection that a timeline shows."""
-FAULT_MARGIN_NS = 4_000_000_000
+FAULT_MARGIN_NS = 4 * NS_PER_S
 """The time before a request and after its deadline within which a timeline shows injected faults."""
 
 
@@ -36,7 +37,7 @@
     for rule, count in verdict.counts().items():
         yield f"  {rule.name.lower():22} {count:5}"
     lags = result.records.own_lags
-    longest_ms = max((lag.end_ns - lag.start_ns for lag in lags), default=0) / 1e6
+    longest_ms = max((lag.end_ns - lag.start_ns for lag in lags), default=0) / NS_PER_MS
     yield f"  the judging process ran late {len(lags)} times, {longest_ms:.0f} ms at most"
     yield from _shapes(verdict)
     for reason, count in verdict.not_judged.most_common():
@@ -84,7 +85,7 @@
         return
     for at_ns, text in sorted(_events(request, result.records)):
         if _is_during(request, at_ns) or text.startswith(FAULT_PREFIX):
-            yield f"    {(at_ns - result.started_ns) / 1e6:9.1f} {text}"
+            yield f"    {(at_ns - result.started_ns) / NS_PER_MS:9.1f} {text}"
 
 
 def _is_during(request: SentRequest, at_ns: int) -> bool:
@@ -110,7 +111,7 @@
             yield TimedText(
                 other.last_byte_ns,
                 f"{mark} {other.request_id} ({other.request_class.value}) complete by write {other.write_number} on "
-                f"connection {other.connection} of sidecar {other.sidecar}, {other.time_left_ns / 1e9:.3f} s left",
+                f"connection {other.connection} of sidecar {other.sidecar}, {other.time_left_ns / NS_PER_S:.3f} s left",
             )
     if request.disconnected_ns is not None:
         yield TimedText(request.disconnected_ns, "the client disconnects")
@@ -134,7 +135,7 @@
         if attempt.request_id != request.request_id:
             continue
         name = f"attempt {attempt.attempt_number}"
-        time_left = f"X-Time-Left {attempt.time_left_ns / 1e9:.3f} s"
+        time_left = f"X-Time-Left {attempt.time_left_ns / NS_PER_S:.3f} s"
         extent = "complete" if attempt.last_byte_ns is not None else "incomplete"
         yield TimedText(attempt.first_byte_ns, f"{name} at {attempt.endpoint}, {time_left}, {extent}")
         if attempt.ended_ns is not None:
--- a/tests/fault_injection/sidecar_process.py
+++ b/tests/fault_injection/sidecar_process.py
@@ -9,7 +9,8 @@
 import subprocess
 from pathlib import Path
 
-from tests.fault_injection.clock import NS_PER_S, now_ns
+from lugtally.units import NS_PER_S
+from tests.fault_injection.clock import now_ns
 from tests.fault_injection.discovery import EndpointCatalog
 from tests.fault_injection.wire import ResponseReader, serialize_head
 from tests.sidecar_program import ROOT, serve_command, serve_environment, sidecar_settings
--- a/tests/fault_injection/test_checker.py
+++ b/tests/fault_injection/test_checker.py
@@ -6,6 +6,7 @@
 
 import pytest
 
+from lugtally.units import NS_PER_MS
 from tests.fault_injection.checker import check
 from tests.fault_injection.identity import BodyIdentity, MalformedBodyError, make_body, read_identity
 from tests.fault_injection.records import (
@@ -23,7 +24,6 @@
 )
 from tests.fault_injection.verdict import NotJudged, Rule, Verdict
 
-NS_PER_MS = 1_000_000
 SENT_MS = 1000
 DEADLINE_MS = 2000
 REQUEST_ID = "r1"
--- a/tests/integration/player.py
+++ b/tests/integration/player.py
@@ -43,22 +43,14 @@
 import select
 import signal
 import socket
-import struct
 import subprocess
 import time
 from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
-from tests.sidecar_program import (
-    ROOT,
-    SETTINGS,
-    address,
-    endpoint_record,
-    listener,
-    serve_command,
-    serve_environment,
-)
+from tests.sidecar_program import ROOT, SETTINGS, endpoint_record, serve_command, serve_environment
+from tests.sockets import address, listener, reset_on_close
 
 DEFAULT_TIMEOUT_S = 20.0
 READY_POLL_S = 0.05
@@ -290,7 +282,7 @@
         del self.connections[name]
 
     def on_reset(self, name: str, _: str) -> None:
-        self.connection(name).setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        reset_on_close(self.connection(name))
         self.on_shut(name, "")
 
     def on_elsewhere(self, name: str, other: str) -> None:
--- a/tests/integration/test_sidecar.py
+++ b/tests/integration/test_sidecar.py
@@ -22,7 +22,8 @@
 from lugtally.units import NS_PER_MS, NS_PER_S
 from lugtally.upstream import ConnectionLimits, UpstreamPool
 from tests.integration.player import Player
-from tests.sidecar_program import ROOT, listener
+from tests.sidecar_program import ROOT
+from tests.sockets import listener
 
 WARM_UP_REQUESTS = 20
 MEASURED_REQUESTS = 100
--- a/tests/races/fakes.py
+++ b/tests/races/fakes.py
@@ -22,7 +22,7 @@
 from lugtally.eventloop import READABLE, EventLoop, WakeReason
 from lugtally.units import NS_PER_MS, NS_PER_S
 from lugtally.upstream import ConnectionLimits, UpstreamPool
-from tests.sidecar_program import listener
+from tests.sockets import listener
 
 MAX_WAIT_NS = 10_000 * NS_PER_MS
 ENDPOINT_A, ENDPOINT_B = endpoint_id_of("s-a"), endpoint_id_of("s-b")
--- a/tests/races/processes.py
+++ b/tests/races/processes.py
@@ -13,7 +13,8 @@
 from pathlib import Path
 from types import TracebackType
 
-from tests.sidecar_program import ROOT, SETTINGS, address, listener
+from tests.sidecar_program import ROOT, SETTINGS
+from tests.sockets import address, listener
 
 MAX_WAIT_S = 10.0
 START_TIMEOUT_S = 20.0
--- a/tests/sidecar_program.py
+++ b/tests/sidecar_program.py
@@ -1,15 +1,15 @@
-"""The sidecar as a program under test: its configuration, command and environment, and sockets for its peers."""
+"""The sidecar as a program under test: its configuration, command and environment."""
 
 from __future__ import annotations
 
 import os
-import socket
 import sys
 from pathlib import Path
 from typing import Any
 
+from lugtally.units import NS_PER_S
+
 ROOT = Path(__file__).parents[1]
-NS_PER_S = 1_000_000_000
 
 
 def sidecar_settings(
@@ -77,17 +77,3 @@
         "TMPDIR": str(folder),
         "PROXY_DISCOVERY": discovery,
     }
-
-
-def listener(backlog: int = 64) -> socket.socket:
-    """Return a listening socket on an unused loopback port."""
-    sock = socket.socket()
-    sock.bind(("127.0.0.1", 0))
-    sock.listen(backlog)
-    return sock
-
-
-def address(sock: socket.socket) -> str:
-    """Return ``host:port`` of a listening socket."""
-    host, port = sock.getsockname()
-    return f"{host}:{port}"
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -12,7 +12,7 @@
 from lugtally.http1 import ForwardedRequest, Message
 from lugtally.units import NS_PER_MS
 from lugtally.upstream import SETTLE_NS, ConnectionLimits, UpstreamPool, safe_idle_timeout_ns
-from tests.sidecar_program import listener
+from tests.sockets import listener
 
 
 @pytest.fixture
