--- a/tests/fault_injection/checker.py
+++ b/tests/fault_injection/checker.py
@@ -150,9 +150,8 @@
         if ended is None or ended.end is ConnectionEnd.CLOSED_BY_CLIENT:
             outcome = "no byte received"
         else:
-            outcome = (
-                f"{ended.end.value} {(ended.ended_ns - request.last_byte_ns) / NS_PER_MS:.0f} ms after its last byte"
-            )
+            elapsed_ms = (ended.ended_ns - request.last_byte_ns) / NS_PER_MS
+            outcome = f"{ended.end.value} {elapsed_ms:.0f} ms after its last byte"
         if answers:
             outcome = f"a truncated answer of status {answers[0].status} and {len(answers[0].body)} bytes; {outcome}"
         connection = "reused" if request.position else "new"
@@ -280,10 +279,9 @@
             return
         excess_ns = attempt.time_left_ns - max(0, request.deadline_ns - attempt.first_byte_ns)
         if excess_ns > TIME_LEFT_SLACK_NS:
-            time_left = (
-                f"X-Time-Left {attempt.time_left_ns / NS_PER_MS:.0f} ms, {excess_ns / NS_PER_MS:.0f} ms too much"
-            )
-            self._add(Rule.TIME_LEFT_TOO_LARGE, request.request_id, f"{attempt.endpoint}: {time_left}")
+            time_left_ms, excess_ms = attempt.time_left_ns / NS_PER_MS, excess_ns / NS_PER_MS
+            detail = f"{attempt.endpoint}: X-Time-Left {time_left_ms:.0f} ms, {excess_ms:.0f} ms too much"
+            self._add(Rule.TIME_LEFT_TOO_LARGE, request.request_id, detail)
 
 
 def _write_of(request: SentRequest) -> _Write:
