--- a/tests/balancing/policy_modules.py
+++ b/tests/balancing/policy_modules.py
@@ -1,4 +1,4 @@
-"""What a module that decides may not do: the rules that every file under ``policy`` in the deploy file keeps."""
+"""Checks of the modules that the deploy file lists under ``policy``: no clock, no I/O, no unseeded randomness."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 
 def violations(source: str) -> list[str]:
-    """Return what a source file does that a deciding module may not do, one line for each."""
+    """Return the violations in the source of a policy module, one text for each."""
     found = [f"line {number} is too long" for number, line in enumerate(source.splitlines(), 1) if is_too_long(line)]
     for node in ast.walk(ast.parse(source)):
         found += [f"imports {name}" for name in imported_names(node) if not is_allowed(name)]
@@ -76,7 +76,7 @@
 
 
 def imported_names(node: ast.AST) -> Iterator[str]:
-    """Yield what an import statement names, ``package.name`` for each name taken from a package."""
+    """Yield the names that an import statement imports, as ``package.name`` where they are taken from a package."""
     if isinstance(node, ast.Import):
         yield from (alias.name for alias in node.names)
     elif isinstance(node, ast.ImportFrom):
--- a/tests/balancing/test_policy_modules.py
+++ b/tests/balancing/test_policy_modules.py
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: path.stem)
-def test_balancing_module_has_no_clock_io_or_unseeded_randomness(path: Path) -> None:
+def test_module_has_no_clock_io_or_unseeded_randomness(path: Path) -> None:
     assert not violations(path.read_text(encoding="utf-8"))
 
 
@@ -55,7 +55,7 @@
         "#" * (MAX_COLUMNS + 1),
     ],
 )
-def test_check_finds_each_violation(source: str) -> None:
+def test_forbidden_source_is_a_violation(source: str) -> None:
     assert violations(source)
 
 
@@ -69,5 +69,5 @@
         "#" * MAX_COLUMNS,
     ],
 )
-def test_check_accepts_what_decisions_need(source: str) -> None:
+def test_allowed_source_is_no_violation(source: str) -> None:
     assert not violations(source)
--- a/tests/balancing/test_rules.py
+++ b/tests/balancing/test_rules.py
@@ -32,7 +32,7 @@
 def test_disconnect_after_the_last_attempt_has_no_effect() -> None:
     world = start_world(settings(), make_endpoints(12))
     world.send_request("a")
-    world.end("a", 0, balancing.AttemptResult.TIMEOUT, over=True)
+    world.end("a", 0, balancing.AttemptResult.TIMEOUT, finishes_request=True)
     assert world.feed(balancing.ClientDisconnected("a")) == []
 
 
--- a/tests/balancing/test_rules_random.py
+++ b/tests/balancing/test_rules_random.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from hypothesis import HealthCheck, given, settings
-from hypothesis import seed as draws_from
+from hypothesis import seed as hypothesis_seed
 from hypothesis import strategies as st
 
 from lugtally import balancing
@@ -14,7 +14,7 @@
 from tests.balancing.world import IDEMPOTENT, NON_IDEMPOTENT, World, make_endpoints, with_idempotency_key
 from tests.balancing.world import settings as make_settings
 
-DRAWS = 1  # a fixed seed: by default hypothesis derives the examples from the text of the test
+HYPOTHESIS_SEED = 1  # a fixed seed: by default hypothesis derives the examples from the text of the test
 
 CLASSES = (
     IDEMPOTENT,
@@ -41,30 +41,30 @@
 
 def play(world: World, operations: list[tuple[str, int, int]]) -> None:
     """Carry out the drawn operations; each has two drawn numbers, whose meaning depends on the operation."""
-    for number, (what, first_draw, second_draw) in enumerate(operations):
+    for number, (kind, first_draw, second_draw) in enumerate(operations):
         open_attempts = [
             (name, index)
             for name, request in world.requests.items()
             for index, attempt in enumerate(request.attempts)
             if attempt.is_open
         ]
-        unsettled = [name for name, request in world.requests.items() if not request.is_answered]
-        if what == "request":
+        unanswered = [name for name, request in world.requests.items() if not request.is_answered]
+        if kind == "request":
             world.send_request(f"r{number}", first_draw, second_draw * NS_PER_MS)
-        elif what == "end" and open_attempts:
+        elif kind == "end" and open_attempts:
             name, index = open_attempts[first_draw % len(open_attempts)]
             world.end(name, index, RESULTS[second_draw])
-        elif what == "wait":
+        elif kind == "wait":
             world.pass_time(first_draw * NS_PER_MS)
-        elif what == "disconnect" and unsettled:
-            world.feed(balancing.ClientDisconnected(unsettled[first_draw % len(unsettled)]))
-        elif what == "response" and open_attempts:
+        elif kind == "disconnect" and unanswered:
+            world.feed(balancing.ClientDisconnected(unanswered[first_draw % len(unanswered)]))
+        elif kind == "response" and open_attempts:
             name, index = open_attempts[first_draw % len(open_attempts)]
             if not world.requests[name].is_answered:
                 world.feed(balancing.ResponseStarted(name, index, world.requests[name].attempts[index].endpoint_id))
-        elif what == "list":
+        elif kind == "list":
             update_endpoints(world, first_draw, second_draw)
-        elif what == "unknown":
+        elif kind == "unknown":
             feed_unknown(world, first_draw)
 
 
@@ -104,7 +104,7 @@
     ]
 
 
-@draws_from(DRAWS)
+@hypothesis_seed(HYPOTHESIS_SEED)
 @settings(derandomize=True, deadline=None, max_examples=250, database=None, suppress_health_check=list(HealthCheck))
 @given(
     st.lists(OPERATION, min_size=5, max_size=60),
@@ -131,7 +131,7 @@
     world.run_to_deadlines()
 
 
-@draws_from(DRAWS)
+@hypothesis_seed(HYPOTHESIS_SEED)
 @settings(derandomize=True, deadline=None, max_examples=60, database=None)
 @given(
     st.lists(st.tuples(st.integers(-3, 9), st.text("+-:0123456789v.x \u0664", max_size=24)), max_size=30),
@@ -147,7 +147,7 @@
     world.run_to_deadlines()
 
 
-@draws_from(DRAWS)
+@hypothesis_seed(HYPOTHESIS_SEED)
 @settings(derandomize=True, deadline=None, max_examples=40, database=None, suppress_health_check=list(HealthCheck))
 @given(st.lists(OPERATION, min_size=20, max_size=60), st.integers(0, 9))
 def test_same_seed_and_events_give_same_actions(operations: list[tuple[str, int, int]], seed: int) -> None:
@@ -160,7 +160,7 @@
     assert runs[0] == runs[1]
 
 
-@draws_from(DRAWS)
+@hypothesis_seed(HYPOTHESIS_SEED)
 @settings(derandomize=True, deadline=None, max_examples=25, database=None, suppress_health_check=list(HealthCheck))
 @given(st.integers(0, 20), st.integers(1, 12), st.integers(2, 25), st.booleans(), st.integers(0, 9))
 def test_one_balancer_stays_within_a_cold_servers_capacity(
@@ -189,7 +189,7 @@
             assert sends <= 2 + 3 * ramp * mean * 2
 
 
-@draws_from(DRAWS)
+@hypothesis_seed(HYPOTHESIS_SEED)
 @settings(derandomize=True, deadline=None, max_examples=60, database=None)
 @given(st.integers(0, 18), st.booleans(), st.integers(0, 9))
 def test_unequal_balancers_stay_within_a_cold_servers_capacity(age_s: int, restarted: bool, seed: int) -> None:
--- a/tests/balancing/world.py
+++ b/tests/balancing/world.py
@@ -149,8 +149,12 @@
         request_class = request.request_class
         may_have_run = any(attempt.may_have_run for attempt in request.attempts)
         if may_have_run and request_class.idempotency is not balancing.Idempotency.IDEMPOTENT:
-            assert request_class.idempotency is balancing.Idempotency.IDEMPOTENCY_KEY, "rejected what may have run"
-            assert request_class.deduplication_scope is balancing.DeduplicationScope.ALL, "rejected what may have run"
+            assert request_class.idempotency is balancing.Idempotency.IDEMPOTENCY_KEY, (
+                "rejected a request that may have run"
+            )
+            assert request_class.deduplication_scope is balancing.DeduplicationScope.ALL, (
+                "rejected a request that may have run"
+            )
 
     def _check_send(self, action: balancing.SendAttempt) -> None:
         request, endpoint = self.requests[action.request_id], self.endpoints[action.endpoint_id]
@@ -165,19 +169,19 @@
         assert endpoint.state is balancing.EndpointState.READY or not self.configured.removal_is_binding, (
             "sent to a removed server"
         )
-        self._check_repeat(request, endpoint)
+        self._check_retry(request, endpoint)
         request.attempts.append(TrackedAttempt(action.endpoint_id, self.now, endpoint.zone, endpoint.cell))
         self.sends.append((self.now, action.endpoint_id))
 
-    def _check_repeat(self, request: TrackedRequest, endpoint: balancing.Endpoint) -> None:
-        """Check that what may have run is repeated only within its deduplication window and scope."""
+    def _check_retry(self, request: TrackedRequest, endpoint: balancing.Endpoint) -> None:
+        """Check that a request that may have run is retried only within its deduplication window and scope."""
         request_class = request.request_class
         earlier = [attempt for attempt in request.attempts if attempt.may_have_run]
         if earlier and request_class.idempotency is balancing.Idempotency.NON_IDEMPOTENT:
-            raise AssertionError("a non-idempotent request was repeated")
+            raise AssertionError("a non-idempotent request was retried")
         if earlier and request_class.idempotency is balancing.Idempotency.IDEMPOTENCY_KEY:
             first = earlier[0]
-            assert self.now - first.sent_ns <= request_class.deduplication_window_ns, "repeated after the window"
+            assert self.now - first.sent_ns <= request_class.deduplication_window_ns, "retried after the window"
             if request_class.deduplication_scope is not balancing.DeduplicationScope.ALL:
                 scope = request_class.deduplication_scope.value
                 assert getattr(endpoint, scope) == getattr(first, scope), "left the deduplication scope"
@@ -189,16 +193,16 @@
         return self.feed(balancing.Request(name, class_index, tenant, time_left_ns))
 
     def end(
-        self, name: str, attempt_index: int, result: balancing.AttemptResult, over: bool | None = None
+        self, name: str, attempt_index: int, result: balancing.AttemptResult, finishes_request: bool | None = None
     ) -> list[balancing.Action]:
-        """Finish an attempt; ``over`` overrides whether the request finishes with it."""
+        """Finish an attempt; ``finishes_request`` overrides whether the request finishes with it."""
         request = self.requests[name]
         attempt = request.attempts[attempt_index]
         attempt.is_open = False
         if result in balancing.NOT_PROCESSED:
             attempt.may_have_run = False
         ends = result is balancing.AttemptResult.OK or request.streaming
-        request.finished = request.finished or (ends if over is None else over)
+        request.finished = request.finished or (ends if finishes_request is None else finishes_request)
         duration_ns = self.now - attempt.sent_ns
         return self.feed(
             balancing.AttemptFinished(name, attempt_index, attempt.endpoint_id, result, request.finished, duration_ns)
