--- a/lugtally/balancing/fleet_quota.py
+++ b/lugtally/balancing/fleet_quota.py
@@ -1,8 +1,8 @@
 """The part of a fleet-wide limit on requests in flight that this balancer may use.
 
 Endpoints report how many requests from all balancers they process.  Every balancer measures its own part of
-that and takes the same part of the fleet-wide limit; balancers exchange no messages (docs/design.md, "What
-all sidecars together let a server hold").
+that and takes the same part of the fleet-wide limit; balancers exchange no messages (docs/design.md,
+"Fleet-wide limit on requests in flight").
 """
 
 from __future__ import annotations
--- a/tests/races/test_shutdown.py
+++ b/tests/races/test_shutdown.py
@@ -17,7 +17,7 @@
 from tests.races.fakes import PeerConnection, Sidecar, request
 
 ACCEPTING_NS = 500 * NS_PER_MS
-"""How long connections are accepted from SIGTERM on, as docs/architecture.md says."""
+"""How long connections are accepted from SIGTERM on, as docs/shutdown.md says."""
 MAX_SHUTDOWN_NS = 3_600 * NS_PER_MS
 """How long the end may take, from SIGTERM on, whatever clients do."""
 IDLE_END_NS = NS_PER_S
