--- a/lugtally/downstream/responses.py
+++ b/lugtally/downstream/responses.py
@@ -6,6 +6,7 @@
 
 from lugtally.dispatch import Rejected
 from lugtally.http1 import Message, ProtocolError
+from lugtally.http1.message import Headers
 from lugtally.units import NS_PER_S
 
 _NOT_FORWARDED = frozenset(
@@ -29,7 +30,7 @@
 
     status: int
     body: bytes
-    headers: list[tuple[str, str]]
+    headers: Headers
 
 
 class StreamedResponse(NamedTuple):
@@ -74,6 +75,6 @@
     return Response(200, b"ok\n", []) if healthy else Response(503, b"not ready\n", [])
 
 
-def forwarded_headers(message: Message) -> list[tuple[str, str]]:
+def forwarded_headers(message: Message) -> Headers:
     """Return the headers of an endpoint's response that are forwarded to the client."""
     return [(name, value) for name, value in message.headers if name.lower() not in _NOT_FORWARDED]
