--- a/lugtally/discovery/client.py
+++ b/lugtally/discovery/client.py
@@ -11,6 +11,7 @@
 from lugtally.config.endpoint_list import EndpointList, parse_endpoint_list
 from lugtally.discovery import timing
 from lugtally.eventloop import READABLE, WRITABLE, Event, EventLoop, WakeReason
+from lugtally.eventloop.tcp_socket import create_tcp_socket, is_quiet
 from lugtally.http1 import Message, MessageParser, serialize_get
 from lugtally.units import NS_PER_MS
 
@@ -89,7 +90,7 @@
         A reused connection may have been closed between two calls.  A call without a response has probably lost its
         connection.  Neither means that discovery has failed, and a backoff would exceed the timing budget.
         """
-        if self._sock is not None and not self._is_quiet(self._sock):
+        if self._sock is not None and not is_quiet(self._sock):
             self.close()  # closed by discovery, or bytes that belong to no call
         is_reused = self._sock is not None
         try:
@@ -132,8 +133,7 @@
                 raise ConnectionResetError("the connection was closed")
 
     def _connect(self) -> socket.socket:
-        family = socket.AF_INET6 if ":" in self._address.host else socket.AF_INET
-        self._sock = sock = socket.socket(family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
+        self._sock = sock = create_tcp_socket(self._address.host)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.connect_ex(self._address)
         self._wait(sock, WRITABLE, self._loop.now() + timing.CONNECT_TIMEOUT_NS, ConnectTimeoutError())
@@ -156,17 +156,6 @@
         if reason is WakeReason.TIMEOUT:
             raise timeout_error
 
-    @staticmethod
-    def _is_quiet(sock: socket.socket) -> bool:
-        """Return whether the connection is open and there is nothing to read."""
-        try:
-            sock.recv(1, socket.MSG_PEEK)
-        except BlockingIOError:
-            return True
-        except OSError:
-            return False
-        return False
-
     @staticmethod
     def _new_parser() -> MessageParser:
         return MessageParser(responses=True, max_body_bytes=MAX_LIST_BYTES)
--- a/lugtally/upstream/connection.py
+++ b/lugtally/upstream/connection.py
@@ -14,6 +14,7 @@
 from lugtally.address import Address
 from lugtally.dispatch.attempt_outcome import AttemptOutcome
 from lugtally.eventloop import READABLE, WRITABLE, EventLoop, WakeReason
+from lugtally.eventloop.tcp_socket import create_tcp_socket
 from lugtally.http1 import Message, MessageParser
 from lugtally.upstream.errors import AttemptAborted
 
@@ -32,9 +33,8 @@
         AttemptAborted: No file descriptor is available.
     """
     host, _ = address
-    family = socket.AF_INET6 if ":" in host else socket.AF_INET
     try:
-        return socket.socket(family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
+        return create_tcp_socket(host)
     except OSError as error:
         logger.warning(
             "no file descriptor for a connection to an endpoint: {reason}",
@@ -177,16 +177,6 @@
         """
         return self.sock.recv(READ_CHUNK_BYTES)
 
-    def is_quiet(self) -> bool:
-        """Return whether the connection is open and there is nothing to read."""
-        try:
-            self.sock.recv(1, socket.MSG_PEEK)
-        except BlockingIOError:
-            return True
-        except OSError:
-            return False
-        return False  # closed by the endpoint, or unexpected bytes
-
     def has_bytes(self) -> bool:
         """Return whether there are bytes to read, even if the endpoint closed the connection after them."""
         try:
