--- a/tests/discovery/test_watcher.py
+++ b/tests/discovery/test_watcher.py
@@ -105,10 +105,3 @@
     assert dispatcher.endpoint_count == 1
     assert endpoint_watcher.ready_count == 0
     assert endpoint_id in upstream._addresses
-
-
-def test_address_is_optional_for_removed_state_only() -> None:
-    row = {"id": "s-1", "state": "gone"}
-    assert len(parse_endpoint_list({"version": 1, "servers": [row]}, "list").records) == 1
-    with pytest.raises(ValueError, match=r"list\.servers\[0\]\.addr"):
-        parse_endpoint_list({"version": 1, "servers": [{**row, "state": "hibernating"}]}, "list")
