--- a/lugtally/upstream/pool.py
+++ b/lugtally/upstream/pool.py
@@ -46,9 +46,8 @@
         self._load_report_fields = load_report_fields
         self._addresses: dict[int, Address] = {}
         self._idle = IdleConnections(loop, self._close)
-        self._settling: dict[
-            int, UpstreamConnection
-        ] = {}  # by endpoint: the connection whose ``SETTLE_NS`` an attempt waits for
+        # By endpoint: the connection that an attempt reuses as soon as it has been idle for ``SETTLE_NS``.
+        self._settling: dict[int, UpstreamConnection] = {}
         self.open_connections = 0
 
     def set_address(self, endpoint_id: int, address: Address) -> None:
@@ -236,10 +235,8 @@
             if self.open_connections >= self._limits.max_connections:
                 raise AttemptAborted(AttemptOutcome.NO_DESCRIPTOR)
         address = self._addresses.get(endpoint_id)
-        if address is None:
-            raise AttemptAborted(
-                AttemptOutcome.CONNECTION_REFUSED
-            )  # the endpoint was removed after the attempt had started
+        if address is None:  # the endpoint was removed after the attempt had started
+            raise AttemptAborted(AttemptOutcome.CONNECTION_REFUSED)
         sock = open_socket(address)
         self.open_connections += 1
         connection = UpstreamConnection(sock, address, self._limits.max_response_body_bytes)
