--- a/lugtally/upstream/pool.py
+++ b/lugtally/upstream/pool.py
@@ -9,6 +9,7 @@
 from lugtally.address import Address
 from lugtally.dispatch.attempt_outcome import AttemptOutcome
 from lugtally.eventloop import READABLE, EventLoop, WakeReason
+from lugtally.eventloop.tcp_socket import is_quiet
 from lugtally.http1 import ForwardedRequest, Message
 from lugtally.units import NS_PER_MS
 from lugtally.upstream import attempt
@@ -45,9 +46,8 @@
         self._load_report_fields = load_report_fields
         self._addresses: dict[int, Address] = {}
         self._idle = IdleConnections(loop, self._close)
-        self._settling: dict[
-            int, UpstreamConnection
-        ] = {}  # by endpoint: the connection whose ``SETTLE_NS`` an attempt waits for
+        # By endpoint: the connection that an attempt reuses as soon as it has been idle for ``SETTLE_NS``.
+        self._settling: dict[int, UpstreamConnection] = {}
         self.open_connections = 0
 
     def set_address(self, endpoint_id: int, address: Address) -> None:
@@ -142,7 +142,7 @@
                 continue
             self._check_may_proceed(endpoint_id, connection, may_proceed)
             # This check is the last one: bytes received after it are read as the response.
-            if connection.is_quiet():
+            if is_quiet(connection.sock):
                 return connection
             self._close(connection)
             is_new = not connection.idle_since_ns
@@ -205,7 +205,7 @@
         reason = self._loop.wait(connection.fd, READABLE, min(deadline_ns, settled_ns))
         del self._settling[endpoint_id]
         if reason is WakeReason.INTERRUPTED:
-            if self._may_reuse(connection) and connection.is_quiet():
+            if self._may_reuse(connection) and is_quiet(connection.sock):
                 self._release(endpoint_id, connection)
             else:
                 self._close(connection)  # a byte may have been received at the same time
@@ -235,10 +235,8 @@
             if self.open_connections >= self._limits.max_connections:
                 raise AttemptAborted(AttemptOutcome.NO_DESCRIPTOR)
         address = self._addresses.get(endpoint_id)
-        if address is None:
-            raise AttemptAborted(
-                AttemptOutcome.CONNECTION_REFUSED
-            )  # the endpoint was removed after the attempt had started
+        if address is None:  # the endpoint was removed after the attempt had started
+            raise AttemptAborted(AttemptOutcome.CONNECTION_REFUSED)
         sock = open_socket(address)
         self.open_connections += 1
         connection = UpstreamConnection(sock, address, self._limits.max_response_body_bytes)
