--- a/lugtally/eventloop/timers.py
+++ b/lugtally/eventloop/timers.py
@@ -11,7 +11,6 @@
 MIN_DONE_TO_COMPACT = 256
 """Entries of finished waiters below which the heap is not compacted."""
 
-
 TimerEntry = tuple[int, int, Waiter]
 """Deadline, sequence number and waiter.
 
--- a/lugtally/overload/admission.py
+++ b/lugtally/overload/admission.py
@@ -37,15 +37,15 @@
 """A smaller fraction becomes 0 when it decays."""
 
 
-class ScaleStep(NamedTuple):
+class ScaleThreshold(NamedTuple):
     """The scale of changes while the shed fraction is below a value."""
 
     below_fraction: float
     scale: float
 
 
-SCALE_STEPS = (ScaleStep(0.01, 0.25), ScaleStep(0.1, 0.5))
-"""Changes are smaller while the shed fraction is small (RFC 8033, 4.2); above the last step the scale is 1."""
+SCALE_THRESHOLDS = (ScaleThreshold(0.01, 0.25), ScaleThreshold(0.1, 0.5))
+"""Changes are smaller while the shed fraction is small (RFC 8033, 4.2); above the last threshold the scale is 1."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -219,9 +219,9 @@
 
     def _scale(self) -> float:
         """Return the scale of a change at the current shed fraction."""
-        for step in SCALE_STEPS:
-            if self.shed_fraction < step.below_fraction:
-                return step.scale
+        for threshold in SCALE_THRESHOLDS:
+            if self.shed_fraction < threshold.below_fraction:
+                return threshold.scale
         return 1.0
 
     def _decay(self) -> None:
