--- a/lugtally/testbed/emulator/fault_script.py
+++ b/lugtally/testbed/emulator/fault_script.py
@@ -24,7 +24,7 @@
         self._fleet = fleet
         self._server_actions: dict[str, FaultAction] = {
             "silent": self._silence,
-            "neighbour": self._take_cpu_share,
+            "neighbour": self._reduce_cpu_share,
             "shared-slow": self._slow_shared_resource,
             "errors": self._fail_responses,
             "reset": self._reset_connections,
@@ -72,7 +72,7 @@
         with server.change_model() as model:
             model.silent = event.begins
 
-    def _take_cpu_share(self, server: EmulatedServer, event: FaultEvent) -> None:
+    def _reduce_cpu_share(self, server: EmulatedServer, event: FaultEvent) -> None:
         with server.change_model() as model:
             model.neighbour_share = event.active_size
 
--- a/lugtally/testbed/emulator/server_model.py
+++ b/lugtally/testbed/emulator/server_model.py
@@ -3,7 +3,7 @@
 Requests take slots in the order of their arrival; the others wait in the queue.  Requests in service share the cores.
 The speed of a core is the product of the server's speed, its congestion, the choke, its warm-up, its connection table
 and the share of the machine that other programs use.  The model counts all of these as constant between two calls.
-The caller therefore advances it at :meth:`ServerModel.next_due`, at most :data:`MAX_STEP_S` ahead while the speed
+The caller therefore advances it at :meth:`ServerModel.next_due`, at most :data:`MAX_INTERVAL_S` ahead while the speed
 changes over time.
 
 Source: processor sharing and M/M/c in Kleinrock, Queueing Systems I (1975), 3.5 and 4.4.
@@ -19,8 +19,8 @@
 from lugtally.testbed.emulator.cold_overload import ColdOverloadDetector
 from lugtally.testbed.emulator.congestion_choke import CongestionChoke
 
-MAX_STEP_S = 0.05  # over which a changing speed counts as constant
-MIN_STEP_S = 1e-7  # guards against steps of 0 after rounding, which would stop the model's time
+MAX_INTERVAL_S = 0.05  # over which a changing speed counts as constant
+MIN_INTERVAL_S = 1e-7  # guards against intervals of 0 after rounding, which would stop the model's time
 NEGLIGIBLE_WORK = 1e-9  # core-seconds that count as none
 
 
@@ -236,11 +236,11 @@
         due = inf
         if speed > 0:
             if self.in_service:
-                due = now + max(min(job.remaining for job in self.in_service) / speed, MIN_STEP_S)
+                due = now + max(min(job.remaining for job in self.in_service) / speed, MIN_INTERVAL_S)
             if self.overhead_work > 0:
-                due = min(due, now + max(self.overhead_work / speed, MIN_STEP_S))
+                due = min(due, now + max(self.overhead_work / speed, MIN_INTERVAL_S))
         if self.warm_fraction < 1 or self.choke.may_change:
-            due = min(due, now + MAX_STEP_S)
+            due = min(due, now + MAX_INTERVAL_S)
         return due
 
     def _fill_slots(self, now: float) -> None:
