--- /dev/null
+++ b/benchmarks/saturation_servers.py
@@ -0,0 +1,66 @@
+"""Servers and discovery service of ``saturate.py``."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+from typing import Any
+
+import httptools
+import uvloop
+
+from lugtally.testbed.emulator import loopback
+
+WATCH_HOLD_S = 10
+BACKLOG = 512
+MAX_LIFETIME_S = 3600  # if the parent does not end the process
+
+
+class Server(asyncio.Protocol):
+    """Server that responds immediately."""
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Create the parser of the connection."""
+        self._transport: Any = transport
+        self._parser = httptools.HttpRequestParser(self)
+
+    def data_received(self, data: bytes) -> None:
+        """Parse bytes of a request."""
+        self._parser.feed_data(data)
+
+    def on_message_complete(self) -> None:
+        """Respond to a complete request."""
+        self._transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello")
+
+
+class UnchangingDiscovery(asyncio.Protocol):
+    """Discovery service whose endpoint list does not change."""
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Store the connection."""
+        self._transport: Any = transport
+
+    def data_received(self, data: bytes) -> None:
+        """Respond after the hold time that nothing changed."""
+        body = b'{"version":1,"full":false,"servers":[]}'
+        response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
+        asyncio.get_running_loop().call_later(WATCH_HOLD_S, self._transport.write, response)
+
+
+def run_servers(block: int, count: int, ready: Any, cores: set[int]) -> None:
+    """Run the servers and the discovery service on these cores, as a process of their own.
+
+    ``ready`` is a multiprocessing event that is set when all of them listen.
+    """
+    os.sched_setaffinity(0, cores)
+
+    async def serve() -> None:
+        loop = asyncio.get_running_loop()
+        for server_index in range(count):
+            host = loopback.server_host(block, server_index, 0)
+            await loop.create_server(Server, host, loopback.PORT, backlog=BACKLOG)
+        await loop.create_server(UnchangingDiscovery, loopback.discovery_host(block, 0), loopback.PORT)
+        ready.set()
+        await asyncio.sleep(MAX_LIFETIME_S)
+
+    uvloop.run(serve())
