--- a/lugtally/testbed/emulator/cold_overload.py
+++ b/lugtally/testbed/emulator/cold_overload.py
@@ -17,7 +17,7 @@
 
 
 class ColdOverloadDetector:
-    """Detector of more work than a server that is warming up survives.  Times are in seconds."""
+    """Detector of overload of a server that is warming up.  Times are in seconds."""
 
     def __init__(self, capacity_multiple: float, window_s: float) -> None:
         """Allow ``capacity_multiple`` times the capacity, averaged over ``window_s``."""
--- a/lugtally/testbed/emulator/server_model.py
+++ b/lugtally/testbed/emulator/server_model.py
@@ -231,7 +231,7 @@
         return self._constant_until(self.now)
 
     def _constant_until(self, now: float) -> float:
-        """Return until when the speed counts as constant."""
+        """Return the time until which the speed counts as constant."""
         speed = self._speed_of_each()
         due = inf
         if speed > 0:
--- a/lugtally/testbed/experiments/matrix.py
+++ b/lugtally/testbed/experiments/matrix.py
@@ -40,28 +40,68 @@
 ) -> dict[str, Report]:
     """Execute the cells without a report; return all reports by the name of their cell."""
     folder.mkdir(parents=True, exist_ok=True)
-    reports = {cell.name: _finished_report(folder, cell) for cell in cells}
-    waiting = deque(_CellRun(cell, 1) for cell in cells if reports[cell.name] is None)
-    running: dict[subprocess.Popen[bytes], _CellRun] = {}
+    matrix = _MatrixRun(cells, folder)
     try:
-        while waiting or running:
-            while waiting and len(running) < max_parallel:
-                run = waiting.popleft()
-                running[_start(run.cell, folder)] = run
+        while matrix.is_unfinished:
+            matrix.start_runs(max_parallel)
             time.sleep(POLL_S)
-            for child in [child for child in running if child.poll() is not None]:
-                run = running.pop(child)
-                reports[run.cell.name] = report = _finished_report(folder, run.cell)
-                if (report is None or report.verdict == Verdict.VOID) and run.number < MAX_RUNS:
-                    waiting.append(_CellRun(run.cell, run.number + 1))
-            playing = ", ".join(run.cell.name for run in running.values())
-            on_progress(sum(report is not None for report in reports.values()), playing)
+            matrix.collect_finished()
+            on_progress(len(matrix.reports), matrix.running_names())
     finally:
-        for child in running:
+        matrix.stop()
+    return {cell.name: matrix.reports[cell.name] for cell in cells if cell.name in matrix.reports}
+
+
+class _MatrixRun:
+    """The waiting and running cells of an experiment, and the reports so far by the name of their cell."""
+
+    def __init__(self, cells: list[Cell], folder: Path) -> None:
+        self.reports: dict[str, Report] = {}
+        self._folder = folder
+        self._waiting: deque[_CellRun] = deque()
+        self._running: dict[subprocess.Popen[bytes], _CellRun] = {}
+        for cell in cells:
+            if not self._read_report(cell):
+                self._waiting.append(_CellRun(cell, 1))
+
+    @property
+    def is_unfinished(self) -> bool:
+        """Whether cells are waiting or running."""
+        return bool(self._waiting or self._running)
+
+    def running_names(self) -> str:
+        """Return the names of the running cells."""
+        return ", ".join(run.cell.name for run in self._running.values())
+
+    def start_runs(self, max_parallel: int) -> None:
+        """Start waiting cells up to the limit of parallel runs."""
+        while self._waiting and len(self._running) < max_parallel:
+            run = self._waiting.popleft()
+            self._running[_start(run.cell, self._folder)] = run
+
+    def collect_finished(self) -> None:
+        """Read the reports of the runs that have ended, and repeat cells that are void or have no report."""
+        for child in [child for child in self._running if child.poll() is not None]:
+            run = self._running.pop(child)
+            is_valid = self._read_report(run.cell) and self.reports[run.cell.name].verdict != Verdict.VOID
+            if not is_valid and run.number < MAX_RUNS:
+                self._waiting.append(_CellRun(run.cell, run.number + 1))
+
+    def stop(self) -> None:
+        """End all running cells."""
+        for child in self._running:
             child.terminate()  # a run handles SIGTERM like Ctrl-C
-        for child in running:
+        for child in self._running:
             child.wait()
-    return {name: report for name, report in reports.items() if report is not None}
+
+    def _read_report(self, cell: Cell) -> bool:
+        """Store the report of a cell; return whether there is one."""
+        report = _finished_report(self._folder, cell)
+        if report is None:
+            self.reports.pop(cell.name, None)
+            return False
+        self.reports[cell.name] = report
+        return True
 
 
 def max_parallel_runs(cores_per_run: int) -> int:
--- a/lugtally/testbed/loadgen/generator.py
+++ b/lugtally/testbed/loadgen/generator.py
@@ -22,7 +22,7 @@
 from lugtally.testbed.scenario.schedule import Schedule, make_schedule
 from lugtally.testbed.scenario.specification import ProcessSpecification, read_specification
 
-TAIL_S = 0.3  # after the last response, to receive duplicates of it
+DUPLICATE_WAIT_S = 0.3  # after the last response, for duplicates of it
 MIN_WAIT_S = 0.0005  # shorter waits are left out
 MAX_LAG_S = 0.01  # from which the loop yields between arrivals
 FLUSH_INTERVAL_S = 1.0
@@ -60,7 +60,7 @@
         await self._send_arrivals()
         while self._run.pending:  # ends: each attempt has a deadline and an observation time
             await asyncio.sleep(PENDING_POLL_S)
-        await asyncio.sleep(TAIL_S)
+        await asyncio.sleep(DUPLICATE_WAIT_S)
         for pool in self._run.pools:
             pool.close()
 
--- a/lugtally/testbed/loadgen/load_run.py
+++ b/lugtally/testbed/loadgen/load_run.py
@@ -34,10 +34,10 @@
         self._base = specification.base
 
     def clock(self) -> float:
-        """Seconds since the base."""
+        """Return the seconds since the base."""
         return time.monotonic() - self._base
 
     def close(self) -> None:
-        """Record how late the timers ran, and close the event log."""
+        """Record the timer lag and close the event log."""
         self.event_log.write(self.timer_lag.report())
         self.event_log.close()
--- a/lugtally/testbed/verification/responses.py
+++ b/lugtally/testbed/verification/responses.py
@@ -116,7 +116,7 @@
 
 
 def _response_due(attempt: ClientAttempt) -> float:
-    """Return until when the response of an attempt is in time."""
+    """Return the time until which the response of an attempt is due."""
     return attempt.deadline_at + RESPONSE_SLACK_S + SOCKET_ALLOWANCE_S
 
 
--- a/lugtally/testbed/verification/service.py
+++ b/lugtally/testbed/verification/service.py
@@ -15,7 +15,7 @@
 from lugtally.testbed.verification.records import ClientAttempt, ClientOutcome
 
 WINDOW_S = 10.0
-WINDOWS_PER_S = 2  # that begin
+WINDOW_STARTS_PER_S = 2
 SETTLING_S = 1.0  # at the start, excluded from the score
 # Weights of the operators' brief.
 OVERALL_WEIGHT, WORST_WINDOW_WEIGHT, WORST_CLASS_WEIGHT = 0.65, 0.15, 0.2
@@ -150,9 +150,9 @@
     """Return the lowest earned share of all windows; one begins each half second."""
     begins = [0.0]
     if length_s > WINDOW_S + SETTLING_S:
-        first = int(SETTLING_S * WINDOWS_PER_S)
-        last = max(first + 1, int((length_s - WINDOW_S) * WINDOWS_PER_S) + 1)
-        begins = [index / WINDOWS_PER_S for index in range(first, last)]
+        first = int(SETTLING_S * WINDOW_STARTS_PER_S)
+        last = max(first + 1, int((length_s - WINDOW_S) * WINDOW_STARTS_PER_S) + 1)
+        begins = [index / WINDOW_STARTS_PER_S for index in range(first, last)]
     windows = [[score for score in scores if begin <= score.at < begin + WINDOW_S] for begin in begins]
     return min((_earned_share(window) for window in windows if window), default=overall)
 
