--- a/lugtally/testbed/loadgen/attempt.py
+++ b/lugtally/testbed/loadgen/attempt.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
+from typing import Protocol
 
 import msgspec
 
@@ -19,22 +19,31 @@
 
 OBSERVATION_S = 0.4  # after the client's deadline, to distinguish a late response from none
 REJECTION_STATUSES = (429, 503)
-OnEnd = Callable[[ClientAttempt, bool], None]  # the bool says whether the client stopped waiting
+
+
+class AttemptObserver(Protocol):
+    """Receiver of the end of an attempt; one of its methods is called once."""
+
+    def on_attempt_end(self, record: ClientAttempt) -> None:
+        """Handle the end of an attempt before its deadline."""
+
+    def on_attempt_timeout(self, record: ClientAttempt) -> None:
+        """Handle the deadline, at which the client stops waiting."""
 
 
 class OutgoingAttempt:
     """An attempt in flight, and the handler of its response.
 
-    ``on_end`` is called once, when the attempt ends or the client stops waiting for it.
+    The observer is called once, when the attempt ends or the client stops waiting for it.
     """
 
-    __slots__ = ("_run", "_record", "_data", "_on_end", "_connection", "_timer", "_is_abandoned", "_is_recorded")
+    __slots__ = ("_run", "_record", "_data", "_observer", "_connection", "_timer", "_is_abandoned", "_is_recorded")
 
-    def __init__(self, run: LoadRun, record: ClientAttempt, data: bytes, on_end: OnEnd) -> None:
+    def __init__(self, run: LoadRun, record: ClientAttempt, data: bytes, observer: AttemptObserver) -> None:
         self._run = run
         self._record = record
         self._data = data
-        self._on_end = on_end
+        self._observer = observer
         self._connection: ClientConnection | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._is_abandoned = False  # the client has stopped waiting
@@ -118,7 +127,7 @@
             self._finish(ClientOutcome.CLIENT_LEFT)
         else:
             self._timer = asyncio.get_running_loop().call_later(OBSERVATION_S, self._on_observation_end)
-        self._on_end(self._record, True)
+        self._observer.on_attempt_timeout(self._record)
 
     def _on_observation_end(self) -> None:
         self._finish(ClientOutcome.PENDING if self._close_connection() else ClientOutcome.UNREACHABLE)
@@ -142,4 +151,4 @@
         self._run.event_log.write(self._record)
         self._run.pending -= 1
         if not self._is_abandoned:
-            self._on_end(self._record, False)
+            self._observer.on_attempt_end(self._record)
--- a/lugtally/testbed/loadgen/client.py
+++ b/lugtally/testbed/loadgen/client.py
@@ -45,7 +45,7 @@
             intended_at + patience,
         )
         self._attempts += 1
-        OutgoingAttempt(self._run, record, self._serialize(record), self._on_attempt_end).start()
+        OutgoingAttempt(self._run, record, self._serialize(record), self).start()
 
     def _deadline_at(self) -> float:
         """Return when the client's patience for the whole request ends."""
@@ -70,26 +70,32 @@
             lines.append(f"Content-Length: {len(body)}")
         return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
-    def _on_attempt_end(self, record: ClientAttempt, gave_up: bool) -> None:
-        """Schedule a retry, if allowed, after an attempt ended or the client stopped waiting for it."""
-        if self._is_served:
-            return
-        if record.outcome == ClientOutcome.SERVED and not gave_up:
+    def on_attempt_end(self, record: ClientAttempt) -> None:
+        """Schedule a retry, if allowed, of an attempt that was not served."""
+        if record.outcome == ClientOutcome.SERVED:
             self._is_served = True
+        was_rejected = record.outcome in (ClientOutcome.REJECTED, ClientOutcome.UNREACHABLE)
+        self._schedule_retry(record, was_rejected=was_rejected)
+
+    def on_attempt_timeout(self, record: ClientAttempt) -> None:
+        """Schedule a retry, if allowed, of an attempt that timed out."""
+        self._schedule_retry(record, was_rejected=False)
+
+    def _schedule_retry(self, record: ClientAttempt, *, was_rejected: bool) -> None:
+        if self._is_served:
             return
         backoff_s = self._backoff_s(record)
         retry_at = self._run.clock() + backoff_s
-        if not self._may_retry(record, gave_up) or retry_at >= self._deadline_at() - MIN_TIME_LEFT_S:
+        if not self._may_retry(was_rejected) or retry_at >= self._deadline_at() - MIN_TIME_LEFT_S:
             return
         self._run.pending += 1
         asyncio.get_running_loop().call_later(backoff_s, self._retry, retry_at)
 
-    def _may_retry(self, record: ClientAttempt, gave_up: bool) -> bool:
+    def _may_retry(self, was_rejected: bool) -> bool:
         """Return whether the application retries after this attempt."""
         if self._attempts > self._run.client_behaviour.retries:
             return False
-        rejected = record.outcome in (ClientOutcome.REJECTED, ClientOutcome.UNREACHABLE) and not gave_up
-        return rejected or self._is_safe_to_repeat()
+        return was_rejected or self._is_safe_to_repeat()
 
     def _is_safe_to_repeat(self) -> bool:
         """Return whether a repeat at any server is harmless even if an earlier attempt ran."""
--- a/lugtally/testbed/verification/service.py
+++ b/lugtally/testbed/verification/service.py
@@ -92,14 +92,14 @@
         row.service = _earned_share([score for score in counted if score.class_index == index])
     overall = _earned_share(counted)
     return ServiceScore(
-        overall,
-        _worst_window(counted, schedule.scenario.length_s, overall),
-        min((row.service for row in rows if row.requests), default=1.0),
-        rows,
-        _per_second(scores, schedule),
-        len(requests),
-        sum(len(attempts) for attempts in requests.values()),
-        late_failed / (sum(score.weight for score in scores) or 1),
+        overall=overall,
+        worst_window=_worst_window(counted, schedule.scenario.length_s, overall),
+        worst_class=min((row.service for row in rows if row.requests), default=1.0),
+        classes=rows,
+        per_second=_per_second(scores, schedule),
+        requests=len(requests),
+        client_attempts=sum(len(attempts) for attempts in requests.values()),
+        late_failures=late_failed / (sum(score.weight for score in scores) or 1),
     )
 
 
