--- a/lugtally/testbed/verification/service.py
+++ b/lugtally/testbed/verification/service.py
@@ -15,7 +15,7 @@
 from lugtally.testbed.verification.records import ClientAttempt, ClientOutcome
 
 WINDOW_S = 10.0
-WINDOWS_PER_S = 2  # that begin
+WINDOW_STARTS_PER_S = 2
 SETTLING_S = 1.0  # at the start, excluded from the score
 # Weights of the operators' brief.
 OVERALL_WEIGHT, WORST_WINDOW_WEIGHT, WORST_CLASS_WEIGHT = 0.65, 0.15, 0.2
@@ -92,14 +92,14 @@
         row.service = _earned_share([score for score in counted if score.class_index == index])
     overall = _earned_share(counted)
     return ServiceScore(
-        overall,
-        _worst_window(counted, schedule.scenario.length_s, overall),
-        min((row.service for row in rows if row.requests), default=1.0),
-        rows,
-        _per_second(scores, schedule),
-        len(requests),
-        sum(len(attempts) for attempts in requests.values()),
-        late_failed / (sum(score.weight for score in scores) or 1),
+        overall=overall,
+        worst_window=_worst_window(counted, schedule.scenario.length_s, overall),
+        worst_class=min((row.service for row in rows if row.requests), default=1.0),
+        classes=rows,
+        per_second=_per_second(scores, schedule),
+        requests=len(requests),
+        client_attempts=sum(len(attempts) for attempts in requests.values()),
+        late_failures=late_failed / (sum(score.weight for score in scores) or 1),
     )
 
 
@@ -150,9 +150,9 @@
     """Return the lowest earned share of all windows; one begins each half second."""
     begins = [0.0]
     if length_s > WINDOW_S + SETTLING_S:
-        first = int(SETTLING_S * WINDOWS_PER_S)
-        last = max(first + 1, int((length_s - WINDOW_S) * WINDOWS_PER_S) + 1)
-        begins = [index / WINDOWS_PER_S for index in range(first, last)]
+        first = int(SETTLING_S * WINDOW_STARTS_PER_S)
+        last = max(first + 1, int((length_s - WINDOW_S) * WINDOW_STARTS_PER_S) + 1)
+        begins = [index / WINDOW_STARTS_PER_S for index in range(first, last)]
     windows = [[score for score in scores if begin <= score.at < begin + WINDOW_S] for begin in begins]
     return min((_earned_share(window) for window in windows if window), default=overall)
 
