--- a/tests/races/fakes.py
+++ b/tests/races/fakes.py
@@ -245,6 +245,21 @@
         """Open a new client connection."""
         return PeerConnection(self.loop, socket.create_connection(address))
 
+    def serve(self, client: PeerConnection, request_id: str = "first") -> PeerConnection:
+        """Serve one request of a client; return the upstream connection, which is pooled then."""
+        client.send(request("read", request_id))
+        connection = self.server.accept_request()
+        connection.respond()
+        assert client.read().startswith(b"HTTP/1.1 200 OK")
+        return connection
+
+    def slow_client(self, address: Address) -> PeerConnection:
+        """Open a client connection with a small receive buffer."""
+        sock = socket.socket()
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        sock.connect(address)
+        return PeerConnection(self.loop, sock)
+
     def wait_until(self, done: Callable[[], bool]) -> None:
         """Let the other tasks run until ``done()`` is true."""
         deadline_ns = self.loop.now() + MAX_WAIT_NS
--- a/tests/races/test_shutdown.py
+++ b/tests/races/test_shutdown.py
@@ -1,6 +1,6 @@
-"""From SIGTERM to the end of the process: what was taken is answered, and the end comes all the same.
+"""Graceful shutdown, from SIGTERM to the end: accepted requests are answered, and the shutdown ends in time.
 
-What holds is said by what clients see and when the event loop stops; no limit on time of the code is named here.
+The tests check what clients observe and when the event loop stops; they use no time limit of the code.
 """
 
 from __future__ import annotations
@@ -17,54 +17,54 @@
 from tests.races.fakes import PeerConnection, Sidecar, request
 
 ACCEPTING_NS = 500 * NS_PER_MS
-"""How long connections are accepted from SIGTERM on, as docs/shutdown.md says."""
+"""How long connections are accepted after SIGTERM, as docs/shutdown.md says."""
 MAX_SHUTDOWN_NS = 3_600 * NS_PER_MS
-"""How long the end may take, from SIGTERM on, whatever clients do."""
-IDLE_END_NS = NS_PER_S
-"""How long the end may take after the accepting time, where clients only keep connections open."""
+"""How long the shutdown may take, whatever clients do."""
+IDLE_SHUTDOWN_NS = NS_PER_S
+"""How long the shutdown may take after accepting ends, when clients only keep connections open."""
 
 
 class DrainingSidecar(Sidecar):
-    """A sidecar whose event loop outlives its shutdown, so that the script can look at what clients got."""
+    """A sidecar whose event loop outlives its shutdown, so that the script can read what clients received."""
 
     def __init__(self, *, max_clients: int = 64) -> None:
         super().__init__(max_clients=max_clients)
         self.drained_ns = 0
         self.ended_ns: int | None = None
         self._stop_loop = self.loop.stop
-        self.loop.stop = self._note_end  # type: ignore[method-assign]
+        self.loop.stop = self._record_end  # type: ignore[method-assign]
 
-    def _note_end(self) -> None:
+    def _record_end(self) -> None:
         if self.stopped:
             self._stop_loop()
         elif self.ended_ns is None:
             self.ended_ns = self.loop.now()
 
     def drain(self) -> None:
-        """Do what SIGTERM does."""
+        """Start the graceful shutdown, as SIGTERM does."""
         self.drained_ns = self.loop.now()
         self.downstream.drain()
 
     def since_drain_ns(self) -> int:
-        """How long ago the shutdown began."""
+        """Time since the shutdown started."""
         return self.loop.now() - self.drained_ns
 
-    def accepting_is_over(self) -> bool:
-        """Whether the time is over for which connections are accepted."""
+    def has_stopped_accepting(self) -> bool:
+        """Whether the time for accepting connections has expired."""
         return self.downstream.draining and self.since_drain_ns() >= ACCEPTING_NS
 
     def sleep_until(self, since_drain_ns: int) -> None:
-        """Sleep until the shutdown is that old."""
+        """Sleep until that time after the start of the shutdown."""
         self.loop.sleep(max(0, self.drained_ns + since_drain_ns - self.loop.now()))
 
     def wait_for_end(self) -> int:
-        """Wait until the sidecar ends itself; return how long after the begin of the shutdown."""
+        """Wait until the shutdown ends; return how long it took."""
         self.wait_until(lambda: self.ended_ns is not None)
         assert self.ended_ns is not None
         return self.ended_ns - self.drained_ns
 
     def respond_to_all(self, delay_ns: int = 0) -> None:
-        """Let the endpoint answer each request with its path, on connections that it has not accepted yet."""
+        """Let the endpoint respond to each request with its path, on connections that it accepts from now on."""
 
         def serve(connection: PeerConnection) -> None:
             while b"\r\n\r\n" in connection.received or connection.read_more():
@@ -78,15 +78,18 @@
 
         self.loop.spawn(accept)
 
-    def kept_client(self, address: Address, request_id: str = "kept") -> PeerConnection:
-        """Connect a client whose first request has been answered, by ``respond_to_all``."""
+    def idle_client(self, address: Address, request_id: str = "first") -> PeerConnection:
+        """Connect a client and let ``respond_to_all`` serve its first request."""
         client = self.client(address)
         client.send(request("read", request_id))
         assert client.read().startswith(b"HTTP/1.1 200")
         return client
 
 
-# ---------------------------------------------------------------- all that was taken is answered
+@pytest.fixture
+def sidecar() -> DrainingSidecar:
+    """A sidecar whose event loop outlives its shutdown."""
+    return DrainingSidecar()
 
 
 def test_long_backlog_is_answered_during_shutdown() -> None:
@@ -96,35 +99,33 @@
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
         busy = [sidecar.client(address) for _ in range(8)]
-        held = []
+        upstream_connections = []
         for number, client in enumerate(busy):
             client.send(request("read", f"busy{number}"))
-            connection = sidecar.server.accept_request()
-            held.append(connection)
+            upstream_connections.append(sidecar.server.accept_request())
         sidecar.drain()
         sidecar.respond_to_all(30 * NS_PER_MS)
-        crowd = [sidecar.client(address) for _ in range(40)]
-        for number, client in enumerate(crowd):
+        waiting = [sidecar.client(address) for _ in range(40)]
+        for number, client in enumerate(waiting):
             client.send(request("read", f"new{number}"))
         sidecar.sleep_until(ACCEPTING_NS + 200 * NS_PER_MS)
-        for client, connection in zip(busy, held, strict=True):
+        for client, connection in zip(busy, upstream_connections, strict=True):
             connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok")
             assert client.read().startswith(b"HTTP/1.1 200")
             client.sock.close()
-        answers = []
-        for client in crowd:
-            answers.append(client.read()[:12])
+        statuses = []
+        for client in waiting:
+            statuses.append(client.read()[:12])
             client.sock.close()
-        answered = answers.count(b"HTTP/1.1 200")
+        answered = statuses.count(b"HTTP/1.1 200")
         assert answered == 40, f"{answered} of 40 were answered"
         assert sidecar.wait_for_end() < MAX_SHUTDOWN_NS
 
     sidecar.run(script)
 
 
-def test_late_first_byte_on_new_connection_is_answered() -> None:
+def test_late_first_byte_on_new_connection_is_answered(sidecar: DrainingSidecar) -> None:
     """Its request arrives 0.4 s after the listener has closed."""
-    sidecar = DrainingSidecar()
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
@@ -142,9 +143,8 @@
     sidecar.run(script)
 
 
-def test_late_rest_of_request_is_answered() -> None:
+def test_late_rest_of_request_is_answered(sidecar: DrainingSidecar) -> None:
     """Its rest arrives 1 s after the listener has closed."""
-    sidecar = DrainingSidecar()
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
@@ -152,11 +152,11 @@
         client = sidecar.client(address)
         sidecar.drain()
         sidecar.sleep_until(ACCEPTING_NS * 9 // 10)
-        whole = request("read")
-        client.send(whole[:20])
+        data = request("read")
+        client.send(data[:20])
         sidecar.wait_until(sidecar.has_closed_listener)
         sidecar.loop.sleep(NS_PER_S)
-        client.send(whole[20:])
+        client.send(data[20:])
         assert client.read().startswith(b"HTTP/1.1 200")
         client.sock.close()
         assert sidecar.wait_for_end() < MAX_SHUTDOWN_NS
@@ -164,55 +164,47 @@
     sidecar.run(script)
 
 
-def test_pipelined_requests_are_answered_in_order_when_draining() -> None:
-    sidecar = DrainingSidecar()
-
+def test_pipelined_requests_are_answered_in_order_when_draining(sidecar: DrainingSidecar) -> None:
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
         sidecar.respond_to_all()
-        client = sidecar.kept_client(address)
+        client = sidecar.idle_client(address)
         sidecar.drain()
         client.send(request("read/one", "r1") + request("read/two", "r2"))
-        answers = client.read_to_end()
-        first, end_of_first, second = answers.partition(b"\r\n\r\n/read/one")
-        assert first.startswith(b"HTTP/1.1 200"), answers
-        assert b"Connection: close" not in first, answers
-        assert end_of_first, answers
-        assert second.startswith(b"HTTP/1.1 200"), answers
-        assert b"Connection: close" in second, answers
-        assert second.endswith(b"\r\n\r\n/read/two"), answers
+        responses = client.read_to_end()
+        first, first_body, second = responses.partition(b"\r\n\r\n/read/one")
+        assert first.startswith(b"HTTP/1.1 200"), responses
+        assert b"Connection: close" not in first, responses
+        assert first_body, responses
+        assert second.startswith(b"HTTP/1.1 200"), responses
+        assert b"Connection: close" in second, responses
+        assert second.endswith(b"\r\n\r\n/read/two"), responses
         client.sock.close()
-        assert sidecar.wait_for_end() < ACCEPTING_NS + IDLE_END_NS
+        assert sidecar.wait_for_end() < ACCEPTING_NS + IDLE_SHUTDOWN_NS
 
     sidecar.run(script)
 
 
-# ---------------------------------------------------------------- kept connections at the end
-
-
-def test_idle_connections_are_closed_when_accepting_ends() -> None:
-    sidecar = DrainingSidecar()
-
+def test_idle_connections_are_closed_when_accepting_ends(sidecar: DrainingSidecar) -> None:
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
         sidecar.respond_to_all()
-        clients = [sidecar.kept_client(address, f"kept{number}") for number in range(5)]
+        clients = [sidecar.idle_client(address, f"idle{number}") for number in range(5)]
         sidecar.drain()
         for client in clients:
             assert client.read_to_end() == b""
-        assert sidecar.since_drain_ns() < ACCEPTING_NS + IDLE_END_NS // 2
+        assert sidecar.since_drain_ns() < ACCEPTING_NS + IDLE_SHUTDOWN_NS // 2
         for client in clients:
             client.sock.close()
-        assert sidecar.wait_for_end() < ACCEPTING_NS + IDLE_END_NS
+        assert sidecar.wait_for_end() < ACCEPTING_NS + IDLE_SHUTDOWN_NS
 
     sidecar.run(script)
 
 
 def test_request_before_last_read_of_connection_is_answered(
-    monkeypatch: pytest.MonkeyPatch,
+    monkeypatch: pytest.MonkeyPatch, sidecar: DrainingSidecar
 ) -> None:
     """The connection is marked for closing, and its task has not read for the last time."""
-    sidecar = DrainingSidecar()
     waited = Event.wait
     sent: list[int] = []
 
@@ -222,27 +214,30 @@
 
         def wait(event: Event, deadline_ns: int | None = None) -> WakeReason:
             reason = waited(event, deadline_ns)
-            if not sent and sidecar.accepting_is_over() and event in [one.wake_up for one in sidecar.downstream._open]:
+            if (
+                not sent
+                and sidecar.has_stopped_accepting()
+                and event in [connection.wake_up for connection in sidecar.downstream._open]
+            ):
                 sent.append(1)
                 client.send(request("read", "late"))
             return reason
 
         monkeypatch.setattr(Event, "wait", wait)
-        client = sidecar.kept_client(address)
+        client = sidecar.idle_client(address)
         sidecar.drain()
         assert client.read().startswith(b"HTTP/1.1 200")
         client.sock.close()
-        assert sidecar.wait_for_end() < ACCEPTING_NS + IDLE_END_NS
+        assert sidecar.wait_for_end() < ACCEPTING_NS + IDLE_SHUTDOWN_NS
 
     sidecar.run(script)
     assert sent
 
 
 def test_request_after_last_read_of_connection_is_not_read(
-    monkeypatch: pytest.MonkeyPatch,
+    monkeypatch: pytest.MonkeyPatch, sidecar: DrainingSidecar
 ) -> None:
-    """Not read, it is no request that was taken: its client sees a reset, and sends it anew.  Answered is as good."""
-    sidecar = DrainingSidecar()
+    """An unread request is reset, so that its client can retry it; a request that was read is answered."""
     receive = socket.socket.recv
     sent: list[int] = []
     read_after: list[bytes] = []
@@ -250,14 +245,14 @@
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
         sidecar.respond_to_all()
-        client = sidecar.kept_client(address)
+        client = sidecar.idle_client(address)
         accepted = next(iter(sidecar.downstream._open)).sock
 
         def recv(sock: socket.socket, *arguments: int) -> bytes:
             try:
                 data = receive(sock, *arguments)
             except BlockingIOError:
-                if sock is accepted and not sent and sidecar.accepting_is_over():
+                if sock is accepted and not sent and sidecar.has_stopped_accepting():
                     sent.append(1)
                     client.send(request("read", "late"))
                 raise
@@ -267,82 +262,84 @@
 
         sidecar.drain()
         monkeypatch.setattr(socket.socket, "recv", recv)
-        answer = client.read_to_end()
+        received = client.read_to_end()
         client.sock.close()
-        assert sidecar.wait_for_end() < ACCEPTING_NS + IDLE_END_NS
-        assert answer.startswith(b"HTTP/1.1 200") or not any(read_after), "it was read and not answered"
+        assert sidecar.wait_for_end() < ACCEPTING_NS + IDLE_SHUTDOWN_NS
+        assert received.startswith(b"HTTP/1.1 200") or not any(read_after), "it was read and not answered"
 
     sidecar.run(script)
     assert sent
 
 
-# ---------------------------------------------------------------- the end comes
+CLIENT_DATA = {
+    "sends nothing": b"",
+    "sends part of a request": request("read", "partial")[:20],
+    "sends a request slowly": b"GET /read HTTP/1.1\r\nX-Fill: ",
+    "sends after a malformed request": b"what\r\n\r\n",
+}
+"""What clients send first that keep a shutdown from ending at once."""
+
+
+def send_if_possible(connection: PeerConnection, data: bytes) -> None:
+    """Send as much as the connection accepts; nothing if it has ended."""
+    with contextlib.suppress(OSError):
+        connection.sock.send(data)
 
 
-def test_shutdown_ends_in_time_whatever_clients_do() -> None:
-    sidecar = DrainingSidecar()
-    names: dict[tuple[str, int], str] = {}
+def open_clients(sidecar: Sidecar, clients: dict[str, PeerConnection]) -> list[str]:
+    """Return the names of the clients whose connections the sidecar has open."""
+    open_addresses = {connection.sock.getpeername() for connection in sidecar.downstream._open}
+    return [name for name, client in clients.items() if client.sock.getsockname() in open_addresses]
 
-    def connect(address: Address, name: str) -> PeerConnection:
-        sock = socket.socket()
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        sock.connect(address)
-        names[sock.getsockname()] = name
-        return PeerConnection(sidecar.loop, sock)
 
-    def send_some(connection: PeerConnection, data: bytes) -> None:
-        with contextlib.suppress(OSError):  # it has ended, or its buffers are full
-            connection.sock.send(data)
+def test_shutdown_ends_in_time_whatever_clients_do(sidecar: DrainingSidecar) -> None:
+    clients: dict[str, PeerConnection] = {}
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
-        deaf = connect(address, "one that does not read its answer")
-        deaf.send(request("read"))
-        answer = sidecar.server.accept_request()
+        clients["reads no response"] = sidecar.slow_client(address)
+        clients["reads no response"].send(request("read"))
+        upstream_connection = sidecar.server.accept_request()
         sidecar.drain()
-        answer.send(b"HTTP/1.1 200 OK\r\nContent-Length: 20000000\r\n\r\n")
+        upstream_connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: 20000000\r\n\r\n")
         sidecar.sleep_until(ACCEPTING_NS * 9 // 10)
-        silent = connect(address, "one that says nothing")
-        half = connect(address, "one with half a request")
-        half.send(request("read", "half")[:20])
-        trickle = connect(address, "one whose request trickles in")
-        trickle.send(b"GET /read HTTP/1.1\r\nX-Fill: ")
-        at_fault = connect(address, "one at fault that sends on")
-        at_fault.send(b"what\r\n\r\n")
+        for name, data in CLIENT_DATA.items():
+            clients[name] = sidecar.slow_client(address)
+            clients[name].send(data)
         sidecar.wait_until(lambda: sidecar.downstream.open == 5)
         while sidecar.ended_ns is None and sidecar.since_drain_ns() < MAX_SHUTDOWN_NS:
-            send_some(answer, bytes(65536))
-            send_some(trickle, b"x")
-            send_some(at_fault, b"x")
+            send_if_possible(upstream_connection, bytes(65536))
+            send_if_possible(clients["sends a request slowly"], b"x")
+            send_if_possible(clients["sends after a malformed request"], b"x")
             sidecar.loop.sleep(NS_PER_MS)
-        left = [names[one.sock.getpeername()] for one in sidecar.downstream._open]
-        assert sidecar.ended_ns is not None, f"not ended after {sidecar.since_drain_ns() / NS_PER_MS:.0f} ms: {left}"
-        for client in (deaf, silent, half, trickle, at_fault):
+        waited_ms = sidecar.since_drain_ns() / NS_PER_MS
+        assert sidecar.ended_ns is not None, f"not ended after {waited_ms:.0f} ms: {open_clients(sidecar, clients)}"
+        for client in clients.values():
             client.sock.close()
 
     sidecar.run(script)
 
 
-def test_request_completed_late_is_answered_in_shutdown() -> None:
+def test_request_completed_late_is_answered_in_shutdown(sidecar: DrainingSidecar) -> None:
     """The endpoint never responds, and the request has more time left than the shutdown."""
-    sidecar = DrainingSidecar()
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
         sidecar.drain()
         sidecar.sleep_until(ACCEPTING_NS * 9 // 10)
         client = sidecar.client(address)
-        whole = request("read", time_left_s=10.0)
-        client.send(whole[:20])
+        data = request("read", time_left_s=10.0)
+        client.send(data[:20])
         sidecar.wait_until(lambda: sidecar.downstream.open == 1)
         sidecar.sleep_until(ACCEPTING_NS + 450 * NS_PER_MS)
-        client.send(whole[20:])
-        sidecar.server.accept_request()
+        client.send(data[20:])
+        upstream_connection = sidecar.server.accept_request()
         in_time = sidecar.loop.wait(client.sock.fileno(), READABLE, sidecar.drained_ns + MAX_SHUTDOWN_NS)
         assert in_time is WakeReason.READY, f"no answer after {sidecar.since_drain_ns() / NS_PER_MS:.0f} ms"
         assert client.read().startswith(b"HTTP/1.1 5")
         client.sock.close()
         assert sidecar.wait_for_end() <= MAX_SHUTDOWN_NS
+        upstream_connection.sock.close()
 
     sidecar.run(script)
     assert sum(isinstance(event, balancing.Request) for event in sidecar.balancer.events) == 1
--- a/tests/races/test_shutdown_process.py
+++ b/tests/races/test_shutdown_process.py
@@ -1,12 +1,15 @@
-"""From SIGTERM to the end of a real process: signals that come together, and a stop within the shutdown."""
+"""Graceful shutdown of a real process: signals that arrive together, and SIGSTOP during the shutdown."""
 
 from __future__ import annotations
 
 import contextlib
+import json
 import os
 import select
 import signal
 import socket
+import subprocess
+import sys
 import threading
 import time
 from collections.abc import Iterator
@@ -17,37 +20,38 @@
 from lugtally.units import NS_PER_S
 from tests.integration.player import Player
 from tests.races.fakes import request
-from tests.races.test_shutdown import ACCEPTING_NS, IDLE_END_NS
+from tests.races.test_shutdown import ACCEPTING_NS, IDLE_SHUTDOWN_NS
+from tests.sidecar_program import ROOT
 
 CPU_MARGIN_S = 0.5
-"""How much longer a real process may take to end: its loop's end is not its own."""
+"""How much longer than its event loop a real process may take to end."""
 
 
 @pytest.fixture
 def player(tmp_path: Path) -> Iterator[Player]:
-    """The peers of a real process, which is ended at last whatever happens."""
-    one = Player(tmp_path)
+    """The peers of a real process, which is ended after the test."""
+    player = Player(tmp_path)
     try:
-        yield one
+        yield player
     finally:
-        if one.program is not None:
-            one.program.send_signal(signal.SIGCONT)
-        one.end()
+        if player.program is not None:
+            player.program.send_signal(signal.SIGCONT)
+        player.end()
 
 
 @pytest.fixture
 def endpoint(player: Player) -> Iterator[None]:
-    """Let the endpoint A answer each request."""
+    """Let endpoint A respond to each request."""
     stopped = threading.Event()
-    thread = threading.Thread(target=answer_all, args=(player.upstream["A"], stopped))
+    thread = threading.Thread(target=respond_to_all, args=(player.upstream["A"], stopped))
     thread.start()
     yield
     stopped.set()
     thread.join(10)
 
 
-def answer_all(listener: socket.socket, stopped: threading.Event) -> None:
-    """Answer each request on each connection of a listening socket, until told to stop."""
+def respond_to_all(listener: socket.socket, stopped: threading.Event) -> None:
+    """Respond to each request on each connection of a listening socket, until ``stopped`` is set."""
     received: dict[socket.socket, bytes] = {}
     while not stopped.is_set():
         for sock in select.select([listener, *received], [], [], 0.05)[0]:
@@ -73,7 +77,7 @@
 
 
 def first_line(player: Player, who: str) -> bytes:
-    """Return the first line that a client gets; what has come where its connection ends before."""
+    """Return the first line that a client receives, or what it received before its connection ended."""
     received = b""
     with contextlib.suppress(ConnectionResetError):
         while b"\r\n" not in received and (data := player.connection(who).recv(4096)):
@@ -87,13 +91,13 @@
 
 
 def wait_until_draining(player: Player) -> None:
-    """Ask for the health until it is that of a process that drains."""
-    give_up = time.monotonic() + 10
+    """Poll the health path until it reports that the process is draining."""
+    give_up_s = time.monotonic() + 10
     while True:
         player.on_send("health", "GET /_health HTTP/1.1|Host: x||")
         if first_line(player, "health") == b"HTTP/1.1 503 Service Unavailable":
             return
-        assert time.monotonic() < give_up, "it does not drain"
+        assert time.monotonic() < give_up_s, "it is not draining"
 
 
 def stop_process(player: Player) -> None:
@@ -125,26 +129,26 @@
 def test_process_stopped_during_shutdown_answers_requests(player: Player) -> None:
     """Its timers are overdue when it continues: they must not run before the arrived bytes are read."""
     player.do_serve()
-    for who in ("kept1", "kept2"):
+    for who in ("idle1", "idle2"):
         send_request(player, who)
         assert first_line(player, who) == b"HTTP/1.1 200 OK"
     player.connection("new")
-    send_request(player, "half")
-    assert first_line(player, "half") == b"HTTP/1.1 200 OK"
-    player.connection("half").sendall(request("campaign-read", "half2")[:30])
+    send_request(player, "incomplete")
+    assert first_line(player, "incomplete") == b"HTTP/1.1 200 OK"
+    player.connection("incomplete").sendall(request("campaign-read", "incomplete2")[:30])
     player.do_term()
     wait_until_draining(player)  # by then it has accepted "new", which connected before
     stop_process(player)
-    for who in ("kept1", "kept2", "new", "waiting"):  # the last lies in the backlog
+    for who in ("idle1", "idle2", "new", "waiting"):  # the last lies in the backlog
         send_request(player, who)
-    player.connection("half").sendall(request("campaign-read", "half2")[30:])
+    player.connection("incomplete").sendall(request("campaign-read", "incomplete2")[30:])
     time.sleep(1)
     os.kill(pid_of(player), signal.SIGCONT)
-    answers = {who: first_line(player, who) for who in ("kept1", "kept2", "new", "waiting", "half")}
-    # The balancer may refuse some of a burst to its only endpoint: a refusal is a final answer too.
-    assert set(answers.values()) <= {b"HTTP/1.1 200 OK", b"HTTP/1.1 503 Service Unavailable"}, answers
-    assert b"HTTP/1.1 200 OK" in answers.values(), answers
-    for who in answers:
+    responses = {who: first_line(player, who) for who in ("idle1", "idle2", "new", "waiting", "incomplete")}
+    # The balancer may reject some of a burst to its only endpoint: a rejection is a final response, too.
+    assert set(responses.values()) <= {b"HTTP/1.1 200 OK", b"HTTP/1.1 503 Service Unavailable"}, responses
+    assert b"HTTP/1.1 200 OK" in responses.values(), responses
+    for who in responses:
         player.on_shut(who, "")
     player.do_exit("0")
 
@@ -152,11 +156,32 @@
 @pytest.mark.usefixtures("endpoint")
 def test_process_with_idle_connections_ends_in_time(player: Player) -> None:
     player.do_serve()
-    for who in ("kept1", "kept2"):
+    for who in ("idle1", "idle2"):
         send_request(player, who)
         assert first_line(player, who) == b"HTTP/1.1 200 OK"
-    began = time.monotonic()
+    started_s = time.monotonic()
     player.do_term()
     player.do_exit("0")
-    took = time.monotonic() - began
-    assert took <= (ACCEPTING_NS + IDLE_END_NS) / NS_PER_S + CPU_MARGIN_S, f"the end took {took:.1f} s"
+    duration_s = time.monotonic() - started_s
+    assert duration_s <= (ACCEPTING_NS + IDLE_SHUTDOWN_NS) / NS_PER_S + CPU_MARGIN_S, f"the end took {duration_s:.1f} s"
+
+
+def test_shutdown_before_first_endpoint_list_answers_503(player: Player, tmp_path: Path) -> None:
+    """Discovery never responds and no endpoint is cached; SIGTERM still ends the process."""
+    player.known_endpoints = []
+    (tmp_path / "config.json").write_text(json.dumps(player.config()))
+    process = subprocess.Popen(
+        [sys.executable, "-B", "-m", "lugtally", "serve"],
+        cwd=ROOT,
+        stderr=subprocess.PIPE,
+        env={**os.environ, "PROXY_CONFIG": str(tmp_path / "config.json"), "TMPDIR": str(tmp_path)},
+    )
+    try:
+        assert process.stderr is not None
+        assert b" serves at " in process.stderr.readline()
+        player.on_send("c1", request("campaign-read").decode().replace("\r\n", "|"))
+        player.on_want("c1", "HTTP/1.1 503 Service Unavailable|Retry-After: *|Content-Length: 5||busy~")
+        process.send_signal(signal.SIGTERM)
+        assert process.wait(20) == 0
+    finally:
+        process.kill()
