--- a/tests/races/pool_harness.py
+++ b/tests/races/pool_harness.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from lugtally.eventloop import Task, WakeReason
+from lugtally.eventloop import READABLE, Task, WakeReason
 from lugtally.http1 import ForwardedRequest, Message
 from lugtally.units import NS_PER_S
 from lugtally.upstream import AttemptResponse
@@ -26,29 +26,29 @@
 
 
 def start_attempt(
-    sidecar: Sidecar, ends: list[AttemptResponse], message: Message | None = None, **options: Any
+    sidecar: Sidecar, results: list[AttemptResponse], message: Message | None = None, **options: Any
 ) -> Task:
-    """Start an attempt as a task; its response is appended to ``ends``."""
+    """Start an attempt as a task; its response is appended to ``results``."""
 
     def run() -> None:
         deadline_ns = sidecar.loop.now() + ATTEMPT_TIMEOUT_NS
         request = ForwardedRequest(message or Message("GET", "/"))
-        ends.append(sidecar.upstream.execute_attempt(ENDPOINT, request, deadline_ns, **options))
+        results.append(sidecar.upstream.execute_attempt(ENDPOINT, request, deadline_ns, **options))
 
     return sidecar.loop.spawn(run)
 
 
 def idle_peers(sidecar: Sidecar, count: int) -> list[PeerConnection]:
-    """Open idle connections in the pool; return the endpoint's ends, the longest idle first."""
-    ends: list[AttemptResponse] = []
+    """Open idle connections in the pool; return the endpoint's results, the longest idle first."""
+    results: list[AttemptResponse] = []
     peers = []
     for _ in range(count):
-        start_attempt(sidecar, ends)
+        start_attempt(sidecar, results)
         peers.append(sidecar.server.accept())
         peers[-1].read_head()
     for number, peer in enumerate(peers, 1):
         peer.respond()
-        sidecar.wait_until(lambda number=number: len(ends) == number)  # type: ignore[misc]
+        sidecar.wait_until(lambda number=number: len(results) == number)  # type: ignore[misc]
     return peers
 
 
@@ -77,3 +77,20 @@
     stopped_ns: list[int] = []
     patch.setattr(sidecar.loop, "now", lambda: now() + sum(stopped_ns))
     return stopped_ns.append
+
+
+def change_during_attempt(
+    sidecar: Sidecar, patch: pytest.MonkeyPatch, waits_for: str, change: Change, results: list[AttemptResponse]
+) -> PeerConnection:
+    """Start an attempt and call ``change`` while it waits; return the endpoint's end of its first connection.
+
+    ``waits_for`` is "settling", of an idle connection, or "connecting".
+    """
+    if waits_for == "settling":
+        peer = idle_peers(sidecar, 1)[0]
+        change_as_it_settles(sidecar, patch, change)
+        start_attempt(sidecar, results)
+        return peer
+    change_at_wait(sidecar, patch, lambda poll_events: poll_events != READABLE, change)
+    start_attempt(sidecar, results)
+    return sidecar.server.accept()
--- a/tests/races/test_pool.py
+++ b/tests/races/test_pool.py
@@ -1,4 +1,4 @@
-"""Crossings in the pool of connections to endpoints: it changes while an attempt waits for one of its connections."""
+"""Races of the upstream pool: it changes while an attempt waits for one of its connections."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     ATTEMPT_TIMEOUT_NS,
     ENDPOINT,
     change_as_it_settles,
-    change_at_wait,
+    change_during_attempt,
     idle_peers,
     sidecar_with_endpoint,
     start_attempt,
@@ -37,8 +37,8 @@
     return sidecar_with_endpoint()
 
 
-def descriptor_of(peer: PeerConnection) -> int:
-    """Return the descriptor of our end of a connection, by the address that its peer sees."""
+def pool_descriptor(peer: PeerConnection) -> int:
+    """Return the descriptor of the pool's end of a connection, found by the address that its peer sees."""
     for entry in list(Path("/proc/self/fd").iterdir()):
         try:
             with socket.socket(fileno=os.dup(int(entry.name))) as sock:
@@ -46,10 +46,10 @@
                     return int(entry.name)
         except OSError:
             continue
-    raise AssertionError("our end is closed")
+    raise AssertionError("the pool's end is closed")
 
 
-def move(sidecar: Sidecar) -> None:
+def move_endpoint(sidecar: Sidecar) -> None:
     """Move the endpoint to the address of another fake server."""
     sidecar.upstream.set_address(ENDPOINT, sidecar.second_discovery.address)
 
@@ -57,7 +57,7 @@
 CLOSES: dict[str, Callable[[Sidecar], None]] = {
     "idle connections closed": lambda sidecar: sidecar.upstream.close_idle_connections(ENDPOINT),
     "endpoint removed": lambda sidecar: sidecar.upstream.remove(ENDPOINT),
-    "endpoint moved": move,
+    "endpoint moved": move_endpoint,
 }
 
 
@@ -67,28 +67,28 @@
 ) -> None:
     """The pool closes a settling connection, and its neighbour's descriptor number is reused at once."""
     monkeypatch.setattr(pool, "SETTLE_NS", LONG_SETTLE_NS)
-    woken: list[WakeReason] = []
-    ends: list[AttemptResponse] = []
+    wake_reasons: list[WakeReason] = []
+    results: list[AttemptResponse] = []
 
     def script() -> None:
         settling, other = idle_peers(sidecar, 2)
-        number = descriptor_of(other)
-        start_attempt(sidecar, ends)
+        descriptor = pool_descriptor(other)
+        start_attempt(sidecar, results)
         sidecar.wait_until(lambda: ENDPOINT in sidecar.upstream._settling)
-        ours, theirs = socket.socketpair()
+        new_owner, sender = socket.socketpair()
         close(sidecar)
-        os.dup2(ours.fileno(), number)  # as the next socket that is opened would have it
+        os.dup2(new_owner.fileno(), descriptor)  # as if the next socket had been given this number
         deadline_ns = sidecar.loop.now() + MAX_WAIT_NS
-        sidecar.loop.spawn(lambda: woken.append(sidecar.loop.wait(number, READABLE, deadline_ns)))
+        sidecar.loop.spawn(lambda: wake_reasons.append(sidecar.loop.wait(descriptor, READABLE, deadline_ns)))
         sidecar.loop.sleep(0)
-        settling.send(b"late")  # so that the attempt looks for another connection
+        settling.send(b"late")  # so that the attempt chooses another connection
         assert settling.read_to_end() == b""
-        theirs.send(b"for the new owner")
-        sidecar.wait_until(lambda: bool(woken))
-        assert woken == [WakeReason.READY]
-        for sock in (ours, theirs):
+        sender.send(b"for the new owner")
+        sidecar.wait_until(lambda: bool(wake_reasons))
+        assert wake_reasons == [WakeReason.READY]
+        for sock in (new_owner, sender):
             sock.close()
-        os.close(number)
+        os.close(descriptor)
 
     sidecar.run(script)
 
@@ -98,91 +98,75 @@
     close: Callable[[Sidecar], None], sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(pool, "SETTLE_NS", LONG_SETTLE_NS)
-    ends: list[AttemptResponse] = []
+    results: list[AttemptResponse] = []
 
     def script() -> None:
         peers = idle_peers(sidecar, 3)
         settling = peers[0]
-        start_attempt(sidecar, ends)
+        start_attempt(sidecar, results)
         sidecar.wait_until(lambda: ENDPOINT in sidecar.upstream._settling)
         close(sidecar)
         settling.send(b"late")
         assert settling.read_to_end() == b""
         if close is not CLOSES["endpoint removed"]:
-            server = sidecar.second_discovery if close is move else sidecar.server
+            server = sidecar.second_discovery if close is move_endpoint else sidecar.server
             new = server.accept()
             new.read_head()
             new.respond()
-        sidecar.wait_until(lambda: bool(ends))
+        sidecar.wait_until(lambda: bool(results))
 
     sidecar.run(script)
     assert sidecar.upstream.open_connections == (0 if close is CLOSES["endpoint removed"] else 1)
 
 
-@pytest.mark.parametrize("wait", ["settling", "connecting"])
+@pytest.mark.parametrize("waits_for", ["settling", "connecting"])
 def test_endpoint_moved_during_wait_gets_request_at_new_address(
-    wait: str, sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
+    waits_for: str, sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    ends: list[AttemptResponse] = []
+    results: list[AttemptResponse] = []
 
     def script() -> None:
-        if wait == "settling":
-            old = idle_peers(sidecar, 1)[0]
-            change_as_it_settles(sidecar, monkeypatch, lambda: move(sidecar))
-        else:
-            change_at_wait(sidecar, monkeypatch, lambda events: events != READABLE, lambda: move(sidecar))
-        start_attempt(sidecar, ends)
-        if wait == "connecting":
-            old = sidecar.server.accept()
+        old = change_during_attempt(sidecar, monkeypatch, waits_for, lambda: move_endpoint(sidecar), results)
         assert old.read_to_end() == b""
         new = sidecar.second_discovery.accept_request()
         new.respond(b"from the new address")
-        sidecar.wait_until(lambda: bool(ends))
+        sidecar.wait_until(lambda: bool(results))
 
     sidecar.run(script)
-    response = ends[0].response
+    response = results[0].response
     assert response is not None
     assert response.body == b"from the new address"
     assert sidecar.upstream.open_connections == 1
 
 
-@pytest.mark.parametrize("wait", ["settling", "connecting"])
+@pytest.mark.parametrize("waits_for", ["settling", "connecting"])
 def test_endpoint_removed_during_wait_gets_no_request(
-    wait: str, sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
+    waits_for: str, sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    ends: list[AttemptResponse] = []
+    results: list[AttemptResponse] = []
 
     def script() -> None:
-        if wait == "settling":
-            old = idle_peers(sidecar, 1)[0]
-            change_as_it_settles(sidecar, monkeypatch, lambda: sidecar.upstream.remove(ENDPOINT))
-        else:
-            change_at_wait(
-                sidecar, monkeypatch, lambda events: events != READABLE, lambda: sidecar.upstream.remove(ENDPOINT)
-            )
-        start_attempt(sidecar, ends)
-        if wait == "connecting":
-            old = sidecar.server.accept()
+        old = change_during_attempt(sidecar, monkeypatch, waits_for, lambda: sidecar.upstream.remove(ENDPOINT), results)
         assert old.read_to_end() == b""
-        sidecar.wait_until(lambda: bool(ends))
+        sidecar.wait_until(lambda: bool(results))
 
     sidecar.run(script)
-    assert ends[0].outcome.name == "CONNECTION_REFUSED"
+    assert results[0].outcome.name == "CONNECTION_REFUSED"
     assert sidecar.upstream.open_connections == 0
 
 
 def test_closing_idle_connections_closes_a_settling_one(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> None:
     """The balancer closes idle connections so that the next attempt uses a new one."""
-    ends: list[AttemptResponse] = []
+    results: list[AttemptResponse] = []
 
     def script() -> None:
-        old = idle_peers(sidecar, 1)[0]
-        change_as_it_settles(sidecar, monkeypatch, lambda: sidecar.upstream.close_idle_connections(ENDPOINT))
-        start_attempt(sidecar, ends)
+        old = change_during_attempt(
+            sidecar, monkeypatch, "settling", lambda: sidecar.upstream.close_idle_connections(ENDPOINT), results
+        )
         assert old.read_to_end() == b""
         new = sidecar.server.accept_request()
         new.respond()
-        sidecar.wait_until(lambda: bool(ends))
+        sidecar.wait_until(lambda: bool(results))
 
     sidecar.run(script)
     assert sidecar.upstream.open_connections == 1
@@ -191,7 +175,7 @@
 @pytest.mark.parametrize("failing", ["may_proceed", "claim_stream"])
 def test_exception_in_attempt_callback_leaks_no_connection(failing: str, sidecar: Sidecar) -> None:
     failed: list[str] = []
-    ends: list[AttemptResponse] = []
+    results: list[AttemptResponse] = []
 
     def fail(*_: object) -> Any:
         raise RuntimeError(failing)
@@ -210,16 +194,16 @@
         peer = sidecar.server.accept()
         if failing == "claim_stream":
             peer.read_head()
-            peer.send(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + bytes(70_000))  # it is claimed then
+            peer.send(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + bytes(70_000))  # enough to be streamed
             assert peer.read_to_end() == b""
         sidecar.wait_until(lambda: bool(failed))
         assert sidecar.upstream.open_connections == (1 if failing == "may_proceed" else 0)
-        start_attempt(sidecar, ends)
+        start_attempt(sidecar, results)
         if failing == "claim_stream":
             peer = sidecar.server.accept()
-        peer.read_head()  # nothing had been written: the connection is as good as before
+        peer.read_head()  # nothing was written before: the connection is reused
         peer.respond()
-        sidecar.wait_until(lambda: bool(ends))
+        sidecar.wait_until(lambda: bool(results))
 
     sidecar.run(script)
     assert failed == [failing]
@@ -230,16 +214,14 @@
     """The process is stopped while it waits for the connection, and the endpoint closes it meanwhile."""
     sidecar.limits.idle_timeout_ns = 2 * NS_PER_S
     stop_for = stoppable_clock(sidecar, monkeypatch)
-    ends: list[AttemptResponse] = []
+    results: list[AttemptResponse] = []
 
     def script() -> None:
-        old = idle_peers(sidecar, 1)[0]
-        change_as_it_settles(sidecar, monkeypatch, lambda: stop_for(3 * NS_PER_S))
-        start_attempt(sidecar, ends)
+        old = change_during_attempt(sidecar, monkeypatch, "settling", lambda: stop_for(3 * NS_PER_S), results)
         assert old.read_to_end() == b""
         new = sidecar.server.accept_request()
         new.respond()
-        sidecar.wait_until(lambda: bool(ends))
+        sidecar.wait_until(lambda: bool(results))
 
     sidecar.run(script)
 
@@ -248,7 +230,7 @@
     sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(pool, "SETTLE_NS", LONG_SETTLE_NS)
-    ends: list[AttemptResponse] = []
+    results: list[AttemptResponse] = []
     open_connections: list[int] = []
     release = sidecar.upstream._release
 
@@ -265,11 +247,11 @@
 
         change_as_it_settles(sidecar, monkeypatch, send_late_and_interrupt)
         monkeypatch.setattr(sidecar.upstream, "_release", release_and_count)
-        task = start_attempt(sidecar, ends)
-        sidecar.wait_until(lambda: bool(ends))
+        task = start_attempt(sidecar, results)
+        sidecar.wait_until(lambda: bool(results))
 
     sidecar.run(script)
-    assert ends[0].outcome.name == "CANCELLED_BEFORE_SENT"
+    assert results[0].outcome.name == "CANCELLED_BEFORE_SENT"
     assert open_connections in ([], [0])
     assert sidecar.upstream.open_connections == 0
 
@@ -288,23 +270,23 @@
     assert sidecar.upstream.open_connections == 0
 
 
-@pytest.mark.parametrize("change", [move, CLOSES["endpoint removed"]], ids=["moved", "removed"])
+@pytest.mark.parametrize("change", [move_endpoint, CLOSES["endpoint removed"]], ids=["moved", "removed"])
 def test_response_from_old_address_counts_but_is_not_pooled(
     change: Callable[[Sidecar], None], sidecar: Sidecar
 ) -> None:
-    ends: list[AttemptResponse] = []
+    results: list[AttemptResponse] = []
 
     def script() -> None:
-        start_attempt(sidecar, ends)
+        start_attempt(sidecar, results)
         peer = sidecar.server.accept_request()
         change(sidecar)
         peer.respond(b"from the old address")
         assert peer.read_to_end() == b""
-        sidecar.wait_until(lambda: bool(ends))
+        sidecar.wait_until(lambda: bool(results))
 
     sidecar.run(script)
-    assert ends[0].response is not None
-    assert ends[0].response.body == b"from the old address"
+    assert results[0].response is not None
+    assert results[0].response.body == b"from the old address"
     assert sidecar.upstream.open_connections == 0
 
 
@@ -314,27 +296,27 @@
     sidecar.limits.max_connections = 2
     other_endpoint = ENDPOINT + 1
     sidecar.upstream.set_address(other_endpoint, sidecar.second_discovery.address)
-    ends: list[AttemptResponse] = []
-    other_ends: list[str] = []
+    results: list[AttemptResponse] = []
+    other_outcomes: list[str] = []
 
     def attempt_at_other() -> None:
         deadline_ns = sidecar.loop.now() + ATTEMPT_TIMEOUT_NS
         request = ForwardedRequest(Message("GET", "/"))
-        other_ends.append(sidecar.upstream.execute_attempt(other_endpoint, request, deadline_ns).outcome.name)
+        other_outcomes.append(sidecar.upstream.execute_attempt(other_endpoint, request, deadline_ns).outcome.name)
 
     def script() -> None:
         settling, idle = idle_peers(sidecar, 2)
-        start_attempt(sidecar, ends)
+        start_attempt(sidecar, results)
         sidecar.wait_until(lambda: ENDPOINT in sidecar.upstream._settling)
         sidecar.loop.spawn(attempt_at_other)
         peer = sidecar.second_discovery.accept_request()
         assert idle.read_to_end() == b""
         sidecar.loop.spawn(attempt_at_other)
-        sidecar.wait_until(lambda: other_ends == ["NO_DESCRIPTOR"])
+        sidecar.wait_until(lambda: other_outcomes == ["NO_DESCRIPTOR"])
         assert sidecar.upstream.open_connections == 2
         assert not sidecar.loop.is_ready(settling.sock.fileno(), READABLE)
         peer.respond()
-        sidecar.wait_until(lambda: other_ends == ["NO_DESCRIPTOR", "SERVED"])
+        sidecar.wait_until(lambda: other_outcomes == ["NO_DESCRIPTOR", "SERVED"])
 
     sidecar.run(script)
 
@@ -342,7 +324,7 @@
 def test_self_connection_counts_as_refused(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> None:
     """With no listener and an equal local port, the kernel connects a socket to itself."""
     address = sidecar.server.address
-    ends: list[AttemptResponse] = []
+    results: list[AttemptResponse] = []
 
     def open_at_the_same_port(to: Address) -> socket.socket:
         sock = open_socket(to)
@@ -352,9 +334,9 @@
     def script() -> None:
         sidecar.server.sock.close()
         monkeypatch.setattr("lugtally.upstream.pool.open_socket", open_at_the_same_port)
-        start_attempt(sidecar, ends)
-        sidecar.wait_until(lambda: bool(ends))
+        start_attempt(sidecar, results)
+        sidecar.wait_until(lambda: bool(results))
 
     sidecar.run(script)
-    assert ends[0].outcome.name == "CONNECTION_REFUSED"
+    assert results[0].outcome.name == "CONNECTION_REFUSED"
     assert sidecar.upstream.open_connections == 0
--- a/tests/races/test_pool_random.py
+++ b/tests/races/test_pool_random.py
@@ -1,6 +1,6 @@
-"""A seeded row of attempts, cancellations, moves, removals and faults: what the pool holds true through all of them.
+"""Random attempts, cancellations, moves, removals and faults by a seed: invariants of the upstream pool.
 
-The order of events is the machine's; the verdict is not, as each check holds whatever the order is.
+The order of events depends on the machine; each check holds in any order.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class EchoServer:
-    """Answers each request with its path, or breaks in one of several ways."""
+    """Responds to each request with its path, or fails in one of several ways."""
 
     def __init__(self, sidecar: Sidecar, server: FakeServer, draws: random.Random) -> None:
         self.sidecar, self.server, self.draws = sidecar, server, draws
@@ -57,43 +57,45 @@
                 received = b""
                 self.paths.append(path.decode())
                 try:
-                    if not self.answer(connection, path):
+                    if not self.respond(connection, path):
                         return
                 except OSError:
                     return  # the pool has closed it
 
-    def answer(self, connection: socket.socket, path: bytes) -> bool:
-        """Answer in one of the ways; return whether the connection goes on."""
+    def respond(self, connection: socket.socket, path: bytes) -> bool:
+        """Respond in a random way; return whether the connection stays open."""
         response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(path) + path
-        way = self.draws.choice(["whole"] * 6 + ["late byte"] * 6 + ["twice", "cut", "reset", "end", "silent", "slow"])
-        if way == "silent":
+        behaviour = self.draws.choice(
+            ["complete"] * 6 + ["late byte"] * 6 + ["twice", "truncated", "reset", "end", "silent", "slow"]
+        )
+        if behaviour == "silent":
             return True
-        if way == "slow":
+        if behaviour == "slow":
             self.sidecar.loop.sleep(self.draws.randrange(10) * NS_PER_MS)
-        if way == "reset":
+        if behaviour == "reset":
             connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             return False
-        connection.sendall({"twice": response * 2, "cut": response[:-1]}.get(way, response))
-        if way == "late byte":  # comes as the connection settles; no response, so that it never passes for one
+        connection.sendall({"twice": response * 2, "truncated": response[:-1]}.get(behaviour, response))
+        if behaviour == "late byte":  # arrives as the connection settles, and cannot pass for a response
             self.sidecar.loop.sleep(self.draws.randrange(4) * NS_PER_MS)
             return connection.send(b"x") == 1
-        return way not in ("cut", "end")
+        return behaviour not in ("truncated", "end")
 
 
 class PoolUser:
-    """Makes attempts and changes the pool under them."""
+    """Makes attempts, and changes the pool meanwhile."""
 
     def __init__(self, sidecar: Sidecar, servers: list[FakeServer], draws: random.Random) -> None:
         self.sidecar, self.servers, self.draws = sidecar, servers, draws
         self.tasks: list[Task] = []
-        self.ends: dict[str, AttemptResponse] = {}
+        self.results: dict[str, AttemptResponse] = {}
 
     def attempt(self, path: str) -> None:
         loop = self.sidecar.loop
         deadline_ns = loop.now() + self.draws.randrange(5, 300) * NS_PER_MS
         request = ForwardedRequest(Message("GET", path))
         endpoint_id = self.draws.choice(ENDPOINTS)
-        self.ends[path] = self.sidecar.upstream.execute_attempt(
+        self.results[path] = self.sidecar.upstream.execute_attempt(
             endpoint_id, request, deadline_ns, may_proceed=lambda: self.draws.random() < 0.95
         )
 
@@ -120,7 +122,7 @@
                 self.change()
             if self.draws.random() < 0.4:
                 self.sidecar.loop.sleep(self.draws.randrange(3) * NS_PER_MS)
-        self.sidecar.wait_until(lambda: len(self.ends) == ATTEMPTS)
+        self.sidecar.wait_until(lambda: len(self.results) == ATTEMPTS)
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -140,15 +142,15 @@
         assert not sidecar.upstream._settling
         for endpoint_id in ENDPOINTS:
             sidecar.upstream.remove(endpoint_id)
-        assert sidecar.upstream.open_connections == 0, "a connection is counted that nobody has"
+        assert sidecar.upstream.open_connections == 0, "a closed connection is counted"
 
     sidecar.run(script)
-    served = {path: end.response for path, end in user.ends.items() if end.outcome.name == "SERVED"}
+    served = {path: result.response for path, result in user.results.items() if result.outcome.name == "SERVED"}
     assert served
     for path, response in served.items():
         assert response is not None
-        assert response.body == path.encode(), "another request's answer"
+        assert response.body == path.encode(), "the response of another request"
     forwarded = [path for echo in echoes for path in echo.paths]
     assert len(forwarded) == len(set(forwarded)), "an attempt was sent twice"
-    unsent = {path for path, end in user.ends.items() if end.outcome.name.endswith("_BEFORE_SENT")}
-    assert not unsent & set(forwarded), "an attempt that ended before it was sent has come to a server"
+    unsent = {path for path, result in user.results.items() if result.outcome.name.endswith("_BEFORE_SENT")}
+    assert not unsent & set(forwarded), "an attempt that ended as not sent was received"
--- a/tests/races/test_request_writing.py
+++ b/tests/races/test_request_writing.py
@@ -1,4 +1,4 @@
-"""Crossings while a request is written in parts, as its endpoint reads slowly."""
+"""Races while a request is written in parts, because its endpoint reads slowly."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 @pytest.fixture
 def sidecar() -> Sidecar:
-    """A sidecar with one endpoint, whose connection takes a few thousand bytes at a time."""
+    """A sidecar whose pool knows the fake server as its one endpoint."""
     return sidecar_with_endpoint()
 
 
 @pytest.fixture
-def begun(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> list[bool]:
-    """Shrink the buffers of each connection; the list is filled as a request begins to be written."""
+def started_writes(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> list[bool]:
+    """Shrink the socket buffers; the list gets an element when a request starts to be written."""
     write_request = attempt.write_request
     written: list[bool] = []
     sidecar.server.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -42,8 +42,8 @@
     return written
 
 
-def read_all_there(peer: PeerConnection) -> bytes:
-    """Read what has come, so that more can be written."""
+def read_available(peer: PeerConnection) -> bytes:
+    """Read the bytes received so far, so that more can be written."""
     received = b""
     while True:
         try:
@@ -53,59 +53,67 @@
 
 
 def test_forwarded_time_left_is_that_at_the_write(
-    sidecar: Sidecar, begun: list[bool], monkeypatch: pytest.MonkeyPatch
+    sidecar: Sidecar, started_writes: list[bool], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The wait is within the head, before the header is written."""
     stop_for = make_stoppable_clock(sidecar, monkeypatch)
-    ends: list[AttemptResponse] = []
-    told: list[str] = []
+    results: list[AttemptResponse] = []
+    time_left_headers: list[str] = []
 
     def script() -> None:
         change_at_wait(
-            sidecar, monkeypatch, lambda events: bool(events & WRITABLE and begun), lambda: stop_for(3 * NS_PER_S)
+            sidecar,
+            monkeypatch,
+            lambda poll_events: bool(poll_events & WRITABLE and started_writes),
+            lambda: stop_for(3 * NS_PER_S),
         )
-        start_attempt(sidecar, ends, LONG_HEAD)
+        start_attempt(sidecar, results, LONG_HEAD)
         peer = sidecar.server.accept()
         while b"\r\n\r\n" not in peer.received:
             assert peer.read_more()
-        told.extend(line for line in peer.received.decode().split("\r\n") if line.startswith("X-Time-Left"))
+        time_left_headers.extend(
+            line for line in peer.received.decode().split("\r\n") if line.startswith("X-Time-Left")
+        )
         peer.respond()
-        sidecar.wait_until(lambda: bool(ends))
+        sidecar.wait_until(lambda: bool(results))
 
     sidecar.run(script)
-    assert len(told) == 1
-    assert 0 < float(told[0].split()[1]) <= (ATTEMPT_TIMEOUT_NS - 3 * NS_PER_S) / NS_PER_S
+    assert len(time_left_headers) == 1
+    assert 0 < float(time_left_headers[0].split()[1]) <= (ATTEMPT_TIMEOUT_NS - 3 * NS_PER_S) / NS_PER_S
 
 
 @pytest.mark.parametrize("message", [LONG_HEAD, LONG_BODY], ids=["in the head", "in the body"])
 def test_write_stops_at_deadline(
-    message: Message, sidecar: Sidecar, begun: list[bool], monkeypatch: pytest.MonkeyPatch
+    message: Message, sidecar: Sidecar, started_writes: list[bool], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The process is stopped while it waits to write, and the endpoint has read meanwhile."""
     stop_for = make_stoppable_clock(sidecar, monkeypatch)
-    ends: list[AttemptResponse] = []
+    results: list[AttemptResponse] = []
     peers: list[PeerConnection] = []
-    in_time: list[bytes] = []
+    received_in_time: list[bytes] = []
 
-    def read_and_pass_the_deadline() -> None:
+    def read_and_exceed_deadline() -> None:
         peers.append(PeerConnection(sidecar.loop, sidecar.server.sock.accept()[0]))
-        in_time.append(read_all_there(peers[0]))
+        received_in_time.append(read_available(peers[0]))
         stop_for(ATTEMPT_TIMEOUT_NS)
 
     def script() -> None:
         change_at_wait(
-            sidecar, monkeypatch, lambda events: bool(events & WRITABLE and begun), read_and_pass_the_deadline
+            sidecar,
+            monkeypatch,
+            lambda poll_events: bool(poll_events & WRITABLE and started_writes),
+            read_and_exceed_deadline,
         )
-        start_attempt(sidecar, ends, message)
-        sidecar.wait_until(lambda: bool(ends))
+        start_attempt(sidecar, results, message)
+        sidecar.wait_until(lambda: bool(results))
         assert peers[0].read_to_end() == b""
 
     sidecar.run(script)
-    assert in_time[0]
-    assert ends[0].outcome.name == "TIMEOUT_BEFORE_SENT"
+    assert received_in_time[0]
+    assert results[0].outcome.name == "TIMEOUT_BEFORE_SENT"
 
 
-@pytest.mark.parametrize("buffer_bytes", [4096, 4 * 1024 * 1024], ids=["partly written", "written whole"])
+@pytest.mark.parametrize("buffer_bytes", [4096, 4 * 1024 * 1024], ids=["partly written", "completely written"])
 def test_cancelled_attempt_discards_its_send_buffer(
     buffer_bytes: int, sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -113,7 +121,7 @@
     write_request = attempt.write_request
     connections: list[UpstreamConnection] = []
     written: list[bool] = []
-    ends: list[AttemptResponse] = []
+    results: list[AttemptResponse] = []
     sidecar.server.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
 
     def set_buffer_and_write(loop: EventLoop, connection: UpstreamConnection, *arguments: Any) -> None:
@@ -124,15 +132,15 @@
 
     def script() -> None:
         monkeypatch.setattr(attempt, "write_request", set_buffer_and_write)
-        task = start_attempt(sidecar, ends, LONG_BODY)
+        task = start_attempt(sidecar, results, LONG_BODY)
         peer = sidecar.server.accept()
         sidecar.wait_until(lambda: bool(connections))
         sidecar.loop.sleep(0)
         assert bool(written) == (buffer_bytes > len(LONG_BODY.body))
         sidecar.loop.interrupt(task)
-        sidecar.wait_until(lambda: bool(ends))
+        sidecar.wait_until(lambda: bool(results))
         received = peer.read_to_end()
         assert len(received) < len(LONG_BODY.body) // 2
 
     sidecar.run(script)
-    assert ends[0].outcome.name == ("CANCELLED" if written else "CANCELLED_BEFORE_SENT")
+    assert results[0].outcome.name == ("CANCELLED" if written else "CANCELLED_BEFORE_SENT")
--- a/tests/races/test_wrong_answers.py
+++ b/tests/races/test_wrong_answers.py
@@ -1,4 +1,4 @@
-"""What an endpoint sends at the wrong time, or not whole, is no answer to any request."""
+"""Bytes that an endpoint sends too early, too late, truncated or without an end are no response to any request."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 STALE = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale"
 LONG_REQUEST = Message("POST", "/", body=bytes(64 * 1024 * 1024))
-"""Longer than any socket's buffers: it waits until its endpoint reads."""
+"""Longer than the socket buffers, so that its write waits until the endpoint reads."""
 
 
 @pytest.fixture
@@ -27,75 +27,75 @@
 
 def test_bytes_before_first_write_are_not_the_response(sidecar: Sidecar) -> None:
     """They arrive as ``may_proceed`` is called for the last time."""
-    ends: list[AttemptResponse] = []
+    results: list[AttemptResponse] = []
 
     def script() -> None:
         peer = idle_peers(sidecar, 1)[0]
-        late = [STALE]
+        stale_responses = [STALE]
 
         def may_proceed() -> bool:
-            if late:
-                peer.send(late.pop())
+            if stale_responses:
+                peer.send(stale_responses.pop())
             return True
 
-        def serve_fresh() -> None:
+        def serve_second_connection() -> None:
             fresh = sidecar.server.accept_request()
             fresh.respond(b"fresh")
 
-        sidecar.loop.spawn(serve_fresh)
-        start_attempt(sidecar, ends, may_proceed=may_proceed)
-        sidecar.wait_until(lambda: bool(ends))
+        sidecar.loop.spawn(serve_second_connection)
+        start_attempt(sidecar, results, may_proceed=may_proceed)
+        sidecar.wait_until(lambda: bool(results))
 
     sidecar.run(script)
-    response = ends[0].response
+    response = results[0].response
     assert response is not None
     assert response.body == b"fresh"
 
 
-GREETINGS: dict[str, Callable[[PeerConnection], None]] = {
+EARLY_EVENTS: dict[str, Callable[[PeerConnection], None]] = {
     "response": lambda peer: peer.send(STALE),
     "end": lambda peer: peer.sock.shutdown(socket.SHUT_WR),
     "reset": lambda peer: disconnect(peer.sock, "reset"),
 }
 
 
-@pytest.mark.parametrize("greet", GREETINGS.values(), ids=GREETINGS)
+@pytest.mark.parametrize("send_early", EARLY_EVENTS.values(), ids=EARLY_EVENTS)
 def test_new_connection_with_bytes_or_end_is_not_used(
-    greet: Callable[[PeerConnection], None], sidecar: Sidecar
+    send_early: Callable[[PeerConnection], None], sidecar: Sidecar
 ) -> None:
     """The attempt ends as not sent, so that a request that must not run twice may be retried."""
-    ends: list[AttemptResponse] = []
+    results: list[AttemptResponse] = []
     peers: list[PeerConnection] = []
 
     def may_proceed() -> bool:
         if not peers:
             peers.append(PeerConnection(sidecar.loop, sidecar.server.sock.accept()[0]))
-            greet(peers[0])
+            send_early(peers[0])
         return True
 
     def script() -> None:
-        start_attempt(sidecar, ends, may_proceed=may_proceed)
-        sidecar.wait_until(lambda: bool(ends))
+        start_attempt(sidecar, results, may_proceed=may_proceed)
+        sidecar.wait_until(lambda: bool(results))
 
     sidecar.run(script)
-    assert ends[0].outcome.name == "RESET_BEFORE_SENT"
+    assert results[0].outcome.name == "RESET_BEFORE_SENT"
     assert sidecar.upstream.open_connections == 0
 
 
-@pytest.mark.parametrize("then", ["stays", "closes", "ends its side"])
+@pytest.mark.parametrize("ending", ["stays open", "closes", "half-closes"])
 def test_response_before_end_of_request_is_malformed(
-    then: str, sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
+    ending: str, sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The attempt may have run, and does not wait for its deadline."""
-    ends: list[AttemptResponse] = []
+    results: list[AttemptResponse] = []
     peers: list[PeerConnection] = []
 
     def respond() -> None:
         peers.append(PeerConnection(sidecar.loop, sidecar.server.sock.accept()[0]))
         peers[0].send(STALE)
-        if then == "closes":
-            peers[0].sock.close()  # over unread bytes: a reset
-        elif then == "ends its side":
+        if ending == "closes":
+            peers[0].sock.close()  # with unread bytes, so that the kernel sends a reset
+        elif ending == "half-closes":
             peers[0].sock.shutdown(socket.SHUT_WR)
 
     def script() -> None:
@@ -105,35 +105,35 @@
             return bool(poll_events & WRITABLE) and not (connecting and connecting.pop())
 
         change_at_wait(sidecar, monkeypatch, is_writing, respond)
-        start_attempt(sidecar, ends, LONG_REQUEST)
-        sidecar.wait_until(lambda: bool(ends))
+        start_attempt(sidecar, results, LONG_REQUEST)
+        sidecar.wait_until(lambda: bool(results))
 
     sidecar.run(script)
-    assert ends[0].outcome.name == "MALFORMED_RESPONSE"
-    assert ends[0].response is None
+    assert results[0].outcome.name == "MALFORMED_RESPONSE"
+    assert results[0].response is None
     assert sidecar.upstream.open_connections == 0
 
 
 def test_endless_response_is_aborted_at_deadline(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> None:
     """Bytes are always readable, so that no wait ever times out."""
     monkeypatch.setattr("tests.races.pool_harness.ATTEMPT_TIMEOUT_NS", 200 * NS_PER_MS)
-    ends: list[AttemptResponse] = []
+    results: list[AttemptResponse] = []
 
     def script() -> None:
-        start_attempt(sidecar, ends)
+        start_attempt(sidecar, results)
         peer = sidecar.server.accept_request()
         peer.send(b"HTTP/1.1 503 Busy\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n")
         give_up_ns = sidecar.loop.now() + MAX_WAIT_NS // 4
-        while not ends and sidecar.loop.now() < give_up_ns:
+        while not results and sidecar.loop.now() < give_up_ns:
             assert sidecar.loop.wait(peer.sock.fileno(), WRITABLE, give_up_ns) is WakeReason.READY
             try:
                 peer.sock.send(b"T: v\r\n" * 10_000)
             except OSError:
                 break
-        assert ends, "the attempt went on past its deadline"
+        assert results, "the attempt exceeded its deadline"
 
     sidecar.run(script)
-    assert ends[0].outcome.name == "TIMEOUT"
+    assert results[0].outcome.name == "TIMEOUT"
 
 
 RESPONSES = {
@@ -147,67 +147,67 @@
 @pytest.mark.parametrize("how", ["close", "reset"])
 def test_response_truncated_at_any_byte_is_reset(how: str, response: bytes, status: bytes, sidecar: Sidecar) -> None:
     response %= status
-    ends: list[AttemptResponse] = []
+    results: list[AttemptResponse] = []
 
     def script() -> None:
         for count in range(len(response)):
-            start_attempt(sidecar, ends)
+            start_attempt(sidecar, results)
             peer = sidecar.server.accept_request()
             peer.send(response[:count])
             disconnect(peer.sock, how)
-            sidecar.wait_until(lambda: len(ends) == count + 1)  # noqa: B023
+            sidecar.wait_until(lambda: len(results) == count + 1)  # noqa: B023
 
     sidecar.run(script)
-    assert {attempt_end.outcome.name for attempt_end in ends} == {"RESET"}
+    assert {attempt_end.outcome.name for attempt_end in results} == {"RESET"}
     assert sidecar.upstream.open_connections == 0
 
 
 @pytest.mark.parametrize("status", [b"200", b"503"], ids=["200", "503"])
 def test_body_until_close_is_complete_at_close_but_not_at_reset(status: bytes, sidecar: Sidecar) -> None:
-    ends: list[AttemptResponse] = []
+    results: list[AttemptResponse] = []
 
     def script() -> None:
         for number, how in enumerate(("reset", "close"), 1):
-            start_attempt(sidecar, ends)
+            start_attempt(sidecar, results)
             peer = sidecar.server.accept_request()
             peer.send(b"HTTP/1.1 %s X\r\n\r\nbody" % status)
             disconnect(peer.sock, how)
-            sidecar.wait_until(lambda: len(ends) == number)  # noqa: B023
+            sidecar.wait_until(lambda: len(results) == number)  # noqa: B023
 
     sidecar.run(script)
-    assert ends[0].outcome.name == "RESET"
-    assert ends[1].response is not None
-    assert ends[1].response.body == b"body"
+    assert results[0].outcome.name == "RESET"
+    assert results[1].response is not None
+    assert results[1].response.body == b"body"
     assert sidecar.upstream.open_connections == 0
 
 
 def test_connection_of_cancelled_attempt_is_not_pooled(sidecar: Sidecar) -> None:
     """Its response has arrived and would pass for that of the next request."""
-    ends: list[AttemptResponse] = []
+    results: list[AttemptResponse] = []
 
     def script() -> None:
-        task = start_attempt(sidecar, ends)
+        task = start_attempt(sidecar, results)
         peer = sidecar.server.accept_request()
-        peer.send(STALE)  # it is there as the attempt is cancelled, in one turn of the loop
+        peer.send(STALE)  # readable in the same turn of the loop as the cancellation
         sidecar.loop.interrupt(task)
-        sidecar.wait_until(lambda: bool(ends))
+        sidecar.wait_until(lambda: bool(results))
 
     sidecar.run(script)
-    assert ends[0].outcome.name == "CANCELLED"
+    assert results[0].outcome.name == "CANCELLED"
     assert sidecar.upstream.open_connections == 0
 
 
-@pytest.mark.parametrize("behind", [STALE, b"x", b"HTTP/1.1 100 Continue\r\n\r\n"], ids=["response", "byte", "interim"])
-def test_connection_with_bytes_after_response_is_not_pooled(behind: bytes, sidecar: Sidecar) -> None:
-    ends: list[AttemptResponse] = []
+@pytest.mark.parametrize("extra", [STALE, b"x", b"HTTP/1.1 100 Continue\r\n\r\n"], ids=["response", "byte", "interim"])
+def test_connection_with_bytes_after_response_is_not_pooled(extra: bytes, sidecar: Sidecar) -> None:
+    results: list[AttemptResponse] = []
 
     def script() -> None:
-        start_attempt(sidecar, ends)
+        start_attempt(sidecar, results)
         peer = sidecar.server.accept_request()
-        peer.send(STALE + behind)
+        peer.send(STALE + extra)
         assert peer.read_to_end() == b""
-        sidecar.wait_until(lambda: bool(ends))
+        sidecar.wait_until(lambda: bool(results))
 
     sidecar.run(script)
-    assert ends[0].outcome.name == "SERVED"
+    assert results[0].outcome.name == "SERVED"
     assert sidecar.upstream.open_connections == 0
