--- a/tests/races/streaming.py
+++ b/tests/races/streaming.py
@@ -22,7 +22,7 @@
     "until close": b"HTTP/1.1 200 OK\r\n\r\n",
 }
 BUFFERED_LENGTH_HEADER = b"Content-Length: 10\r\n"
-"""The header by which a buffered response is told from a streamed one."""
+"""The header that distinguishes a buffered response from a streamed one."""
 
 
 def body_of(attempt: int, size: int = BODY_BYTES) -> bytes:
--- a/tests/races/test_after_end.py
+++ b/tests/races/test_after_end.py
@@ -1,4 +1,4 @@
-"""No byte of an attempt after the end of its request: past its deadline, or once its client has gone."""
+"""No byte of an attempt is sent after its request has ended, by its deadline or by its client."""
 
 from __future__ import annotations
 
@@ -14,42 +14,41 @@
 from lugtally.upstream import pool
 from lugtally.upstream.connection import UpstreamConnection
 from tests.races.fakes import ENDPOINT_A, MAX_WAIT_NS, PeerConnection, Sidecar, disconnect, request
-from tests.races.test_attempts import serve_one
 
-LONG_NS = 9 * NS_PER_S
-"""What a balancer at fault gives an attempt: far more than its request has left."""
-NOT_BEGUN = [balancing.AttemptResult.NEVER_SENT]
+EXCESSIVE_TIMEOUT_NS = 9 * NS_PER_S
+"""The timeout that the balancer gives an attempt here: far more than its request has left."""
+NOT_STARTED = [balancing.AttemptResult.NEVER_SENT]
 
 
-def end_time_left(sidecar: Sidecar, ago_ns: int = 0) -> None:
-    """Let the time of all requests be over since ``ago_ns``, as after a stall of the process."""
+def expire_requests(sidecar: Sidecar, ago_ns: int = 0) -> None:
+    """Move the deadline of each request to ``ago_ns`` before now, as after a stall of the process."""
     for pending in sidecar.dispatcher._pending.values():
         pending.deadline_ns = sidecar.loop.now() - ago_ns
 
 
 def send_to_endpoint(event: balancing.Event) -> list[balancing.Action]:
-    """Send each request for far longer than it has left; reject it where its attempt never ran."""
+    """Send each request with an excessive timeout, and reject it if its attempt was not served."""
     if isinstance(event, balancing.Request):
-        return [balancing.SendAttempt(event.id, ENDPOINT_A, LONG_NS)]
+        return [balancing.SendAttempt(event.id, ENDPOINT_A, EXCESSIVE_TIMEOUT_NS)]
     if isinstance(event, balancing.AttemptFinished) and not event.request_finished:
         return [balancing.RejectRequest(event.request_id, 0)]
     return []
 
 
-def hold_dials(monkeypatch: pytest.MonkeyPatch, hold: Callable[[EventLoop], None]) -> None:
-    """Let each connection come up only after ``hold``, which may take no notice of what happens meanwhile."""
+def delay_connects(monkeypatch: pytest.MonkeyPatch, delay: Callable[[EventLoop], None]) -> None:
+    """Call ``delay`` before each upstream connection is established."""
     connect = UpstreamConnection.connect
 
-    def connect_held(self: UpstreamConnection, loop: EventLoop, timeout_ns: int, deadline_ns: int) -> None:
-        hold(loop)
+    def connect_late(self: UpstreamConnection, loop: EventLoop, timeout_ns: int, deadline_ns: int) -> None:
+        delay(loop)
         connect(self, loop, timeout_ns, deadline_ns)
 
-    monkeypatch.setattr(UpstreamConnection, "connect", connect_held)
+    monkeypatch.setattr(UpstreamConnection, "connect", connect_late)
 
 
 def test_connection_ready_after_deadline_carries_no_request(monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar) -> None:
     """The deadline is the request's own, not the longer time that the balancer gave the attempt."""
-    hold_dials(monkeypatch, lambda _: end_time_left(sidecar))
+    delay_connects(monkeypatch, lambda _: expire_requests(sidecar))
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
@@ -57,7 +56,7 @@
         client.send(request("read"))
         assert client.read().startswith(b"HTTP/1.1 50")
         sidecar.wait_until(lambda: bool(sidecar.balancer.attempt_results()))
-        connection = sidecar.server.accept()  # it is kept: nothing was written on it
+        connection = sidecar.server.accept()  # stays open, as nothing was written on it
         assert not sidecar.loop.is_ready(connection.sock.fileno(), READABLE), "sent after the deadline"
 
     sidecar.run(script)
@@ -69,7 +68,7 @@
 
     def decide(event: balancing.Event) -> list[balancing.Action]:
         if isinstance(event, balancing.Request):
-            end_time_left(sidecar, NS_PER_S)
+            expire_requests(sidecar, NS_PER_S)
         return send_to_endpoint(event)
 
     def script() -> None:
@@ -80,7 +79,7 @@
         assert sidecar.server.is_idle(), "a connection was opened for it"
 
     sidecar.run(script)
-    assert sidecar.balancer.attempt_results() == NOT_BEGUN
+    assert sidecar.balancer.attempt_results() == NOT_STARTED
 
 
 def test_retry_due_after_deadline_is_not_started(sidecar: Sidecar) -> None:
@@ -88,8 +87,8 @@
         if isinstance(event, balancing.AttemptFinished) and event.attempt == 0:
             return [balancing.SetTimer(NS_PER_MS, balancing.RetryTimer(event.request_id))]
         if isinstance(event, balancing.TimerFired) and isinstance(event.timer, balancing.RetryTimer):
-            end_time_left(sidecar)
-            return [balancing.SendAttempt(event.timer.request_id, ENDPOINT_A, LONG_NS)]
+            expire_requests(sidecar)
+            return [balancing.SendAttempt(event.timer.request_id, ENDPOINT_A, EXCESSIVE_TIMEOUT_NS)]
         return send_to_endpoint(event)
 
     def script() -> None:
@@ -124,20 +123,20 @@
 def test_client_leaving_while_connecting_gets_no_request_sent(
     how: str, monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar
 ) -> None:
-    may_go_on = Event(sidecar.loop)
-    hold_dials(monkeypatch, lambda loop: may_go_on.wait(loop.now() + MAX_WAIT_NS) and None)
+    may_connect = Event(sidecar.loop)
+    delay_connects(monkeypatch, lambda loop: may_connect.wait(loop.now() + MAX_WAIT_NS) and None)
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         client.send(request("read"))
         sidecar.wait_until(lambda: sidecar.upstream.open_connections == 1)
         disconnect(client.sock, how)
-        may_go_on.set()  # in the same turn: the loop has not heard of the client's end yet
+        may_connect.set()  # in one turn of the loop, before it polls the client's end
         assert sidecar.server.accept().read_to_end() == b""
         sidecar.wait_until(lambda: not sidecar.dispatcher.in_progress)
 
     sidecar.run(script)
-    assert sidecar.balancer.attempt_results() == NOT_BEGUN
+    assert sidecar.balancer.attempt_results() == NOT_STARTED
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
@@ -146,18 +145,18 @@
 ) -> None:
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
-        kept = serve_one(sidecar, sidecar.client(address))
+        pooled = sidecar.serve(sidecar.client(address))
         monkeypatch.setattr(pool, "SETTLE_NS", 1_000 * NS_PER_MS)
         client = sidecar.client(address)
         client.send(request("read"))
         sidecar.wait_until(lambda: ENDPOINT_A in sidecar.upstream._settling)
         disconnect(client.sock, how)
         sidecar.wait_until(lambda: not sidecar.dispatcher.in_progress)
-        assert not sidecar.loop.is_ready(kept.sock.fileno(), READABLE)
+        assert not sidecar.loop.is_ready(pooled.sock.fileno(), READABLE)
         assert sidecar.server.is_idle()
 
     sidecar.run(script)
-    assert sidecar.balancer.attempt_results()[1:] == NOT_BEGUN
+    assert sidecar.balancer.attempt_results()[1:] == NOT_STARTED
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
@@ -169,8 +168,8 @@
         if isinstance(event, balancing.AttemptFinished) and event.attempt == 0:
             return [balancing.SetTimer(NS_PER_MS, balancing.RetryTimer(event.request_id))]
         if isinstance(event, balancing.TimerFired) and isinstance(event.timer, balancing.RetryTimer):
-            disconnect(clients[0].sock, how)  # since the loop's last poll
-            return [balancing.SendAttempt(event.timer.request_id, ENDPOINT_A, LONG_NS)]
+            disconnect(clients[0].sock, how)  # after the loop's last poll
+            return [balancing.SendAttempt(event.timer.request_id, ENDPOINT_A, EXCESSIVE_TIMEOUT_NS)]
         return send_to_endpoint(event)
 
     def script() -> None:
@@ -180,28 +179,28 @@
         connection = sidecar.server.accept_request()
         connection.sock.close()
         sidecar.wait_until(lambda: len(sidecar.balancer.attempt_results()) == 2)
-        while sidecar.loop.is_ready(sidecar.server.sock.fileno(), READABLE):  # it may have been dialled, no more
+        while sidecar.loop.is_ready(sidecar.server.sock.fileno(), READABLE):  # connected at most
             assert sidecar.server.accept().read_to_end() == b""
 
     sidecar.run(script)
-    assert sidecar.balancer.attempt_results()[1:] == NOT_BEGUN
+    assert sidecar.balancer.attempt_results()[1:] == NOT_STARTED
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
-@pytest.mark.parametrize("ordered_on", [balancing.Request, balancing.ClientDisconnected])
+@pytest.mark.parametrize("decided_on", [balancing.Request, balancing.ClientDisconnected])
 def test_attempt_decided_as_client_leaves_is_not_started(
-    ordered_on: type[balancing.Event], how: str, sidecar: Sidecar
+    decided_on: type[balancing.Event], how: str, sidecar: Sidecar
 ) -> None:
     """The decision is queued before the client disconnects, so that its task is started all the same."""
 
     def decide(event: balancing.Event) -> list[balancing.Action]:
-        if not isinstance(event, ordered_on):
+        if not isinstance(event, decided_on):
             return []
         if isinstance(event, balancing.ClientDisconnected):
-            return [balancing.SendAttempt(event.request_id, ENDPOINT_A, LONG_NS)]
+            return [balancing.SendAttempt(event.request_id, ENDPOINT_A, EXCESSIVE_TIMEOUT_NS)]
         if isinstance(event, balancing.Request):
             pending = sidecar.dispatcher._pending[event.id]
-            sidecar.dispatcher._start_attempt(pending, ENDPOINT_A, sidecar.loop.now(), LONG_NS)
+            sidecar.dispatcher._start_attempt(pending, ENDPOINT_A, sidecar.loop.now(), EXCESSIVE_TIMEOUT_NS)
             sidecar.dispatcher.client_disconnected(pending)
         return []
 
@@ -216,7 +215,7 @@
         assert not sidecar.dispatcher.in_progress
 
     sidecar.run(script)
-    assert sidecar.balancer.attempt_results() == NOT_BEGUN
+    assert sidecar.balancer.attempt_results() == NOT_STARTED
 
 
 def test_balancer_exception_gives_503_and_serves_next_request(sidecar: Sidecar) -> None:
@@ -230,10 +229,10 @@
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         sidecar.balancer.decide = decide
-        began_ns = sidecar.loop.now()
+        started_ns = sidecar.loop.now()
         client.send(request("read"))
         assert client.read().startswith(b"HTTP/1.1 503")
-        assert sidecar.loop.now() - began_ns < LONG_NS, "it waited for its deadline"
+        assert sidecar.loop.now() - started_ns < EXCESSIVE_TIMEOUT_NS, "it waited for its deadline"
         client.send(request("read", "r2"))
         connection = sidecar.server.accept_request()
         connection.respond()
--- a/tests/races/test_arrival.py
+++ b/tests/races/test_arrival.py
@@ -1,4 +1,4 @@
-"""When a request's time begins: with its last byte, however late the process gets to read it."""
+"""A request's deadline counts from the arrival of its last byte, however late the process reads it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from lugtally import balancing
 from lugtally.eventloop import loop as event_loop
 from lugtally.units import NS_PER_MS
-from tests.races.fakes import PeerConnection, Sidecar, request
+from tests.races.fakes import Sidecar, request
 from tests.races.processes import SidecarProcess
 
 SHORT_TIME_LEFT_S = 0.3
@@ -21,47 +21,38 @@
 
 
 def short_request(request_id: str) -> bytes:
-    """Serialize a request whose client waits for 0.3 s."""
+    """Serialize a request with less time left than a stall takes."""
     return request("read", request_id, time_left_s=SHORT_TIME_LEFT_S)
 
 
 def requests_submitted(sidecar: Sidecar) -> list[balancing.Request]:
-    """Return the requests that the balancer was told of."""
+    """Return the requests that the balancer received."""
     return [event for event in sidecar.balancer.events if isinstance(event, balancing.Request)]
 
 
-def assert_late_one_was_not_submitted(sidecar: Sidecar) -> None:
-    """Fail where the balancer was told of a request whose time was over, or sent one."""
+def assert_no_expired_request_was_submitted(sidecar: Sidecar) -> None:
+    """Fail if the balancer received an expired request, or if an attempt was not sent."""
     assert all(event.time_left_ns > 400 * NS_PER_MS for event in requests_submitted(sidecar))
     assert balancing.AttemptResult.NEVER_SENT not in sidecar.balancer.attempt_results()
 
 
-def serve_first_request(sidecar: Sidecar, client: PeerConnection) -> PeerConnection:
-    """Serve one request of a client; return the endpoint's connection."""
-    client.send(request("read", "first"))
-    connection = sidecar.server.accept_request()
-    connection.respond()
-    assert client.read().startswith(b"HTTP/1.1 200")
-    return connection
-
-
-@pytest.mark.parametrize("kept", [False, True], ids=["new connection", "kept connection"])
-def test_deadline_counts_from_arrival_while_process_is_busy(kept: bool, sidecar: Sidecar) -> None:
+@pytest.mark.parametrize("reused", [False, True], ids=["new connection", "reused connection"])
+def test_deadline_counts_from_arrival_while_process_is_busy(reused: bool, sidecar: Sidecar) -> None:
     """The process reads the request 0.5 s after its last byte; it had 0.3 s."""
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
         client = sidecar.client(address)
-        if kept:
-            serve_first_request(sidecar, client)
+        if reused:
+            sidecar.serve(client)
         sidecar.loop.sleep(2 * NS_PER_MS)
         client.send(short_request("late"))
-        time.sleep(STALL_S)  # nothing of the process runs meanwhile
+        time.sleep(STALL_S)  # blocks the whole process
         assert client.read().startswith(b"HTTP/1.1 503")
         assert sidecar.server.is_idle()
 
     sidecar.run(script)
-    assert_late_one_was_not_submitted(sidecar)
+    assert_no_expired_request_was_submitted(sidecar)
 
 
 def test_deadline_of_pipelined_request_counts_from_its_arrival(sidecar: Sidecar) -> None:
@@ -77,7 +68,7 @@
         assert b"HTTP/1.1 503" in received
 
     sidecar.run(script)
-    assert_late_one_was_not_submitted(sidecar)
+    assert_no_expired_request_was_submitted(sidecar)
 
 
 def test_requests_in_one_segment_share_one_arrival_time(sidecar: Sidecar) -> None:
@@ -91,7 +82,7 @@
         assert b"HTTP/1.1 503" in received
 
     sidecar.run(script)
-    assert_late_one_was_not_submitted(sidecar)
+    assert_no_expired_request_was_submitted(sidecar)
 
 
 def test_deadline_counts_from_arrival_in_backlog() -> None:
@@ -112,7 +103,7 @@
         assert second.read().startswith(b"HTTP/1.1 503")
 
     sidecar.run(script)
-    assert_late_one_was_not_submitted(sidecar)
+    assert_no_expired_request_was_submitted(sidecar)
 
 
 def test_forwarded_time_left_excludes_wait_before_reading(sidecar: Sidecar) -> None:
@@ -134,14 +125,14 @@
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
-        serve_first_request(sidecar, client)
+        sidecar.serve(client)
         sidecar.loop.sleep(700 * NS_PER_MS)
         client.send(request("read", "second"))
         connection = sidecar.server.accept_request()
         connection.respond()
         assert client.read().startswith(b"HTTP/1.1 200")
 
-    sidecar.limits.idle_timeout_ns = 1  # each attempt over a new connection
+    sidecar.limits.idle_timeout_ns = 1  # each attempt opens a connection
     sidecar.run(script)
     margin_ns = event_loop.MAX_POLL_NS + 40 * NS_PER_MS
     assert [event.time_left_ns >= 5_000 * NS_PER_MS - margin_ns for event in requests_submitted(sidecar)] == [
@@ -167,22 +158,22 @@
     assert requests_submitted(sidecar)[1].time_left_ns >= 4_900 * NS_PER_MS
 
 
-@pytest.mark.parametrize("kept", [False, True], ids=["new connection", "kept connection"])
-def test_expired_request_is_not_forwarded_after_sigstop(kept: bool, tmp_path: Path) -> None:
+@pytest.mark.parametrize("reused", [False, True], ids=["new connection", "reused connection"])
+def test_expired_request_is_not_forwarded_after_sigstop(reused: bool, tmp_path: Path) -> None:
     """The kernel accepts bytes for a stopped process and does not say when they arrived."""
     with SidecarProcess(tmp_path) as sidecar:
         client = sidecar.connect()
-        if kept:
+        if reused:
             client.sendall(request("campaign-read", "first"))
             sidecar.respond_to_next()
             assert client.recv(65536).startswith(b"HTTP/1.1 200")
-        time.sleep(0.3)  # the process waits in its poll
+        time.sleep(0.3)  # until the process waits in its poll
         sidecar.process.send_signal(signal.SIGSTOP)
         client.sendall(request("campaign-read", "late", time_left_s=SHORT_TIME_LEFT_S))
         time.sleep(2 * STALL_S)
         sidecar.process.send_signal(signal.SIGCONT)
         assert client.recv(65536).startswith(b"HTTP/1.1 503")
-        assert sidecar.requests_seen() == (["first"] if kept else [])
+        assert sidecar.requests_seen() == (["first"] if reused else [])
 
 
 def test_non_empty_backlog_sets_no_arrival_time() -> None:
@@ -195,7 +186,7 @@
 
         def poll_slowly(due_ns: int | None) -> None:
             poll_once(due_ns)
-            sidecar.loop._poll_blocked = True  # as where it was preempted
+            sidecar.loop._poll_blocked = True  # as if the process had been preempted
 
         clients = [sidecar.client(address) for _ in range(3)]
         clients[0].send(request("read", "slow"))
@@ -211,4 +202,4 @@
             client.sock.close()
 
     sidecar.run(script)
-    assert_late_one_was_not_submitted(sidecar)
+    assert_no_expired_request_was_submitted(sidecar)
--- a/tests/races/test_attempts.py
+++ b/tests/races/test_attempts.py
@@ -1,4 +1,4 @@
-"""Crossings between the choice of a server and the last byte of an attempt: drains, windows, clients that leave."""
+"""Races between the choice of an endpoint and the last byte of an attempt: drains, windows and clients that leave."""
 
 from __future__ import annotations
 
@@ -14,16 +14,7 @@
 from lugtally.units import NS_PER_MS, NS_PER_S
 from lugtally.upstream import attempt, pool
 from lugtally.upstream.connection import UpstreamConnection
-from tests.races.fakes import CLASSES, ENDPOINT_A, ENDPOINT_B, PeerConnection, Sidecar, disconnect, request
-
-
-def serve_one(sidecar: Sidecar, client: PeerConnection) -> PeerConnection:
-    """Serve a first request; return its upstream connection, which is pooled now."""
-    client.send(request("read", "r0"))
-    connection = sidecar.server.accept_request()
-    connection.respond()
-    assert b"200 OK" in client.read()
-    return connection
+from tests.races.fakes import CLASSES, ENDPOINT_A, ENDPOINT_B, Sidecar, disconnect, request
 
 
 @pytest.mark.parametrize("kind", ["new connection", "pooled connection"])
@@ -33,7 +24,7 @@
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         if kind == "pooled connection":
-            connection = serve_one(sidecar, client)
+            connection = sidecar.serve(client)
         sidecar.balancer.may_start_attempts = False
         client.send(request("read"))
         assert client.read().startswith(b"HTTP/1.1 502")
@@ -41,11 +32,11 @@
             connection = sidecar.server.accept()
         sidecar.balancer.may_start_attempts = True
         client.send(request("read", "r2"))
-        assert connection.read_head().startswith("GET /read")  # the connection itself is as good as before
+        assert connection.read_head().startswith("GET /read")  # on the connection that was not used
         assert b"r1" not in connection.received
         connection.respond()
         assert b"200 OK" in client.read()
-        assert sidecar.server.is_idle(), "a sound connection was thrown away"
+        assert sidecar.server.is_idle(), "a usable connection was closed"
 
     sidecar.run(script)
     assert balancing.AttemptResult.NEVER_SENT in sidecar.balancer.attempt_results()
@@ -58,11 +49,11 @@
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         sidecar.server.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         write_request = attempt.write_request
-        shrunk: list[int] = []
+        shrunk: list[bool] = []
 
         def shrink_send_buffer(loop: EventLoop, upstream_connection: UpstreamConnection, *arguments: Any) -> None:
             upstream_connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-            shrunk.append(1)
+            shrunk.append(True)
             write_request(loop, upstream_connection, *arguments)
 
         with pytest.MonkeyPatch.context() as patch:
@@ -70,11 +61,11 @@
             client.send(request("write", method="POST", headers="Idempotency-Key: k\r\nContent-Length: 65536\r\n"))
             client.send(bytes(65536))
             connection = sidecar.server.accept()
-            connection.read()  # it has begun, and what is not read yet holds the rest back
+            connection.read()  # the write has started, and the full buffers delay the rest
             sidecar.wait_until(lambda: bool(shrunk))
             sidecar.balancer.may_start_attempts = False
-            written = len(connection.read_to_end())
-        assert written < 65536
+            received = connection.read_to_end()
+        assert len(received) < 65536
         assert client.read().startswith(b"HTTP/1.1 502")
 
     sidecar.run(script)
@@ -89,22 +80,22 @@
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
         earlier = sidecar.client(address) if pooled else None
-        connection = serve_one(sidecar, earlier) if earlier is not None else None
-        leaver = socket.create_connection(address)  # request and end lie in the backlog together
-        leaver.sendall(request("read"))
-        disconnect(leaver, how)
-        sidecar.loop.sleep(NS_PER_MS)  # its connection lies in the backlog, which the poll of this turn sees
+        connection = sidecar.serve(earlier) if earlier is not None else None
+        leaving = socket.create_connection(address)  # the request and the end are both in the backlog
+        leaving.sendall(request("read"))
+        disconnect(leaving, how)
+        sidecar.loop.sleep(NS_PER_MS)  # the next poll reports the backlog
         sidecar.wait_until(lambda: sidecar.downstream.open == (1 if pooled else 0))
         assert how == "reset" or sidecar.balancer.client_disconnects()
-        after = sidecar.client(address)
-        after.send(request("read", "r2"))
+        next_client = sidecar.client(address)
+        next_client.send(request("read", "r2"))
         if connection is None:
             connection = sidecar.server.accept()
-            if not connection.read_more():  # the connection opened for the leaver, given up before it was used
+            if not connection.read_more():  # opened for the first client, and closed before it was used
                 connection = sidecar.server.accept()
         assert connection.read_head().startswith("GET /read")
         connection.respond()
-        assert b"200 OK" in after.read()
+        assert b"200 OK" in next_client.read()
         assert sidecar.server.is_idle()
 
     sidecar.run(script)
@@ -130,12 +121,12 @@
         sidecar.balancer.decide = decide
         client.send(request("read"))
         connection = sidecar.server.accept_request()
-        client.sock.close()  # in the same poll as the end of its attempt, whichever is handled first
+        client.sock.close()  # in one poll with the end of its attempt, in either order
         connection.sock.close()
         sidecar.wait_until(lambda: bool(sidecar.balancer.client_disconnects()))
         for _ in range(20):
             sidecar.loop.sleep(0)
-        if sidecar.loop.is_ready(sidecar.server.sock.fileno(), READABLE):  # it may have begun to connect, no more
+        if sidecar.loop.is_ready(sidecar.server.sock.fileno(), READABLE):  # connected at most
             assert sidecar.server.accept().read_to_end() == b""
 
     sidecar.run(script)
@@ -152,14 +143,13 @@
         connection.respond(b"first")
         assert client.read().endswith(b"first")
         client.send(request("read", "r1"))
-        # Its attempt waits for the connection to settle.
         sidecar.wait_until(lambda: ENDPOINT_A in sidecar.upstream._settling)
-        connection.respond(b"again")
-        fresh = sidecar.server.accept()
-        assert fresh.read_head().startswith("GET /read")
+        connection.respond(b"second")
+        new_connection = sidecar.server.accept()
+        assert new_connection.read_head().startswith("GET /read")
         assert connection.read_to_end() == b""
-        fresh.respond(b"other")
-        assert client.read().endswith(b"other")
+        new_connection.respond(b"third")
+        assert client.read().endswith(b"third")
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(pool, "SETTLE_NS", 2_000 * NS_PER_MS)
@@ -183,8 +173,8 @@
         first.send(request("read", "r1"))
         sidecar.wait_until(lambda: ENDPOINT_A in sidecar.upstream._settling)
         second.send(request("read", "r2"))
-        other = sidecar.server.accept_request()
-        other.respond()
+        other_connection = sidecar.server.accept_request()
+        other_connection.respond()
         assert b"200 OK" in second.read()
         assert ENDPOINT_A in sidecar.upstream._settling
 
@@ -193,8 +183,8 @@
         sidecar.run(script)
 
 
-def real_balancer() -> Balancer:
-    """The real balancer, with both endpoints listed."""
+def balancer_with_endpoints() -> Balancer:
+    """Return a balancer that knows both endpoints."""
     settings = balancing.Settings(CLASSES, max_attempts=4, timer_resolution_ns=NS_PER_MS)
     balancer = Balancer(settings, 1)
     balancer.handle(
@@ -207,7 +197,7 @@
 
 
 def sent_attempt(actions: list[balancing.Action]) -> balancing.SendAttempt:
-    """The first attempt among the actions."""
+    """Return the first attempt among the actions."""
     return next(action for action in actions if isinstance(action, balancing.SendAttempt))
 
 
@@ -236,7 +226,7 @@
 def test_may_start_follows_endpoint_updates_until_the_write(
     endpoints: list[balancing.Endpoint], may_start: bool
 ) -> None:
-    balancer = real_balancer()
+    balancer = balancer_with_endpoints()
     send = sent_attempt(balancer.handle(1, balancing.Request("q", 0, 0, NS_PER_S)))
     balancer.handle(2, balancing.EndpointUpdate(balancing.EndpointUpdateKind.DELTA, endpoints))
     assert balancer.may_start(3, "q", 0) is may_start
@@ -248,7 +238,7 @@
 
 
 def test_may_start_rejects_keyed_retry_after_its_window() -> None:
-    balancer = real_balancer()
+    balancer = balancer_with_endpoints()
     window_ns = CLASSES[1].deduplication_window_ns
     sent_attempt(balancer.handle(1, balancing.Request("q", 1, 0, 8 * NS_PER_S)))
     assert balancer.may_start(window_ns + 2, "q", 0), "a first attempt has no window"
--- a/tests/races/test_connection_limit.py
+++ b/tests/races/test_connection_limit.py
@@ -171,7 +171,7 @@
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
         busy = connect(sidecar, address, 2)
-        start_requests(sidecar, busy)
+        upstream_connections = start_requests(sidecar, busy)
         first_request_ns = sidecar.loop.now() + NEW_CONNECTION_GRACE_NS * 8 // 10
         new = sidecar.client(address)
         sidecar.wait_until(lambda: sidecar.downstream.open == 3)
@@ -184,8 +184,8 @@
         respond_to_all(sidecar)
         new.send(request("read", "new"))
         assert new.read().startswith(b"HTTP/1.1 200")
-        for client in [*busy, last, *waiting]:
-            client.sock.close()
+        for connection in [*busy, last, *waiting, *upstream_connections]:
+            connection.sock.close()
 
     sidecar.run(script)
 
--- a/tests/races/test_half_close.py
+++ b/tests/races/test_half_close.py
@@ -1,7 +1,7 @@
 """Clients that half-close behind a request, or leave between two: what is forwarded for them, and what they receive.
 
-A half-close cannot be told from a close, so that no attempt starts after it; the client may still read, and receives a
-final response.
+The sidecar cannot distinguish a half-close from a close, so that no attempt starts after it.  The client may still
+read, and receives a final response.
 """
 
 from __future__ import annotations
--- a/tests/races/test_pipelines.py
+++ b/tests/races/test_pipelines.py
@@ -179,7 +179,7 @@
 
 
 def test_body_without_length_is_forwarded_in_chunks(sidecar: Sidecar) -> None:
-    """The client can tell a truncated body: it lacks the last chunk until the endpoint closes."""
+    """A truncated body lacks the last chunk, which is sent when the endpoint closes."""
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
--- a/tests/races/test_truncated_streams.py
+++ b/tests/races/test_truncated_streams.py
@@ -32,7 +32,7 @@
 
 @pytest.mark.parametrize(
     ("framing", "how"),
-    # A body without length or chunks that ends by a close cannot be told from a complete one.
+    # A body without length or chunks that ends by a close looks complete.
     [("length", "close"), ("length", "reset"), ("chunked", "close"), ("chunked", "reset"), ("until close", "reset")],
 )
 @pytest.mark.parametrize("body_bytes", [0, 1, 60_000])
