--- a/tests/races/conftest.py
+++ b/tests/races/conftest.py
@@ -4,8 +4,11 @@
 
 import pytest
 
+from tests.races.discovery_harness import short_timeouts
 from tests.races.fakes import Sidecar
 
+__all__ = ["short_timeouts", "sidecar"]
+
 
 @pytest.fixture
 def sidecar() -> Sidecar:
--- a/tests/races/discovery_harness.py
+++ b/tests/races/discovery_harness.py
@@ -2,7 +2,11 @@
 
 from __future__ import annotations
 
+import pytest
+
 from lugtally.config.endpoint_list import parse_endpoint_list
+from lugtally.discovery import timing
+from lugtally.units import NS_PER_MS
 from tests.races.fakes import PeerConnection, Sidecar
 
 
@@ -29,3 +33,14 @@
 def update_kinds(sidecar: Sidecar) -> list[str]:
     """Return the kind of each update that the balancer received."""
     return [kind for kind, _ in sidecar.balancer.endpoint_updates()]
+
+
+@pytest.fixture
+def short_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Shorten the timeouts of discovery."""
+    for name, value in (
+        ("WATCH_HOLD_MS", 30),
+        ("RESPONSE_TIMEOUT_NS", 30 * NS_PER_MS),
+        ("CONNECT_TIMEOUT_NS", 200 * NS_PER_MS),
+    ):
+        monkeypatch.setattr(timing, name, value)
--- a/tests/races/pool_harness.py
+++ b/tests/races/pool_harness.py
@@ -39,7 +39,7 @@
 
 
 def idle_peers(sidecar: Sidecar, count: int) -> list[PeerConnection]:
-    """Open idle connections in the pool; return the endpoint's results, the longest idle first."""
+    """Open idle connections in the pool; return the endpoint's sides, the longest idle first."""
     results: list[AttemptResponse] = []
     peers = []
     for _ in range(count):
@@ -82,7 +82,7 @@
 def change_during_attempt(
     sidecar: Sidecar, patch: pytest.MonkeyPatch, waits_for: str, change: Change, results: list[AttemptResponse]
 ) -> PeerConnection:
-    """Start an attempt and call ``change`` while it waits; return the endpoint's end of its first connection.
+    """Start an attempt and call ``change`` while it waits; return the endpoint's side of its first connection.
 
     ``waits_for`` is "settling", of an idle connection, or "connecting".
     """
--- a/tests/races/test_discovery.py
+++ b/tests/races/test_discovery_failures.py
@@ -1,4 +1,4 @@
-"""Races of the endpoint watcher: failed watches, a move to another discovery server, and malformed lists.
+"""Races of the endpoint watcher: failed watches, failed calls, and a move to another discovery server.
 
 A change must arrive 6 s after discovery has it and can be reached.  The balancer in these tests never requests a second
 call, so that one that follows at once is the watcher's own; the real balancer's backoff is tested without a socket.
@@ -8,13 +8,11 @@
 
 import socket
 from collections.abc import Callable
-from typing import Any
 
 import pytest
 
 from lugtally import balancing
 from lugtally.balancing.balancer import Balancer
-from lugtally.config.endpoint_list import parse_endpoint_list
 from lugtally.discovery import timing
 from lugtally.eventloop import Event, WakeReason
 from lugtally.units import NS_PER_MS
@@ -28,17 +26,6 @@
     assert timing.UPDATE_DELIVERY_LIMIT_NS - margin >= timing.DISCOVERY_RETURN_TO_UPDATE_NS
 
 
-@pytest.fixture
-def short_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Shorten the timeouts of discovery."""
-    for name, value in (
-        ("WATCH_HOLD_MS", 30),
-        ("RESPONSE_TIMEOUT_NS", 30 * NS_PER_MS),
-        ("CONNECT_TIMEOUT_NS", 200 * NS_PER_MS),
-    ):
-        monkeypatch.setattr(timing, name, value)
-
-
 PARTIAL_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{"
 Failure = Callable[[PeerConnection], object]
 
@@ -210,138 +197,6 @@
     assert sidecar.balancer.endpoint_updates()[-2] == ("full", {ENDPOINT_A: "ready"})
 
 
-@pytest.mark.usefixtures("short_timeouts")
-def test_list_received_during_move_is_discarded(sidecar: Sidecar) -> None:
-    def script() -> None:
-        connection = start_first_call(sidecar)
-        # Readable at the next poll, in which the move takes effect.
-        connection.send_endpoint_list(9, True, sidecar.endpoint_row("s-b", "draining"))
-        sidecar.endpoint_watcher.move_to(sidecar.second_discovery.address)
-        moved = sidecar.second_discovery.accept()
-        assert moved.read_head() == "GET /catalog/members HTTP/1.1"
-        moved.send_endpoint_list(4, True, sidecar.endpoint_row("s-a"))
-        assert "from=4&" in moved.read_head()
-
-    sidecar.run(script)
-    assert update_kinds(sidecar) == ["cached", "full"]
-
-
-@pytest.mark.usefixtures("short_timeouts")
-def test_lower_version_requests_the_full_list(sidecar: Sidecar) -> None:
-    """Discovery has restarted: its changes do not apply to the current list."""
-
-    def script() -> None:
-        connection = start_first_call(sidecar)
-        connection.send_endpoint_list(41, False)
-        assert "from=41&" in connection.read_head()
-        connection.send_endpoint_list(3, False)
-        assert connection.read_head() == "GET /catalog/members HTTP/1.1"
-        connection.send_endpoint_list(4, True, sidecar.endpoint_row("s-b", "draining"))
-        assert "from=4&" in connection.read_head()
-
-    sidecar.run(script)
-    assert sidecar.balancer.endpoint_updates()[-1] == ("full", {ENDPOINT_B: "draining"})
-
-
-@pytest.mark.usefixtures("short_timeouts")
-@pytest.mark.parametrize(
-    "bad",
-    [{"cell": "x"}, {"addr": "nowhere"}, {"started_ms": 1e999}, {"state": 4}, {"id": 7}],
-    ids=["cell", "addr", "started_ms", "state", "id"],
-)
-@pytest.mark.parametrize("full", [True, False], ids=["full list", "changes"])
-def test_malformed_row_does_not_hide_drains_of_other_rows(bad: dict[str, Any], full: bool, sidecar: Sidecar) -> None:
-    def script() -> None:
-        connection = start_first_call(sidecar)
-        connection.send_endpoint_list(
-            2, full, sidecar.endpoint_row("s-b", "draining"), sidecar.endpoint_row("s-a", **bad)
-        )
-        assert "from=2&" in connection.read_head()
-
-    sidecar.run(script)
-    kind, states = sidecar.balancer.endpoint_updates()[-1]
-    valid = {} if "id" in bad else {ENDPOINT_A: "ready"}  # a row without an id is ignored
-    assert kind == ("full" if full else "delta")
-    assert states == {ENDPOINT_B: "draining", **valid}
-    assert sidecar.endpoint_watcher.ready_count == (0 if full and "id" in bad else 1)
-
-
-@pytest.mark.usefixtures("short_timeouts")
-@pytest.mark.parametrize(
-    "body",
-    [
-        b"[]",
-        b'{"version":"2","servers":[]}',
-        b'{"version":2,"servers":4}',
-        b"\xff{",
-        b'{"version":2,"full":true,"servers":[{"id":"s-a"}]}',
-        b'{"version":true,"servers":[]}',
-    ],
-    ids=["no object", "version as text", "servers as number", "no JSON", "no valid row", "version as boolean"],
-)
-def test_list_without_valid_rows_keeps_the_current_list(body: bytes, sidecar: Sidecar) -> None:
-    def script() -> None:
-        connection = start_first_call(sidecar)
-        connection.respond(body)
-        wait_for_failed_call(sidecar)
-        sidecar.endpoint_watcher.watch()
-        assert "from=1&" in sidecar.discovery.accept().read_head()
-
-    sidecar.run(script)
-    assert update_kinds(sidecar) == [
-        "cached",
-        "failed",
-    ]
-    assert sidecar.endpoint_watcher.ready_count == 2
-
-
-@pytest.mark.usefixtures("short_timeouts")
-def test_update_that_fails_to_apply_is_requested_again(monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar) -> None:
-    """The version counts as applied only once its list is."""
-    failing_apply = FailingApply(sidecar)
-
-    def script() -> None:
-        connection = start_first_call(sidecar)
-        monkeypatch.setattr(sidecar.endpoint_watcher, "_apply_update", failing_apply.apply)
-        connection.send_endpoint_list(2, False, sidecar.endpoint_row("s-b", "draining"))
-        wait_for_failed_call(sidecar)
-        sidecar.endpoint_watcher.watch()
-        connection = sidecar.discovery.accept()
-        assert "from=1&" in connection.read_head()
-        connection.send_endpoint_list(2, False, sidecar.endpoint_row("s-b", "draining"))
-        assert "from=2&" in connection.read_head()
-
-    sidecar.run(script)
-    assert sidecar.balancer.endpoint_updates()[-1] == ("delta", {ENDPOINT_B: "draining"})
-
-
-class FailingApply:
-    """Raises an error the first time that a list is applied."""
-
-    def __init__(self, sidecar: Sidecar) -> None:
-        self.apply_update = sidecar.endpoint_watcher._apply_update
-        self.failed = False
-
-    def apply(self, endpoint_list: object, kind: str) -> None:
-        if not self.failed:
-            self.failed = True
-            raise KeyError("injected")
-        self.apply_update(endpoint_list, kind)  # type: ignore[arg-type]
-
-
-def test_endpoints_of_unknown_cell_or_zone_share_no_group() -> None:
-    """A keyed retry must not go to an endpoint that may not know its first attempt."""
-    rows = [{"id": name, "addr": "127.0.0.1:1", "state": "ready"} for name in ("s-a", "s-b")]
-    cells = [row.cell for row in parse_endpoint_list({"version": 1, "servers": rows}, "known").records]
-    assert len(set(cells)) == 2
-    sidecar = Sidecar()
-    sidecar.run(lambda: sidecar.endpoint_watcher.start(parse_endpoint_list({"version": 1, "servers": rows}, "known")))
-    endpoints = next(
-        event.endpoints for event in sidecar.balancer.events if isinstance(event, balancing.EndpointUpdate)
-    )
-    assert len({endpoint.zone for endpoint in endpoints}) == 2
-
-
 def test_event_wakes_second_waiter_after_first_timed_out(sidecar: Sidecar) -> None:
     event = Event(sidecar.loop)
     reasons: list[WakeReason] = []
