--- a/tests/races/discovery_harness.py
+++ b/tests/discovery/discovery_harness.py
@@ -7,7 +7,7 @@
 from lugtally.config.endpoint_list import parse_endpoint_list
 from lugtally.discovery import timing
 from lugtally.units import NS_PER_MS
-from tests.races.fakes import PeerConnection, Sidecar
+from tests.fakes import PeerConnection, Sidecar
 
 
 def start_watch(sidecar: Sidecar) -> None:
--- a/tests/races/test_discovery_failures.py
+++ b/tests/discovery/test_discovery_failures.py
@@ -16,8 +16,8 @@
 from lugtally.discovery import timing
 from lugtally.eventloop import Event, WakeReason
 from lugtally.units import NS_PER_MS
-from tests.races.discovery_harness import start_first_call, start_watch, update_kinds, wait_for_failed_call
-from tests.races.fakes import ENDPOINT_A, ENDPOINT_B, PeerConnection, Sidecar
+from tests.discovery.discovery_harness import start_first_call, start_watch, update_kinds, wait_for_failed_call
+from tests.fakes import ENDPOINT_A, ENDPOINT_B, PeerConnection, Sidecar
 
 
 def test_update_delivery_times_sum_to_the_limit_with_margin() -> None:
--- a/tests/races/test_endpoint_lists.py
+++ b/tests/discovery/test_endpoint_lists.py
@@ -12,8 +12,8 @@
 from lugtally.discovery import timing
 from lugtally.eventloop import WRITABLE, WakeReason
 from lugtally.units import NS_PER_MS
-from tests.races.discovery_harness import start_first_call, update_kinds, wait_for_failed_call
-from tests.races.fakes import ENDPOINT_A, ENDPOINT_B, MAX_WAIT_NS, Sidecar
+from tests.discovery.discovery_harness import start_first_call, update_kinds, wait_for_failed_call
+from tests.fakes import ENDPOINT_A, ENDPOINT_B, MAX_WAIT_NS, Sidecar
 
 
 @pytest.mark.usefixtures("short_timeouts")
--- a/tests/races/streaming.py
+++ b/tests/dispatch/streaming.py
@@ -9,7 +9,7 @@
 
 from lugtally import balancing
 from lugtally.eventloop import READABLE, WakeReason
-from tests.races.fakes import ENDPOINT_A, MAX_WAIT_NS, PeerConnection, Sidecar, disconnect, request
+from tests.fakes import ENDPOINT_A, MAX_WAIT_NS, PeerConnection, Sidecar, disconnect, request
 
 BODY_BYTES = 100_000
 STREAMED_PREFIX_BYTES = 70_000
--- a/tests/races/test_attempts.py
+++ b/tests/dispatch/test_attempts.py
@@ -14,7 +14,7 @@
 from lugtally.units import NS_PER_MS, NS_PER_S
 from lugtally.upstream import attempt, pool
 from lugtally.upstream.connection import UpstreamConnection
-from tests.races.fakes import CLASSES, ENDPOINT_A, ENDPOINT_B, Sidecar, disconnect, request
+from tests.fakes import CLASSES, ENDPOINT_A, ENDPOINT_B, Sidecar, disconnect, request
 
 
 @pytest.mark.parametrize("kind", ["new connection", "pooled connection"])
--- a/tests/races/test_ended_requests.py
+++ b/tests/dispatch/test_ended_requests.py
@@ -13,7 +13,7 @@
 from lugtally.units import NS_PER_MS, NS_PER_S
 from lugtally.upstream import pool
 from lugtally.upstream.connection import UpstreamConnection
-from tests.races.fakes import ENDPOINT_A, MAX_WAIT_NS, PeerConnection, Sidecar, disconnect, request
+from tests.fakes import ENDPOINT_A, MAX_WAIT_NS, PeerConnection, Sidecar, disconnect, request
 
 EXCESSIVE_TIMEOUT_NS = 9 * NS_PER_S
 """The timeout that the balancer gives an attempt here: far more than its request has left."""
--- a/tests/races/test_hedged_streams.py
+++ b/tests/dispatch/test_hedged_streams.py
@@ -12,8 +12,7 @@
 from lugtally.eventloop import Event, EventLoop
 from lugtally.units import NS_PER_MS
 from lugtally.upstream.connection import UpstreamConnection
-from tests.races.fakes import ENDPOINT_A, MAX_WAIT_NS, Sidecar, disconnect, request
-from tests.races.streaming import (
+from tests.dispatch.streaming import (
     FRAMINGS,
     HEADS,
     STREAMED_PREFIX_BYTES,
@@ -27,6 +26,7 @@
     start_hedged_request,
     start_stream,
 )
+from tests.fakes import ENDPOINT_A, MAX_WAIT_NS, Sidecar, disconnect, request
 
 RESET = None
 """In place of the attempt whose response is expected: the client sees a reset, as the response is truncated."""
--- a/tests/races/test_truncated_streams.py
+++ b/tests/dispatch/test_truncated_streams.py
@@ -6,8 +6,7 @@
 
 from lugtally import balancing
 from lugtally.units import NS_PER_MS
-from tests.races.fakes import ENDPOINT_A, Sidecar, disconnect, request
-from tests.races.streaming import (
+from tests.dispatch.streaming import (
     BODY_BYTES,
     FRAMINGS,
     HEADS,
@@ -17,6 +16,7 @@
     send_unless_closed,
     start_stream,
 )
+from tests.fakes import ENDPOINT_A, Sidecar, disconnect, request
 
 
 def retry_once(event: balancing.Event) -> list[balancing.Action]:
--- a/tests/downstream/conftest.py
+++ b/tests/downstream/conftest.py
@@ -3,5 +3,6 @@
 from __future__ import annotations
 
 from tests.dispatch.scripted_balancer import balancer
+from tests.fakes import sidecar
 
-__all__ = ["balancer"]
+__all__ = ["balancer", "sidecar"]
--- a/tests/races/test_arrival.py
+++ b/tests/downstream/test_arrival.py
@@ -11,8 +11,8 @@
 from lugtally import balancing
 from lugtally.eventloop import loop as event_loop
 from lugtally.units import NS_PER_MS
-from tests.races.fakes import Sidecar, request
-from tests.races.processes import SidecarProcess
+from tests.downstream.sidecar_process import SidecarProcess
+from tests.fakes import Sidecar, request
 
 SHORT_TIME_LEFT_S = 0.3
 STALL_S = 0.5
--- a/tests/races/test_closing.py
+++ b/tests/downstream/test_closing.py
@@ -12,7 +12,7 @@
 from lugtally.eventloop import READABLE, WRITABLE, Event, WakeReason
 from lugtally.units import NS_PER_MS
 from lugtally.upstream import attempt
-from tests.races.fakes import PeerConnection, Sidecar, request
+from tests.fakes import PeerConnection, Sidecar, request
 
 
 @pytest.mark.parametrize("body_bytes", [60_000, 100_004])
--- a/tests/races/test_connection_limit.py
+++ b/tests/downstream/test_connection_limit.py
@@ -14,7 +14,7 @@
 from lugtally.address import Address
 from lugtally.eventloop import READABLE
 from lugtally.units import NS_PER_MS, NS_PER_S
-from tests.races.fakes import PeerConnection, Sidecar, request
+from tests.fakes import PeerConnection, Sidecar, request
 
 INCOMPLETE_REQUEST = b"GET /read HTTP/1.1\r\nHost: s\r\n"
 MAX_EVICTION_DELAY_NS = NS_PER_S
--- a/tests/races/test_descriptor_limits.py
+++ b/tests/downstream/test_descriptor_limits.py
@@ -7,7 +7,7 @@
 import pytest
 
 from lugtally.upstream import split_descriptors
-from tests.races.fakes import Sidecar, request
+from tests.fakes import Sidecar, request
 
 
 def open_descriptors() -> int:
--- a/tests/downstream/test_guards.py
+++ b/tests/downstream/test_guards.py
@@ -8,7 +8,7 @@
 from lugtally.downstream import closing, request_reader
 from lugtally.eventloop import PEER_CLOSED
 from lugtally.units import NS_PER_MS, NS_PER_S
-from tests.races.fakes import ENDPOINT_A, Sidecar, request
+from tests.fakes import ENDPOINT_A, Sidecar, request
 
 NEVER_NS = 60 * NS_PER_S
 """A time limit that no test reaches."""
--- a/tests/races/test_half_close.py
+++ b/tests/downstream/test_half_close.py
@@ -15,7 +15,7 @@
 from lugtally.downstream.connection import DownstreamConnection
 from lugtally.eventloop import PEER_CLOSED, READABLE, WakeReason
 from lugtally.units import NS_PER_MS, NS_PER_S
-from tests.races.fakes import ENDPOINT_A, MAX_WAIT_NS, PeerConnection, Sidecar, disconnect, request
+from tests.fakes import ENDPOINT_A, MAX_WAIT_NS, PeerConnection, Sidecar, disconnect, request
 
 SETTLED_NS = 20 * NS_PER_MS
 """How long after its response an idle connection can be reused without a wait."""
--- a/tests/races/test_pipelines.py
+++ b/tests/downstream/test_pipelines.py
@@ -11,7 +11,7 @@
 from lugtally.eventloop import WRITABLE, WakeReason
 from lugtally.http1 import MessageParser
 from lugtally.units import NS_PER_MS
-from tests.races.fakes import PeerConnection, Sidecar, request
+from tests.fakes import PeerConnection, Sidecar, request
 
 
 def statuses(received: bytes) -> list[str]:
--- a/tests/races/test_shutdown.py
+++ b/tests/downstream/test_shutdown.py
@@ -14,7 +14,7 @@
 from lugtally.address import Address
 from lugtally.eventloop import READABLE, Event, WakeReason
 from lugtally.units import NS_PER_MS, NS_PER_S
-from tests.races.fakes import PeerConnection, Sidecar, request
+from tests.fakes import PeerConnection, Sidecar, request
 
 ACCEPTING_NS = 500 * NS_PER_MS
 """How long connections are accepted after SIGTERM, as docs/shutdown.md says."""
--- a/tests/races/test_shutdown_process.py
+++ b/tests/downstream/test_shutdown_process.py
@@ -18,9 +18,9 @@
 import pytest
 
 from lugtally.units import NS_PER_S
+from tests.downstream.test_shutdown import ACCEPTING_NS, IDLE_SHUTDOWN_NS
+from tests.fakes import request
 from tests.integration.player import Player
-from tests.races.fakes import request
-from tests.races.test_shutdown import ACCEPTING_NS, IDLE_SHUTDOWN_NS
 from tests.sidecar_program import ROOT
 
 CPU_MARGIN_S = 0.5
--- a/tests/races/fakes.py
+++ b/tests/fakes.py
@@ -11,6 +11,7 @@
 from collections.abc import Callable
 from typing import Any
 
+import pytest
 import ujson
 
 from lugtally import balancing
@@ -307,3 +308,9 @@
     if how == "reset":
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
+
+
+@pytest.fixture
+def sidecar() -> Sidecar:
+    """A sidecar with a scripted balancer and a fake server of each kind."""
+    return Sidecar()
--- a/tests/races/pool_harness.py
+++ b/tests/upstream/pool_harness.py
@@ -11,7 +11,7 @@
 from lugtally.http1 import ForwardedRequest, Message
 from lugtally.units import NS_PER_S
 from lugtally.upstream import AttemptResponse
-from tests.races.fakes import PeerConnection, Sidecar
+from tests.fakes import PeerConnection, Sidecar
 
 ENDPOINT = 1
 ATTEMPT_TIMEOUT_NS = 8 * NS_PER_S
--- a/tests/races/test_pool.py
+++ b/tests/upstream/test_pool_races.py
@@ -16,8 +16,8 @@
 from lugtally.units import NS_PER_MS, NS_PER_S
 from lugtally.upstream import AttemptResponse, pool
 from lugtally.upstream.connection import open_socket
-from tests.races.fakes import MAX_WAIT_NS, PeerConnection, Sidecar
-from tests.races.pool_harness import (
+from tests.fakes import MAX_WAIT_NS, PeerConnection, Sidecar
+from tests.upstream.pool_harness import (
     ATTEMPT_TIMEOUT_NS,
     ENDPOINT,
     change_as_it_settles,
--- a/tests/races/test_pool_random.py
+++ b/tests/upstream/test_pool_random.py
@@ -15,7 +15,7 @@
 from lugtally.http1 import ForwardedRequest, Message
 from lugtally.units import NS_PER_MS
 from lugtally.upstream import AttemptResponse
-from tests.races.fakes import MAX_WAIT_NS, FakeServer, Sidecar
+from tests.fakes import MAX_WAIT_NS, FakeServer, Sidecar
 
 ATTEMPTS = 300
 ENDPOINTS = range(4)
--- a/tests/races/test_request_writing.py
+++ b/tests/upstream/test_request_writing.py
@@ -12,9 +12,9 @@
 from lugtally.units import NS_PER_S
 from lugtally.upstream import AttemptResponse, attempt
 from lugtally.upstream.connection import UpstreamConnection
-from tests.races.fakes import PeerConnection, Sidecar
-from tests.races.pool_harness import ATTEMPT_TIMEOUT_NS, change_at_wait, sidecar_with_endpoint, start_attempt
-from tests.races.pool_harness import stoppable_clock as make_stoppable_clock
+from tests.fakes import PeerConnection, Sidecar
+from tests.upstream.pool_harness import ATTEMPT_TIMEOUT_NS, change_at_wait, sidecar_with_endpoint, start_attempt
+from tests.upstream.pool_harness import stoppable_clock as make_stoppable_clock
 
 LONG_HEAD = Message("GET", "/", headers=[("X-Pad", "x" * 200_000)])
 LONG_BODY = Message("POST", "/", body=bytes(200_000))
--- a/tests/races/test_unexpected_responses.py
+++ b/tests/upstream/test_unexpected_responses.py
@@ -11,8 +11,8 @@
 from lugtally.http1 import Message
 from lugtally.units import NS_PER_MS
 from lugtally.upstream import AttemptResponse
-from tests.races.fakes import MAX_WAIT_NS, PeerConnection, Sidecar, disconnect
-from tests.races.pool_harness import change_at_wait, idle_peers, sidecar_with_endpoint, start_attempt
+from tests.fakes import MAX_WAIT_NS, PeerConnection, Sidecar, disconnect
+from tests.upstream.pool_harness import change_at_wait, idle_peers, sidecar_with_endpoint, start_attempt
 
 STALE = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale"
 LONG_REQUEST = Message("POST", "/", body=bytes(64 * 1024 * 1024))
@@ -116,7 +116,7 @@
 
 def test_endless_response_is_aborted_at_deadline(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> None:
     """Bytes are always readable, so that no wait ever times out."""
-    monkeypatch.setattr("tests.races.pool_harness.ATTEMPT_TIMEOUT_NS", 200 * NS_PER_MS)
+    monkeypatch.setattr("tests.upstream.pool_harness.ATTEMPT_TIMEOUT_NS", 200 * NS_PER_MS)
     results: list[AttemptResponse] = []
 
     def script() -> None:
