--- a/tests/upstream/pool_harness.py
+++ b/tests/upstream/pool_harness.py
@@ -18,13 +18,6 @@
 Change = Callable[[], object]
 
 
-def sidecar_with_endpoint() -> Sidecar:
-    """Return a sidecar whose pool knows the fake server as its one endpoint."""
-    sidecar = Sidecar()
-    sidecar.upstream.set_address(ENDPOINT, sidecar.server.address)
-    return sidecar
-
-
 def start_attempt(
     sidecar: Sidecar, results: list[AttemptResponse], message: Message | None = None, **options: Any
 ) -> Task:
--- a/tests/upstream/test_pool_races.py
+++ b/tests/upstream/test_pool_races.py
@@ -23,7 +23,6 @@
     change_as_it_settles,
     change_during_attempt,
     idle_peers,
-    sidecar_with_endpoint,
     start_attempt,
     stoppable_clock,
 )
@@ -31,12 +30,6 @@
 LONG_SETTLE_NS = 5 * NS_PER_S
 
 
-@pytest.fixture
-def sidecar() -> Sidecar:
-    """A sidecar whose pool knows the fake server as its one endpoint."""
-    return sidecar_with_endpoint()
-
-
 def pool_descriptor(peer: PeerConnection) -> int:
     """Return the descriptor of the pool's end of a connection, found by the address that its peer sees."""
     for entry in list(Path("/proc/self/fd").iterdir()):
--- a/tests/upstream/test_pool_random.py
+++ b/tests/upstream/test_pool_random.py
@@ -126,8 +126,9 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_random_attempts_keep_responses_and_counts_consistent(seed: int, sidecar: Sidecar) -> None:
+def test_random_attempts_keep_responses_and_counts_consistent(seed: int) -> None:
     draws = random.Random(seed)
+    sidecar = Sidecar()
     sidecar.limits.max_connections = MAX_CONNECTIONS
     servers = [sidecar.server, sidecar.discovery, sidecar.second_discovery]
     user = PoolUser(sidecar, servers, draws)
--- a/tests/upstream/test_request_writing.py
+++ b/tests/upstream/test_request_writing.py
@@ -13,19 +13,13 @@
 from lugtally.upstream import AttemptResponse, attempt
 from lugtally.upstream.connection import UpstreamConnection
 from tests.fakes import PeerConnection, Sidecar
-from tests.upstream.pool_harness import ATTEMPT_TIMEOUT_NS, change_at_wait, sidecar_with_endpoint, start_attempt
+from tests.upstream.pool_harness import ATTEMPT_TIMEOUT_NS, change_at_wait, start_attempt
 from tests.upstream.pool_harness import stoppable_clock as make_stoppable_clock
 
 LONG_HEAD = Message("GET", "/", headers=[("X-Pad", "x" * 200_000)])
 LONG_BODY = Message("POST", "/", body=bytes(200_000))
 
 
-@pytest.fixture
-def sidecar() -> Sidecar:
-    """A sidecar whose pool knows the fake server as its one endpoint."""
-    return sidecar_with_endpoint()
-
-
 @pytest.fixture
 def started_writes(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> list[bool]:
     """Shrink the socket buffers; the list gets an element when a request starts to be written."""
--- a/tests/upstream/test_unexpected_responses.py
+++ b/tests/upstream/test_unexpected_responses.py
@@ -12,19 +12,13 @@
 from lugtally.units import NS_PER_MS
 from lugtally.upstream import AttemptResponse
 from tests.fakes import MAX_WAIT_NS, PeerConnection, Sidecar, disconnect
-from tests.upstream.pool_harness import change_at_wait, idle_peers, sidecar_with_endpoint, start_attempt
+from tests.upstream.pool_harness import change_at_wait, idle_peers, start_attempt
 
 STALE = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale"
 LONG_REQUEST = Message("POST", "/", body=bytes(64 * 1024 * 1024))
 """Longer than the socket buffers, so that its write waits until the endpoint reads."""
 
 
-@pytest.fixture
-def sidecar() -> Sidecar:
-    """A sidecar whose pool knows the fake server as its one endpoint."""
-    return sidecar_with_endpoint()
-
-
 def test_bytes_before_first_write_are_not_the_response(sidecar: Sidecar) -> None:
     """They arrive as ``may_proceed`` is called for the last time."""
     results: list[AttemptResponse] = []
