--- a/tests/races/streaming.py
+++ b/tests/dispatch/streaming.py
@@ -9,7 +9,7 @@
 
 from lugtally import balancing
 from lugtally.eventloop import READABLE, WakeReason
-from tests.races.fakes import ENDPOINT_A, MAX_WAIT_NS, PeerConnection, Sidecar, disconnect, request
+from tests.fakes import ENDPOINT_A, MAX_WAIT_NS, PeerConnection, Sidecar, disconnect, request
 
 BODY_BYTES = 100_000
 STREAMED_PREFIX_BYTES = 70_000
@@ -22,7 +22,7 @@
     "until close": b"HTTP/1.1 200 OK\r\n\r\n",
 }
 BUFFERED_LENGTH_HEADER = b"Content-Length: 10\r\n"
-"""The header by which a buffered response is told from a streamed one."""
+"""The header that distinguishes a buffered response from a streamed one."""
 
 
 def body_of(attempt: int, size: int = BODY_BYTES) -> bytes:
--- a/tests/races/test_pipelines.py
+++ b/tests/downstream/test_pipelines.py
@@ -11,7 +11,7 @@
 from lugtally.eventloop import WRITABLE, WakeReason
 from lugtally.http1 import MessageParser
 from lugtally.units import NS_PER_MS
-from tests.races.fakes import PeerConnection, Sidecar, request
+from tests.fakes import PeerConnection, Sidecar, request
 
 
 def statuses(received: bytes) -> list[str]:
@@ -179,7 +179,7 @@
 
 
 def test_body_without_length_is_forwarded_in_chunks(sidecar: Sidecar) -> None:
-    """The client can tell a truncated body: it lacks the last chunk until the endpoint closes."""
+    """A truncated body lacks the last chunk, which is sent when the endpoint closes."""
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
