--- a/lugtally/testbed/emulator/cold_overload.py
+++ b/lugtally/testbed/emulator/cold_overload.py
@@ -26,11 +26,11 @@
         self._arrivals: deque[_Arrival] = deque()  # of the last window
         self._work = 0.0  # of these arrivals
 
-    def is_overloaded_by(self, now: float, work: float, sidecar: int, capacity: float) -> bool:
+    def is_overloaded_by(self, now_s: float, work: float, sidecar: int, capacity: float) -> bool:
         """Add an arrival and return whether the window has too much work for the present capacity."""
-        self._arrivals.append(_Arrival(now, work, sidecar))
+        self._arrivals.append(_Arrival(now_s, work, sidecar))
         self._work += work
-        while self._arrivals and self._arrivals[0].at < now - self._window_s:
+        while self._arrivals and self._arrivals[0].at < now_s - self._window_s:
             self._work -= self._arrivals.popleft().work
         limit = self._capacity_multiple * capacity * self._window_s + REQUESTS_OF_SLACK * work
         return self._work > limit
--- a/lugtally/testbed/emulator/congestion_choke.py
+++ b/lugtally/testbed/emulator/congestion_choke.py
@@ -27,24 +27,24 @@
         """Whether the choke may start or end without a further request."""
         return self.is_active or self._congested_since is not None
 
-    def update(self, now: float, requests_per_core: float) -> None:
+    def update(self, now_s: float, requests_per_core: float) -> None:
         """Start or end the choke."""
         if self.is_active:
-            self._end_when_due(now, requests_per_core)
+            self._end_when_due(now_s, requests_per_core)
         elif requests_per_core <= self._threshold:
             self._congested_since = None
         elif self._congested_since is None:
-            self._congested_since = now
-        elif now - self._congested_since >= self._onset_s:
-            self.is_active, self._active_since = True, now
+            self._congested_since = now_s
+        elif now_s - self._congested_since >= self._onset_s:
+            self.is_active, self._active_since = True, now_s
             self._idle_since = None
 
-    def _end_when_due(self, now: float, requests_per_core: float) -> None:
+    def _end_when_due(self, now_s: float, requests_per_core: float) -> None:
         if requests_per_core > IDLE_PER_CORE:
             self._idle_since = None
         elif self._idle_since is None:
-            self._idle_since = now
-        was_idle = self._idle_since is not None and now - self._idle_since >= self._idle_s
-        if was_idle or now - self._active_since >= self._max_s:
+            self._idle_since = now_s
+        was_idle = self._idle_since is not None and now_s - self._idle_since >= self._idle_s
+        if was_idle or now_s - self._active_since >= self._max_s:
             self.is_active = False
             self._congested_since = None
--- a/lugtally/testbed/emulator/discovery.py
+++ b/lugtally/testbed/emulator/discovery.py
@@ -175,10 +175,10 @@
 
     def _record_notifications(self, changes: EndpointChanges, sidecar: int, began_at: float) -> None:
         """Record that a sidecar was sent these entries."""
-        now = self.clock()
+        now_s = self.clock()
         for entry in changes.entries:
-            self._record(EndpointNotified(now, sidecar, entry.server, entry.state, _started_at(entry)))
-        self._record(DiscoveryCall(sidecar, began_at, now, True, len(changes.entries)))
+            self._record(EndpointNotified(now_s, sidecar, entry.server, entry.state, _started_at(entry)))
+        self._record(DiscoveryCall(sidecar, began_at, now_s, True, len(changes.entries)))
 
 
 def _parse_poll(query: str) -> _Poll:
--- a/lugtally/testbed/emulator/request_processor.py
+++ b/lugtally/testbed/emulator/request_processor.py
@@ -14,7 +14,7 @@
 
 
 class RequestProcessor:
-    """The requests of one server.  The caller advances the model to ``now`` before each call."""
+    """The requests of one server.  The caller advances the model to ``now_s`` before each call."""
 
     def __init__(self, context: FleetContext, server: str, zone: str, faults: EndpointFaults) -> None:
         self._context = context
@@ -24,20 +24,20 @@
         self._in_progress: dict[Job, EmulatedRequest] = {}
         self._attempts_seen: dict[str, int] = {}  # by request id
 
-    def process(self, request: EmulatedRequest, model: ServerModel, now: float) -> bool:
+    def process(self, request: EmulatedRequest, model: ServerModel, now_s: float) -> bool:
         """Offer a complete request to the model, or answer it at once.  Return whether the model changed."""
         if request.is_health_check:
-            return self._answer_health_check(request, model, now)
-        request.attempt.last_byte_at = now
+            return self._answer_health_check(request, model, now_s)
+        request.attempt.last_byte_at = now_s
         work = self._context.work_of(request.attempt.request_id)
         if work is None or not request.is_valid:
-            self._reject_unknown(request, now)
+            self._reject_unknown(request, now_s)
             return False
         if self._draw_reset(request, work):
             self._record(request, ServerOutcome.RESET)
             request.connection.reset()
             return False
-        self._offer(request, model, now)
+        self._offer(request, model, now_s)
         return True
 
     def finish(self, job: Job) -> None:
@@ -65,19 +65,19 @@
             self._record(request, ServerOutcome.DISCONNECTED)
         self._in_progress.clear()
 
-    def _answer_health_check(self, request: EmulatedRequest, model: ServerModel, now: float) -> bool:
+    def _answer_health_check(self, request: EmulatedRequest, model: ServerModel, now_s: float) -> bool:
         if model.silent:
             return False
         model.health_check(self._context.health_check_work)
-        self._context.record(HealthCheck(now, self._server, request.connection.sidecar))
+        self._context.record(HealthCheck(now_s, self._server, request.connection.sidecar))
         body = _load_report(model) if request.path == LOAD_REPORT_PATH else b"ok"
         request.connection.respond(200, body)
         return True
 
-    def _reject_unknown(self, request: EmulatedRequest, now: float) -> None:
+    def _reject_unknown(self, request: EmulatedRequest, now_s: float) -> None:
         request_id, sidecar = request.attempt.request_id, request.connection.sidecar
         description = f"{request.method} {request.path} {request_id!r}"
-        self._context.record(UnknownRequest(now, self._server, sidecar, description))
+        self._context.record(UnknownRequest(now_s, self._server, sidecar, description))
         request.connection.respond(400 if request_id else 404, b"")
 
     def _draw_reset(self, request: EmulatedRequest, work: float) -> bool:
@@ -92,12 +92,12 @@
         request.resets_at_end = draw.resets_at_end
         return draw.resets_before_work
 
-    def _offer(self, request: EmulatedRequest, model: ServerModel, now: float) -> None:
+    def _offer(self, request: EmulatedRequest, model: ServerModel, now_s: float) -> None:
         """Offer a request to the model.  Reject it if the model does not admit it."""
         connection, attempt = request.connection, request.attempt
-        job = Job(attempt.request_id, attempt.work, now + request.time_left_s, connection.sidecar)
-        admission = model.offer(now, job) if connection.is_counted else Admission.FULL
-        if model.collapsed and model.collapsed_at == now:
+        job = Job(attempt.request_id, attempt.work, now_s + request.time_left_s, connection.sidecar)
+        admission = model.offer(now_s, job) if connection.is_counted else Admission.FULL
+        if model.collapsed and model.collapsed_at == now_s:
             self._record_collapse(model)
         if admission is Admission.ADMITTED:
             request.job = job
--- a/lugtally/testbed/emulator/server.py
+++ b/lugtally/testbed/emulator/server.py
@@ -113,18 +113,18 @@
 
     def request_received(self, request: EmulatedRequest) -> None:
         """Process a complete request."""
-        now = self.advance()
-        if self._processor.process(request, self.model, now):
+        now_s = self.advance()
+        if self._processor.process(request, self.model, now_s):
             self._schedule_tick()
 
     def advance(self) -> float:
         """Advance the model to the present and answer the finished requests; return the present time."""
-        now = self.context.clock()
+        now_s = self.context.clock()
         if not self.running:
-            return now
-        for job in self.model.advance(now):
+            return now_s
+        for job in self.model.advance(now_s):
             self._processor.finish(job)
-        return now
+        return now_s
 
     def update_model(self) -> None:
         """Advance the model to the present and reschedule its timer."""
--- a/lugtally/testbed/emulator/server_model.py
+++ b/lugtally/testbed/emulator/server_model.py
@@ -83,10 +83,10 @@
 class ServerModel:
     """A server process on a machine."""
 
-    def __init__(self, traits: ServerTraits, now: float, *, cold: bool = False) -> None:
+    def __init__(self, traits: ServerTraits, now_s: float, *, cold: bool = False) -> None:
         self.traits = traits
-        self.now = now
-        self.started_at = now if cold else -inf
+        self.now = now_s
+        self.started_at = now_s if cold else -inf
         self.in_service: list[Job] = []
         self.queue: deque[Job] = deque()
         self._ended: list[Job] = []  # to be returned by ``advance``; jobs also end between two calls of it
@@ -146,35 +146,35 @@
         items = len(self.in_service) + (self.overhead_work > 0)
         return self._core_speed() * min(1.0, self.traits.cores / items) if items else 0.0
 
-    def offer(self, now: float, job: Job) -> Admission:
-        """Admit or reject a request that arrived completely.  Call :meth:`advance` with ``now`` first."""
-        assert now >= self.now - NEGLIGIBLE_WORK, "time runs forward"
-        self._count_cold_arrival(now, job)
+    def offer(self, now_s: float, job: Job) -> Admission:
+        """Admit or reject a request that arrived completely.  Call :meth:`advance` with ``now_s`` first."""
+        assert now_s >= self.now - NEGLIGIBLE_WORK, "time runs forward"
+        self._count_cold_arrival(now_s, job)
         if self.silent or self.collapsed:
             # Such a server sends no response, so it cannot reject a request either.
-            job.arrived_at = now
+            job.arrived_at = now_s
             self.queue.append(job)
             return Admission.ADMITTED
-        if now >= job.deadline and self.traits.drops_expired:
+        if now_s >= job.deadline and self.traits.drops_expired:
             return Admission.EXPIRED
         if self.draining:
             return Admission.DRAINING
         if len(self.in_service) >= self.traits.slots and len(self.queue) >= self.traits.max_queue:
             return Admission.FULL
-        job.arrived_at = now
+        job.arrived_at = now_s
         self.queue.append(job)
-        self._fill_slots(now)
-        self._update_choke(now)
+        self._fill_slots(now_s)
+        self._update_choke(now_s)
         return Admission.ADMITTED
 
-    def cancel(self, now: float, job: Job) -> None:
+    def cancel(self, now_s: float, job: Job) -> None:
         """Stop work on a request whose client disconnected.  Does nothing if the request has ended."""
         if job in self.in_service:
             self.in_service.remove(job)
-            self._fill_slots(now)
+            self._fill_slots(now_s)
         elif job in self.queue:
             self.queue.remove(job)
-        self._update_choke(now)
+        self._update_choke(now_s)
 
     def connect(self) -> bool:
         """Add a connection to the table; return False if the table is full."""
@@ -193,15 +193,15 @@
         """Add the work of a health check, in core-seconds."""
         self.overhead_work += work
 
-    def advance(self, now: float) -> list[Job]:
-        """Work until ``now`` and return the requests that ended, in order, done or ``expired``."""
+    def advance(self, now_s: float) -> list[Job]:
+        """Work until ``now_s`` and return the requests that ended, in order, done or ``expired``."""
         self._fill_slots(self.now)  # the server may have been silent until now
-        while self.now < now:
-            self._work_for(min(now, self._constant_until(self.now)) - self.now)
+        while self.now < now_s:
+            self._work_for(min(now_s, self._constant_until(self.now)) - self.now)
             self._end_finished_jobs()
             self._fill_slots(self.now)
             self._update_choke(self.now)
-        self.now = max(self.now, now)
+        self.now = max(self.now, now_s)
         ended, self._ended = self._ended, []
         return ended
 
@@ -230,37 +230,37 @@
             return inf
         return self._constant_until(self.now)
 
-    def _constant_until(self, now: float) -> float:
+    def _constant_until(self, now_s: float) -> float:
         """Return the time until which the speed counts as constant."""
         speed = self._speed_of_each()
         due = inf
         if speed > 0:
             if self.in_service:
-                due = now + max(min(job.remaining for job in self.in_service) / speed, MIN_INTERVAL_S)
+                due = now_s + max(min(job.remaining for job in self.in_service) / speed, MIN_INTERVAL_S)
             if self.overhead_work > 0:
-                due = min(due, now + max(self.overhead_work / speed, MIN_INTERVAL_S))
+                due = min(due, now_s + max(self.overhead_work / speed, MIN_INTERVAL_S))
         if self.warm_fraction < 1 or self.choke.may_change:
-            due = min(due, now + MAX_INTERVAL_S)
+            due = min(due, now_s + MAX_INTERVAL_S)
         return due
 
-    def _fill_slots(self, now: float) -> None:
+    def _fill_slots(self, now_s: float) -> None:
         """Move queued requests to free slots, oldest first.  Those past their deadline end without work."""
         while self.queue and len(self.in_service) < self.traits.slots and not self.silent:
             job = self.queue.popleft()
-            if now >= job.deadline and self.traits.drops_expired:
-                job.expired, job.ended_at = True, now
+            if now_s >= job.deadline and self.traits.drops_expired:
+                job.expired, job.ended_at = True, now_s
                 self._ended.append(job)
                 continue
-            job.started_at = now
+            job.started_at = now_s
             self.in_service.append(job)
 
-    def _update_choke(self, now: float) -> None:
-        self.choke.update(now, self.in_flight / self.traits.cores)
+    def _update_choke(self, now_s: float) -> None:
+        self.choke.update(now_s, self.in_flight / self.traits.cores)
 
-    def _count_cold_arrival(self, now: float, job: Job) -> None:
+    def _count_cold_arrival(self, now_s: float, job: Job) -> None:
         """Count a request that reaches the server as it warms up, admitted or not, and collapse under too many."""
         if self.warm_fraction >= 1 or self.collapsed:
             return
-        if self._cold_overload.is_overloaded_by(now, job.work, job.sidecar, self.capacity):
-            self.collapsed, self.collapsed_at = True, now
+        if self._cold_overload.is_overloaded_by(now_s, job.work, job.sidecar, self.capacity):
+            self.collapsed, self.collapsed_at = True, now_s
             self.collapse_work_by_sidecar = self._cold_overload.work_by_sidecar()
--- a/lugtally/testbed/experiments/baselines.py
+++ b/lugtally/testbed/experiments/baselines.py
@@ -69,17 +69,17 @@
         self._in_flight: dict[int, int] = {}
         self._requests: dict[str, PendingRequest] = {}
 
-    def handle(self, now: int, event: balancing.Event) -> list[balancing.Action]:
+    def handle(self, now_ns: int, event: balancing.Event) -> list[balancing.Action]:
         """Return the actions that follow from an event."""
         match event:
             case balancing.EndpointUpdate():
                 return self._update_endpoints(event)
             case balancing.Request():
                 request_class = self._settings.classes[event.class_index]
-                self._requests[event.id] = request = PendingRequest(request_class, now + event.time_left_ns)
-                return self._send(now, event.id, request)
+                self._requests[event.id] = request = PendingRequest(request_class, now_ns + event.time_left_ns)
+                return self._send(now_ns, event.id, request)
             case balancing.AttemptFinished():
-                return self._finish_attempt(now, event)
+                return self._finish_attempt(now_ns, event)
             case balancing.ClientDisconnected():
                 self._requests.pop(event.request_id, None)
             case balancing.TimerFired():
@@ -98,14 +98,14 @@
                 self._endpoints[endpoint.id] = endpoint
         return [balancing.WatchEndpoints()] if event.kind is balancing.EndpointUpdateKind.CACHED else []
 
-    def _send(self, now: int, request_id: str, request: PendingRequest) -> list[balancing.Action]:
+    def _send(self, now_ns: int, request_id: str, request: PendingRequest) -> list[balancing.Action]:
         candidates = self._candidates(request)
         if not candidates:
             return self._give_up(request_id, request)
         chosen = self._choose(candidates)
         request.tried.append(chosen.id)
         self._in_flight[chosen.id] = self._in_flight.get(chosen.id, 0) + 1
-        time_left_ns = request.deadline_ns - now
+        time_left_ns = request.deadline_ns - now_ns
         is_retriable = self._retries and len(request.tried) <= MAX_RETRIES and not request.is_non_idempotent
         timeout_ns = max(NS_PER_MS, int(time_left_ns * ATTEMPT_SHARE)) if is_retriable else time_left_ns
         return [balancing.SendAttempt(request_id, chosen.id, timeout_ns)]
@@ -133,30 +133,30 @@
             [endpoint for endpoint in candidates if self._in_flight.get(endpoint.id, 0) == fewest]
         )
 
-    def _finish_attempt(self, now: int, event: balancing.AttemptFinished) -> list[balancing.Action]:
+    def _finish_attempt(self, now_ns: int, event: balancing.AttemptFinished) -> list[balancing.Action]:
         self._in_flight[event.endpoint_id] = self._in_flight.get(event.endpoint_id, 1) - 1
         request = self._requests.get(event.request_id)
         if request is None or event.request_finished:
             self._requests.pop(event.request_id, None)
             return []
         if event.result not in balancing.NOT_PROCESSED:
-            request.may_have_run.append(SentAttempt(event.endpoint_id, now - event.duration_ns))
+            request.may_have_run.append(SentAttempt(event.endpoint_id, now_ns - event.duration_ns))
         declined = event.result is balancing.AttemptResult.DECLINED
-        if declined or not self._retries or not self._may_retry(now, request):
+        if declined or not self._retries or not self._may_retry(now_ns, request):
             return self._give_up(event.request_id, request)
-        return self._send(now, event.request_id, request)
+        return self._send(now_ns, event.request_id, request)
 
-    def _may_retry(self, now: int, request: PendingRequest) -> bool:
+    def _may_retry(self, now_ns: int, request: PendingRequest) -> bool:
         margin_ns = self._settings.timer_resolution_ns
         if len(request.tried) > MAX_RETRIES or len(request.tried) >= self._settings.max_attempts:
             return False
-        if now >= request.deadline_ns - margin_ns:
+        if now_ns >= request.deadline_ns - margin_ns:
             return False
         if not request.may_have_run or request.is_idempotent:
             return True
         if request.is_non_idempotent:
             return False
-        elapsed_ns = now - request.may_have_run[0].sent_at_ns
+        elapsed_ns = now_ns - request.may_have_run[0].sent_at_ns
         return elapsed_ns < request.request_class.deduplication_window_ns - margin_ns
 
     def _give_up(self, request_id: str, request: PendingRequest) -> list[balancing.Action]:
--- a/lugtally/testbed/experiments/runner.py
+++ b/lugtally/testbed/experiments/runner.py
@@ -117,13 +117,13 @@
             is_done, _, _ = select.select([load.stdout], [], [], POLL_S)
             if is_done:
                 return  # the load generator printed ``done`` or ended
-            now = self._clock()
-            while events and now >= self._start + events[0].at:
+            now_s = self._clock()
+            while events and now_s >= self._start + events[0].at:
                 sidecars.apply(events.pop(0))
             sidecars.poll()
             if fleet.poll() is not None:
                 raise RunError(f"the emulated fleet ended; its log is in {self._folder}")
-            self._on_progress(min(self._scenario.length_s, max(0.0, now - self._start)), "playing")
+            self._on_progress(min(self._scenario.length_s, max(0.0, now_s - self._start)), "playing")
 
     def _report(self, sidecars: SidecarGroup, was_interrupted: bool) -> Report:
         log = EventLog(read_records(self._event_log_path(name) for name in (FLEET, LOAD, RUNNER)))
--- a/lugtally/testbed/experiments/sidecars.py
+++ b/lugtally/testbed/experiments/sidecars.py
@@ -193,10 +193,10 @@
         self._contention.start(sidecar.number, sidecar.core, event.fault.size)
 
     def _sample_usage(self, *, force: bool = False) -> None:
-        now = self._clock()
-        if not force and now - self._sampled_at < SAMPLE_INTERVAL_S:
+        now_s = self._clock()
+        if not force and now_s - self._sampled_at < SAMPLE_INTERVAL_S:
             return
-        self._sampled_at = now
+        self._sampled_at = now_s
         for sidecar in self._sidecars:
             if sidecar.statistics is None:
                 continue
