--- a/lugtally/__init__.py
+++ b/lugtally/__init__.py
@@ -1,4 +1,4 @@
-"""lugtally: a load-balancing sidecar.  The public API is the balancer, without the sidecar around it."""
+"""lugtally: a load-balancing sidecar.  The public API is the balancer, which can be used without the sidecar."""
 
 from lugtally.balancing import Balancer
 
