--- a/lugtally/__main__.py
+++ b/lugtally/__main__.py
@@ -1,7 +1,7 @@
 """``python -m lugtally``: the command line.
 
 Exit status: 0 after a graceful shutdown, 1 if the sidecar cannot listen at an address, 2 for an invalid command line or
-configuration.  The testbed's commands have further ones, see ``lugtally.cli.rehearse``.
+configuration.  The testbed's commands have additional statuses, which ``lugtally.cli.rehearse`` lists.
 """
 
 from __future__ import annotations
@@ -15,22 +15,22 @@
     """Run one command; return the exit status."""
     command_line = sys.argv[1:] if arguments is None else arguments
     if command_line[:1] == ["serve"]:
-        # A sidecar may be limited to 32 MB of memory, so it imports only its own command.
+        # The memory of a sidecar may be limited to 32 MB, so ``serve`` does not import the other commands.
         from lugtally.cli.daemon import serve
 
-        return run(serve, command_line[1:], "lugtally serve")
+        return run_command(serve, command_line[1:], "lugtally serve")
     from lugtally.cli.root import root
 
-    return run(root, command_line, "lugtally")
+    return run_command(root, command_line, "lugtally")
 
 
-def run(command: object, arguments: list[str], name: str) -> int:
+def run_command(command: object, arguments: list[str], program_name: str) -> int:
     """Run a click command; return its exit status, 2 for an invalid command line, or 130 after an interrupt."""
     import click
 
     assert isinstance(command, click.Command)
     try:
-        status = command.main(args=arguments, prog_name=name, standalone_mode=False)
+        status = command.main(args=arguments, prog_name=program_name, standalone_mode=False)
     except click.ClickException as error:
         error.show()
         return error.exit_code
