--- a/lugtally/admin/calls.py
+++ b/lugtally/admin/calls.py
@@ -1,4 +1,4 @@
-"""Admin calls: parses a method and a path to a typed call, and executes it.  Free of I/O.
+"""Admin calls: parses the method and path of a request to a typed call, and executes it.  Performs no I/O.
 
 The status of the response is 2xx if the call succeeded, and 4xx or 5xx otherwise.
 """
@@ -14,7 +14,7 @@
 
 
 class AdminOperation(Enum):
-    """The operation of a call.  Its value is the last segment of the path."""
+    """The operation of a call.  Each value is the last segment of the path."""
 
     READY = "ready"
     COUNTERS = "counters"
@@ -22,22 +22,22 @@
     ONLINE = "online"
 
 
-_READ_PATHS = {"/control/ready": AdminOperation.READY, "/control/counters": AdminOperation.COUNTERS}
-_SERVER_PATH = re.compile(r"/control/pledge-servers/([^/?#]{1,256})/(offline|online)")
+_READ_OPERATIONS = {"/control/ready": AdminOperation.READY, "/control/counters": AdminOperation.COUNTERS}
+_DRAIN_PATH = re.compile(r"/control/pledge-servers/([^/?#]{1,256})/(offline|online)")
 
 
 @dataclass(frozen=True, slots=True)
 class AdminCall:
-    """One valid call."""
+    """A parsed call."""
 
     operation: AdminOperation
     endpoint_name: str = ""
-    """The ``id`` of an endpoint in the endpoint list; empty if the operation concerns no endpoint."""
+    """The ``id`` of an endpoint in the endpoint list; empty for an operation that has no endpoint."""
 
 
 @dataclass(frozen=True, slots=True)
 class AdminResponse:
-    """The response to a call."""
+    """The HTTP response to a call."""
 
     status: int
     body: bytes
@@ -51,7 +51,7 @@
         """Return whether this process accepts requests and is not shutting down."""
 
     def counters(self) -> dict[str, object]:
-        """Return the counters by their documented keys."""
+        """Return the JSON object of the counters, with its documented keys."""
 
     def start_drain(self, endpoint_name: str) -> bool:
         """Drain the endpoint until :meth:`end_drain`; return whether it has ever been listed."""
@@ -63,9 +63,9 @@
 def parse_call(method: str, target: str) -> AdminCall | AdminResponse:
     """Return the call, or an error response: 404 for an unknown path, 405 for a wrong method."""
     path = target.partition("?")[0]
-    if (operation := _READ_PATHS.get(path)) is not None:
+    if (operation := _READ_OPERATIONS.get(path)) is not None:
         return AdminCall(operation) if method in ("GET", "HEAD") else _error(405, "GET is wanted")
-    if (match := _SERVER_PATH.fullmatch(path)) is not None:
+    if (match := _DRAIN_PATH.fullmatch(path)) is not None:
         endpoint_name, operation_name = match.groups()
         if method != "POST":
             return _error(405, "POST is wanted")
