--- a/lugtally/admin/drain_store.py
+++ b/lugtally/admin/drain_store.py
@@ -1,8 +1,8 @@
 """The drain file: stores the names of the endpoints that operators drain, so that drains survive a restart.
 
-A drain remains in force until an operator ends it, independent of the endpoint list.  It also applies to the process
-that replaces this one, as both use the same ``$TMPDIR``.  The file is replaced atomically: it is written under another
-name and renamed, so that a reader never finds an incomplete file.
+A drain remains in force until an operator ends it, regardless of the endpoint list.  It also applies to the process
+that replaces this one, because both use the same ``$TMPDIR``.  The file is replaced atomically: a temporary file is
+written and renamed, so that a reader never sees an incomplete file.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 
 FORMAT_VERSION = 1
 MAX_DRAINED_ENDPOINTS = 4096
-"""Largest set that is accepted.  An endpoint list is shorter, so a larger file was written by another program."""
+"""Upper limit of the names in a file.  No endpoint list is longer, so a longer file was written by another program."""
 MAX_NAME_LENGTH = 64
-"""Characters of the sidecar's name in the name of the file."""
+"""Number of characters of the sidecar's name that the file name contains."""
 
 
 class _FileVersion(NamedTuple):
-    """Identifies one version of the file.  Each write creates a new inode."""
+    """Identifies one version of the file, because each write creates a new inode."""
 
     inode: int
     modified_ns: int
@@ -33,15 +33,16 @@
     """The drain file of one sidecar name.  All processes with this name read and write the same file."""
 
     def __init__(self, folder: str, sidecar_name: str) -> None:
-        safe_name = "".join(char if char.isalnum() or char in "-_." else "_" for char in sidecar_name)
-        self.path = Path(folder) / f"lugtally-{safe_name[:MAX_NAME_LENGTH] or 'sidecar'}-drains.json"
+        file_safe_name = "".join(char if char.isalnum() or char in "-_." else "_" for char in sidecar_name)
+        self.path = Path(folder) / f"lugtally-{file_safe_name[:MAX_NAME_LENGTH] or 'sidecar'}-drains.json"
         self._last_version: _FileVersion | None = None
         """The version that was last read or written."""
 
     def read(self) -> set[str] | None:
-        """Return the drained endpoints; ``None`` if there is no valid file or it has not changed since the last call.
+        """Return the names of the drained endpoints; ``None`` if there is no valid file or it is unchanged.
 
-        An error is logged.  An invalid file is renamed, so that its contents are not lost.
+        Unchanged means since the last :meth:`read` or :meth:`write` of this object.  An error is logged.  An invalid
+        file is renamed, so that its contents are not lost.
         """
         try:
             version = self._current_version()
@@ -59,22 +60,22 @@
         try:
             return decode(self.path.read_bytes())
         except (OSError, ValueError) as error:
-            self._move_aside(error)
+            self._rename_invalid_file(error)
             return None
 
     def write(self, drained: set[str]) -> bool:
         """Replace the file atomically; return whether that succeeded.  An error is logged."""
-        new_path = self.path.with_suffix(f".{os.getpid()}.new")
+        temporary_path = self.path.with_suffix(f".{os.getpid()}.new")
         try:
-            new_path.write_bytes(encode(drained))
-            os.replace(new_path, self.path)
+            temporary_path.write_bytes(encode(drained))
+            os.replace(temporary_path, self.path)
             self._last_version = self._current_version()
         except OSError as error:
             logger.error(
                 "the drain file cannot be written: {reason}", event="drain.write_failed", reason=error.strerror
             )
             try:
-                new_path.unlink()
+                temporary_path.unlink()
             except OSError:
                 pass  # the file was not written, or has already been renamed
             return False
@@ -84,25 +85,25 @@
         status = self.path.stat()
         return _FileVersion(status.st_ino, status.st_mtime_ns, status.st_size)
 
-    def _move_aside(self, error: Exception) -> None:
-        """Rename an invalid file."""
-        aside_path = self.path.with_suffix(".bad")
+    def _rename_invalid_file(self, error: Exception) -> None:
+        """Log the error and rename the invalid file."""
+        renamed_path = self.path.with_suffix(".bad")
         logger.error(
             "the drain file {path} is invalid: {reason}; renamed to {aside}",
             event="drain.file_rejected",
             path=str(self.path),
             reason=str(error),
-            aside=aside_path.name,
+            aside=renamed_path.name,
         )
         try:
-            os.replace(self.path, aside_path)
+            os.replace(self.path, renamed_path)
         except OSError:
             pass  # another process renamed it, or the folder is not writable: then the next read logs the error again
         self._last_version = None
 
 
 def encode(drained: set[str]) -> bytes:
-    """Return the contents of the file."""
+    """Return the contents of a drain file with these endpoint names."""
     return ujson.dumps({"format": FORMAT_VERSION, "banned": sorted(drained)}).encode() + b"\n"
 
 
@@ -110,7 +111,7 @@
     """Return the endpoint names in the contents of a file.
 
     Raises:
-        ValueError: The contents are not a drain file; the text names the cause.
+        ValueError: The contents are not those of a drain file; the text names the cause.
     """
     raw = ujson.loads(data)
     version = raw.get("format") if isinstance(raw, dict) else None
