--- a/lugtally/admin/server.py
+++ b/lugtally/admin/server.py
@@ -1,7 +1,8 @@
-"""The server of the admin address.  Each connection carries one call and is closed after the response.
+"""The HTTP server of the admin address.  Each connection carries one call and is closed after the response.
 
-A connection whose call is incomplete occupies a slot for ``CALL_TIMEOUT_NS`` at most.  While all slots are occupied,
-the oldest connection without a complete call is closed.  Admin calls do not depend on downstream connections.
+At most ``MAX_CONNECTIONS`` are open at the same time.  A call that is incomplete after ``CALL_TIMEOUT_NS`` fails with
+status 408.  While the limit is reached, the oldest connection without a complete call is evicted.  Admin calls do not
+depend on downstream connections.
 """
 
 from __future__ import annotations
@@ -17,36 +18,35 @@
 from lugtally.units import NS_PER_MS
 
 CALL_TIMEOUT_NS = 2000 * NS_PER_MS
-"""From accepting the connection until the call is complete."""
+"""Time from accepting a connection until its call must be complete."""
 RESPONSE_WRITE_TIMEOUT_NS = 1000 * NS_PER_MS
-FREE_SLOT_RETRY_NS = 50 * NS_PER_MS
-"""Interval between two evictions while all slots are occupied."""
+EVICTION_INTERVAL_NS = 50 * NS_PER_MS
+"""Time between two evictions while ``MAX_CONNECTIONS`` are open."""
 ACCEPT_ERROR_PAUSE_NS = 20 * NS_PER_MS
-"""Pause after an error of ``accept``.  Without it, a backlog that remains readable would keep the loop busy."""
+"""Pause after an error of ``accept``.  Without it, the listener would remain readable and keep the event loop busy."""
 LISTEN_BACKLOG = 64
-MAX_CALLERS = 32
-"""Slots: connections that are open at the same time."""
+MAX_CONNECTIONS = 32
 MAX_BODY_BYTES = 1024
 READ_BYTES = 4096
 
 
-class _CallerDisconnected(Exception):
-    """The caller disconnected or was evicted before its call was complete."""
+class _ConnectionClosed(Exception):
+    """The connection was closed by the caller or evicted before its call was complete."""
 
 
 class _CallTimeout(Exception):
     """The call was not complete within ``CALL_TIMEOUT_NS``."""
 
 
-class _Caller:
-    """The connection of one caller."""
+class _Connection:
+    """One connection, and the state of its call."""
 
-    __slots__ = ("sock", "connected_ns", "wake", "call_complete", "evicted")
+    __slots__ = ("sock", "accepted_ns", "wake", "call_complete", "evicted")
 
     def __init__(self, sock: socket.socket, loop: EventLoop) -> None:
         self.sock = sock
-        self.connected_ns = loop.now()
-        self.wake = Event(loop)  # set when data is received or the caller is evicted
+        self.accepted_ns = loop.now()
+        self.wake = Event(loop)  # set when data is received or the connection is evicted
         self.call_complete = False
         self.evicted = False
 
@@ -62,28 +62,28 @@
         """
         self._loop = loop
         self._backend = backend
-        self._callers: set[_Caller] = set()
+        self._connections: set[_Connection] = set()
         self._slot_freed = Event(loop)
         self._listener = _listen(address)
-        loop.spawn(self._accept_callers)
+        loop.spawn(self._accept_connections)
 
     def close(self) -> None:
         """Stop accepting connections."""
         self._loop.unregister(self._listener.fileno())
         self._listener.close()
 
-    # ------------------------------------------------------------ callers
+    # ------------------------------------------------------------ connections
 
-    def _accept_callers(self) -> None:
+    def _accept_connections(self) -> None:
         while self._listener.fileno() >= 0:
-            if len(self._callers) >= MAX_CALLERS:
-                self._evict_oldest_caller()
-                self._slot_freed.wait(self._loop.now() + FREE_SLOT_RETRY_NS)
+            if len(self._connections) >= MAX_CONNECTIONS:
+                self._evict_oldest_connection()
+                self._slot_freed.wait(self._loop.now() + EVICTION_INTERVAL_NS)
                 continue
             if self._loop.wait(self._listener.fileno(), READABLE) is WakeReason.READY:
-                self._accept_caller()
+                self._accept_connection()
 
-    def _accept_caller(self) -> None:
+    def _accept_connection(self) -> None:
         try:
             sock, _ = self._listener.accept()
         except (BlockingIOError, ConnectionAbortedError):
@@ -97,95 +97,97 @@
             self._loop.sleep(ACCEPT_ERROR_PAUSE_NS)
             return
         sock.setblocking(False)
-        caller = _Caller(sock, self._loop)
-        self._callers.add(caller)
-        self._loop.spawn(self._handle_caller, caller)
-
-    def _evict_oldest_caller(self) -> None:
-        """Disconnect the caller that has been connected longest without a complete call, if there is one."""
-        candidates = [caller for caller in self._callers if not caller.call_complete and not caller.evicted]
+        connection = _Connection(sock, self._loop)
+        self._connections.add(connection)
+        self._loop.spawn(self._handle_connection, connection)
+
+    def _evict_oldest_connection(self) -> None:
+        """Evict the oldest connection without a complete call, if there is one."""
+        candidates = [
+            connection for connection in self._connections if not connection.call_complete and not connection.evicted
+        ]
         if candidates:
-            oldest = min(candidates, key=lambda caller: caller.connected_ns)
+            oldest = min(candidates, key=lambda connection: connection.accepted_ns)
             oldest.evicted = True
             oldest.wake.set()
 
     # ------------------------------------------------------------ one call
 
-    def _handle_caller(self, caller: _Caller) -> None:
+    def _handle_connection(self, connection: _Connection) -> None:
         try:
-            self._write(caller, self._respond(caller))
-        except _CallerDisconnected:
+            self._write_response(connection, self._process_call(connection))
+        except _ConnectionClosed:
             pass
         except OSError as error:
             logger.debug(
                 "the connection of an admin call failed: {reason}", event="admin.connection_failed", reason=str(error)
             )
         finally:
-            self._loop.unregister(caller.sock.fileno())
-            caller.sock.close()
-            self._callers.discard(caller)
+            self._loop.unregister(connection.sock.fileno())
+            connection.sock.close()
+            self._connections.discard(connection)
             self._slot_freed.set()
 
-    def _respond(self, caller: _Caller) -> AdminResponse:
-        """Read and execute the call; return its response."""
+    def _process_call(self, connection: _Connection) -> AdminResponse:
+        """Read, parse and execute the call; return its response."""
         try:
-            message = self._read_message(caller)
+            message = self._read_request(connection)
         except ProtocolError as error:
             return AdminResponse(error.status, f"{error}\n".encode())
         except _CallTimeout:
             return AdminResponse(408, b"the call did not become whole in time\n")
-        caller.call_complete = True
+        connection.call_complete = True
         call = parse_call(message.method, message.target)
         return execute_call(call, self._backend) if isinstance(call, AdminCall) else call
 
-    def _read_message(self, caller: _Caller) -> Message:
-        """Read the request of the call.
+    def _read_request(self, connection: _Connection) -> Message:
+        """Read the HTTP request of the call.
 
         Raises:
-            _CallerDisconnected, _CallTimeout: The request was not completed.
+            _ConnectionClosed, _CallTimeout: The request was not completed.
             ProtocolError: The request is malformed.
             OSError: The connection failed.
         """
         parser = MessageParser(responses=False, max_body_bytes=MAX_BODY_BYTES)
         while True:
             try:
-                data = caller.sock.recv(READ_BYTES)
+                data = connection.sock.recv(READ_BYTES)
             except BlockingIOError:
-                self._wait_for_data(caller)
+                self._wait_for_data(connection)
                 continue
             if not data:
-                raise _CallerDisconnected
+                raise _ConnectionClosed
             message = parser.feed(data)
             if message is not None:
                 return message
 
-    def _wait_for_data(self, caller: _Caller) -> None:
+    def _wait_for_data(self, connection: _Connection) -> None:
         """Block until data is received.
 
         Raises:
-            _CallerDisconnected: The caller was evicted.
-            _CallTimeout: The time for the call has expired.
+            _ConnectionClosed: The connection was evicted.
+            _CallTimeout: The call was not complete within ``CALL_TIMEOUT_NS``.
         """
-        fd = caller.sock.fileno()
-        self._loop.register(fd, READABLE, lambda _: caller.wake.set())
-        reason = caller.wake.wait(caller.connected_ns + CALL_TIMEOUT_NS)
+        fd = connection.sock.fileno()
+        self._loop.register(fd, READABLE, lambda _: connection.wake.set())
+        reason = connection.wake.wait(connection.accepted_ns + CALL_TIMEOUT_NS)
         self._loop.unregister(fd)
-        if caller.evicted:
-            raise _CallerDisconnected
+        if connection.evicted:
+            raise _ConnectionClosed
         if reason is WakeReason.TIMEOUT:
             raise _CallTimeout
 
-    def _write(self, caller: _Caller, response: AdminResponse) -> None:
-        """Write the response and close the sending side.
+    def _write_response(self, connection: _Connection, response: AdminResponse) -> None:
+        """Write the response and shut down the sending side.
 
         A caller that does not read within ``RESPONSE_WRITE_TIMEOUT_NS`` receives a truncated response.
         """
         headers = [("Content-Type", response.content_type)]
         data = serialize_response(response.status, response.body, headers, close=True)
-        if not send_all(self._loop, caller.sock, data, self._loop.now() + RESPONSE_WRITE_TIMEOUT_NS):
+        if not send_all(self._loop, connection.sock, data, self._loop.now() + RESPONSE_WRITE_TIMEOUT_NS):
             return
         try:
-            caller.sock.shutdown(socket.SHUT_WR)
+            connection.sock.shutdown(socket.SHUT_WR)
         except OSError:
             pass  # the caller has reset the connection
 
