--- a/lugtally/cli/daemon.py
+++ b/lugtally/cli/daemon.py
@@ -17,8 +17,8 @@
     from lugtally.logs import Format
     from lugtally.overload.admission import OverloadLimits
 
-LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
-FORMATS = ("text", "json")
+LOG_LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
+LOG_FORMATS = ("text", "json")
 EXIT_UNREACHABLE = 1
 STATUS_TIMEOUT_S = 5
 STATUS_READ_BYTES = 64 * 1024
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _OperatorOptions:
-    """The options of ``serve`` that the operator's file can set; these defaults apply without a file."""
+    """The options of ``serve`` that the operator's file can set.  The defaults apply if there is no file."""
 
     log_level: str = "INFO"
     log_format: Format = "text"
@@ -36,16 +36,16 @@
 
 @click.command()
 @click.option(
-    "--log-level", type=click.Choice(LEVELS), help="takes precedence over the operator's file  [default: INFO]"
+    "--log-level", type=click.Choice(LOG_LEVELS), help="takes precedence over the operator's file  [default: INFO]"
 )
 @click.option(
-    "--log-format", type=click.Choice(FORMATS), help="takes precedence over the operator's file  [default: text]"
+    "--log-format", type=click.Choice(LOG_FORMATS), help="takes precedence over the operator's file  [default: text]"
 )
 @click.option("--operator", metavar="FILE", help="the operator's file, in TOML")
 def serve(log_level: str | None, log_format: Format | None, operator: str | None) -> int:
     """Run the sidecar in the foreground, configured by the PROXY_* variables."""
     from lugtally.config import sidecar
-    from lugtally.daemon.sidecar import serve as run
+    from lugtally.daemon.sidecar import serve as run_sidecar
 
     options = _OperatorOptions()
     try:
@@ -54,7 +54,7 @@
             options = _load_operator_options(operator, config.settings)
     except ValueError as error:
         return print_error(error)
-    return run(
+    return run_sidecar(
         config,
         log_level or options.log_level,
         log_format or options.log_format,
@@ -133,7 +133,7 @@
 
 
 def _print_state(state: dict[str, Any]) -> None:
-    """Print one line per member; members of nested objects are on the line of their object."""
+    """Print one line per key.  A nested object is printed on the line of its key, without objects inside it."""
     for name, value in state.items():
         text = value
         if isinstance(value, dict):
@@ -142,7 +142,7 @@
 
 
 def _read_status(path: str) -> bytes:
-    """Return all bytes that the status socket sends.
+    """Return the JSON text that the status socket at ``path`` sends.
 
     Raises:
         OSError: The socket cannot be opened or does not respond within ``STATUS_TIMEOUT_S``.
