--- a/lugtally/cli/errors.py
+++ b/lugtally/cli/errors.py
@@ -1,4 +1,4 @@
-"""Exit statuses that the commands share, and the output of errors."""
+"""Exit statuses that several commands use, and the output of input errors."""
 
 from __future__ import annotations
 
@@ -11,6 +11,6 @@
 
 
 def print_error(error: Exception) -> int:
-    """Print an error of the input on one line; return the exit status."""
+    """Print an error of the input as one line on standard error; return the exit status."""
     print(f"lugtally: {error}", file=sys.stderr)
     return EXIT_BAD_INPUT
