--- a/lugtally/cli/experiment.py
+++ b/lugtally/cli/experiment.py
@@ -20,29 +20,32 @@
 @click.option("--out", type=click.Path(path_type=Path), help="folder of the reports  [default: FILE without .toml]")
 @click.option("--at-once", "parallel_runs", type=int, default=None, help="parallel runs  [default: by number of cores]")
 def experiment(file: Path, out: Path | None, parallel_runs: int | None) -> int:
-    """Run or resume the experiment of FILE; write one table and one plot."""
+    """Run or resume the experiment of FILE; print a table and write a plot."""
     require_kit()
-    from lugtally.testbed.experiments import experiment as experiments
+    from lugtally.testbed.experiments import experiment as experiment_module
     from lugtally.testbed.reporting.compare import MEASURES
     from lugtally.testbed.scenario.scenario import ScenarioError
 
     try:
-        loaded = experiments.read(file)
-        if loaded.measure not in MEASURES:
-            raise ScenarioError(f"{file.name}: measure: must be one of {', '.join(MEASURES)}, not {loaded.measure!r}")
+        loaded_experiment = experiment_module.read(file)
+        if loaded_experiment.measure not in MEASURES:
+            raise ScenarioError(
+                f"{file.name}: measure: must be one of {', '.join(MEASURES)}, not {loaded_experiment.measure!r}"
+            )
     except ScenarioError as error:
         return print_error(error)
-    return play_experiment(loaded, out or file.with_suffix(""), parallel_runs, with_table=True)
+    return play_experiment(loaded_experiment, out or file.with_suffix(""), parallel_runs, with_table=True)
 
 
 def play_experiment(experiment: Experiment, out: Path, parallel_runs: int | None, *, with_table: bool = False) -> int:
     """Play an experiment, print its results and return the exit status.
 
     Args:
-        experiment: The experiment; runs that have a report in ``out`` are not played again.
+        experiment: The experiment.  Runs that already have a report in ``out`` are not repeated.
         out: The folder of the reports.
         parallel_runs: Number of parallel runs; ``None`` to derive it from the number of cores.
-        with_table: Whether to print a table with confidence intervals and write a plot, instead of one line per run.
+        with_table: Whether to print a table with confidence intervals and write a plot.  Otherwise, one line per run is
+            printed.
     """
     from lugtally.testbed.experiments.experiment import cells_of
     from lugtally.testbed.experiments.matrix import max_parallel_runs, play_cells
