--- a/lugtally/cli/rehearse.py
+++ b/lugtally/cli/rehearse.py
@@ -22,7 +22,7 @@
     from lugtally.testbed.scenario.scenario import Scenario
 
 MAX_SERVERS_SHOWN = 6
-"""Server names that ``check`` prints for a fault."""
+"""Number of server names that ``check`` prints for a fault."""
 
 
 @click.group()
@@ -94,9 +94,9 @@
     json_file: Path | None
     html_file: Path | None
     output_folder: Path | None
-    """The folder of the runs' event logs, process logs and configurations; ``None`` to delete these files."""
+    """The folder that keeps the event logs, process logs and configurations of the runs; ``None`` to delete them."""
     show_progress: bool | None
-    """``None`` to show it if standard error is a terminal."""
+    """Whether to show a progress bar; ``None`` to show it if standard error is a terminal."""
 
 
 @rehearse.command()
@@ -138,7 +138,7 @@
 
 
 def _run_scenarios(scenarios: list[Scenario], options: RunOptions) -> int:
-    """Play each scenario with each seed, until interrupted; return the exit status."""
+    """Play each scenario with each seed until a run is interrupted; return the exit status."""
     from lugtally.testbed.reporting import page, report_file, terminal
 
     interrupt_on_sigterm()
@@ -231,12 +231,12 @@
 def compare(a: Path, b: Path) -> int:
     """Compare two sets of reports, paired by scenario and seed.  A, B: files or folders of them."""
     require_kit()
-    from lugtally.testbed.reporting import compare as comparing
+    from lugtally.testbed.reporting import compare as compare_module
     from lugtally.testbed.reporting import report_file, terminal
 
     try:
-        differences = comparing.compare(report_file.load_all(a), report_file.load_all(b))
-    except (report_file.ReportError, comparing.CompareError) as error:
+        differences = compare_module.compare(report_file.load_all(a), report_file.load_all(b))
+    except (report_file.ReportError, compare_module.CompareError) as error:
         return print_error(error)
     terminal.print_differences(differences, terminal.console_for_tables())
     return 0
