--- a/lugtally/cli/root.py
+++ b/lugtally/cli/root.py
@@ -1,4 +1,4 @@
-"""The root of the command line, which imports the module of a command only when it is used."""
+"""The root command.  It imports the module of a subcommand only when that subcommand is used."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import click
 
-# Module and function in ``lugtally.cli`` by the name of the command.
+# By the name of a command: its module in ``lugtally.cli``, and its function there.
 COMMANDS = {
     "serve": "daemon.serve",
     "check-config": "daemon.check_config",
@@ -18,10 +18,10 @@
 
 
 class LazyGroup(click.Group):
-    """A group of commands that are imported when they are used."""
+    """A group whose commands are imported when they are used."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Return the names of all commands, in the order of the table."""
+        """Return the names of all commands, in the order of ``COMMANDS``."""
         return list(COMMANDS)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
