--- a/lugtally/cli/testbed_common.py
+++ b/lugtally/cli/testbed_common.py
@@ -1,4 +1,4 @@
-"""What the commands of the testbed share: options, the verdict's exit status, the progress bar and the interrupt."""
+"""Helpers of the testbed's commands: dependencies, seeds, exit status, progress bar and interrupts."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     from lugtally.testbed.reporting.report import Report
 
 OnProgress = Callable[[float, str], None]
-"""Called with the completed part of the total, and the current phase."""
+"""Called with the completed amount and the current phase."""
 
 
 def require_kit() -> None:
@@ -35,15 +35,15 @@
         import uvloop  # noqa: F401
         import xxhash  # noqa: F401
     except ImportError as error:
-        raise click.ClickException(f"the rehearsal kit requires {error.name}: pip install 'lugtally[kit]'") from error
+        raise click.ClickException(f"the testbed requires {error.name}: pip install 'lugtally[kit]'") from error
 
 
 def parse_seeds(_ctx: click.Context, _parameter: click.Parameter, text: str) -> tuple[int, ...]:
     """Parse the seeds ``3``, ``1-5`` or ``1,4,9``."""
     try:
         seeds: list[int] = []
-        for bounds in text.split(","):
-            first, _, last = bounds.partition("-")
+        for seed_range in text.split(","):
+            first, _, last = seed_range.partition("-")
             seeds += range(int(first), int(last or first) + 1)
     except ValueError as error:
         raise click.BadParameter(f"{text!r}: must be numbers like 3, 1-5 or 1,4,9") from error
@@ -53,7 +53,7 @@
 
 
 def exit_status(reports: list[Report]) -> int:
-    """Return the worst exit status of the reports: that of a broken or failed run, then that of a void run."""
+    """Return the worst exit status of the reports: that of a broken or failed run, else that of a void run, else 0."""
     from lugtally.testbed.reporting.report import EXIT_STATUS, Verdict
 
     statuses = [EXIT_STATUS[report.verdict] for report in reports]
