--- a/lugtally/cli/experiment.py
+++ b/lugtally/cli/experiment.py
@@ -9,7 +9,7 @@
 import click
 
 from lugtally.cli.errors import EXIT_INTERRUPTED, print_error
-from lugtally.cli.testbed_common import exit_status, interrupt_on_sigterm, progress_bar, require_kit
+from lugtally.cli.testbed_common import exit_status, interrupt_on_sigterm, progress_bar, require_testbed_dependencies
 
 if TYPE_CHECKING:
     from lugtally.testbed.experiments.experiment import Experiment
@@ -21,7 +21,7 @@
 @click.option("--at-once", "parallel_runs", type=int, default=None, help="parallel runs  [default: by number of cores]")
 def experiment(file: Path, out: Path | None, parallel_runs: int | None) -> int:
     """Run or resume the experiment of FILE; print a table and write a plot."""
-    require_kit()
+    require_testbed_dependencies()
     from lugtally.testbed.experiments import experiment as experiment_module
     from lugtally.testbed.reporting.compare import MEASURES
     from lugtally.testbed.scenario.scenario import ScenarioError
--- a/lugtally/cli/rehearse.py
+++ b/lugtally/cli/rehearse.py
@@ -15,7 +15,13 @@
 
 from lugtally.cli.errors import EXIT_INTERRUPTED, print_error
 from lugtally.cli.experiment import play_experiment
-from lugtally.cli.testbed_common import exit_status, interrupt_on_sigterm, parse_seeds, progress_bar, require_kit
+from lugtally.cli.testbed_common import (
+    exit_status,
+    interrupt_on_sigterm,
+    parse_seeds,
+    progress_bar,
+    require_testbed_dependencies,
+)
 
 if TYPE_CHECKING:
     from lugtally.testbed.reporting.report import Report
@@ -33,7 +39,7 @@
 @rehearse.command("list")
 def list_scenarios() -> int:
     """List the shipped scenarios."""
-    require_kit()
+    require_testbed_dependencies()
     from lugtally.testbed.scenario import scenario_file
 
     for name in scenario_file.shipped():
@@ -46,7 +52,7 @@
 @click.argument("name")
 def show(name: str) -> int:
     """Print the text of a scenario, for example to write a similar one."""
-    require_kit()
+    require_testbed_dependencies()
     from lugtally.testbed.scenario import scenario_file
     from lugtally.testbed.scenario.scenario import ScenarioError
 
@@ -63,7 +69,7 @@
 @click.option("--seed", default=1, show_default=True)
 def check(file: str, seed: int) -> int:
     """Check a scenario and print a summary of its schedule for a seed."""
-    require_kit()
+    require_testbed_dependencies()
     from lugtally.testbed.scenario import scenario_file
     from lugtally.testbed.scenario.scenario import ScenarioError
     from lugtally.testbed.scenario.schedule import make_schedule
@@ -126,7 +132,7 @@
 )
 def run(names: tuple[str, ...], **options: Any) -> int:
     """Play scenarios and print the verdict of each run.  NAMES: shipped scenarios or files."""
-    require_kit()
+    require_testbed_dependencies()
     from lugtally.testbed.experiments.child_processes import RunError
     from lugtally.testbed.scenario import scenario_file
     from lugtally.testbed.scenario.scenario import ScenarioError
@@ -196,7 +202,7 @@
 @click.option("--at-once", "parallel_runs", type=int, default=None, help="parallel runs  [default: one per 4 cores]")
 def run_all(seeds: tuple[int, ...], policy: str, out: Path, parallel_runs: int | None) -> int:
     """Play all shipped scenarios, in parallel as far as the cores allow."""
-    require_kit()
+    require_testbed_dependencies()
     from lugtally.testbed.experiments.experiment import Experiment
     from lugtally.testbed.scenario import scenario_file
 
@@ -210,7 +216,7 @@
 )
 def report(file: Path, html_file: Path | None) -> int:
     """Print the reports of a file."""
-    require_kit()
+    require_testbed_dependencies()
     from lugtally.testbed.reporting import page, report_file, terminal
 
     try:
@@ -230,7 +236,7 @@
 @click.argument("b", type=click.Path(path_type=Path))
 def compare(a: Path, b: Path) -> int:
     """Compare two sets of reports, paired by scenario and seed.  A, B: files or folders of them."""
-    require_kit()
+    require_testbed_dependencies()
     from lugtally.testbed.reporting import compare as compare_module
     from lugtally.testbed.reporting import report_file, terminal
 
--- a/lugtally/cli/testbed_common.py
+++ b/lugtally/cli/testbed_common.py
@@ -18,7 +18,7 @@
 """Called with the completed amount and the current phase."""
 
 
-def require_kit() -> None:
+def require_testbed_dependencies() -> None:
     """Check that the libraries of the extra ``kit`` are installed.
 
     Raises:
