--- a/lugtally/config/balancing_settings.py
+++ b/lugtally/config/balancing_settings.py
@@ -1,6 +1,6 @@
-"""Decodes the settings of the simulator and of the sidecar's configuration to ``balancing.Settings``.
+"""Decodes the JSON settings of the sidecar and of the simulator to ``balancing.Settings``.
 
-The tables of this module map the external keys to the names of the fields; no other module knows these keys.  A
+The tables below map the external keys to the names of the fields; no other module uses these keys.  A
 ``ValueError`` names the key of the invalid value.
 """
 
@@ -55,19 +55,19 @@
 
 
 def read_settings(raw: JsonObject) -> balancing.Settings:
-    """Decode the settings.  Unknown keys are ignored, and missing keys have the default of their field.
+    """Decode the settings.  Unknown keys are ignored, and a field without a key has its default.
 
     Raises:
         ValueError: A value is invalid; the text names its key.
     """
     contract = raw.get("contract") or {}
-    values = _build_values(_merge_groups(raw), SETTINGS_FIELDS)
-    values["classes"] = tuple(read_class(row) for row in _rows(raw, "grades"))
+    values = _values_by_field(_flatten(raw), SETTINGS_FIELDS)
+    values["classes"] = tuple(read_class(raw_class) for raw_class in _object_list(raw, "grades"))
     values["subscribe_to_endpoints"] = raw.get("membership_mode") == "subscribe"
     values["load_report_fields"] = tuple((raw.get("report") or {}).get("columns") or ())
-    values["tenants"] = tuple(_read_tenant(row) for row in _rows(raw, "accounts"))
+    values["tenants"] = tuple(_read_tenant(raw_tenant) for raw_tenant in _object_list(raw, "accounts"))
     values["removal_is_binding"] = not contract.get("removal_not_binding")
-    return _build(balancing.Settings, values, SETTINGS_FIELDS)
+    return _build_record(balancing.Settings, values, SETTINGS_FIELDS)
 
 
 def read_class(raw: JsonObject) -> balancing.RequestClass:
@@ -76,56 +76,56 @@
     Raises:
         ValueError: A value is invalid; the text names its key.
     """
-    values = _build_values(raw, CLASS_FIELDS)
+    values = _values_by_field(raw, CLASS_FIELDS)
     if raw.get("effect") is not None:
-        values["idempotency"] = _member(IDEMPOTENCY, raw["effect"], "effect")
+        values["idempotency"] = _enum_member(IDEMPOTENCY, raw["effect"], "effect")
     if raw.get("key_scope") is not None:
-        values["deduplication_scope"] = _member(DEDUPLICATION_SCOPES, raw["key_scope"], "group")
-    return _build(balancing.RequestClass, values, CLASS_FIELDS)
+        values["deduplication_scope"] = _enum_member(DEDUPLICATION_SCOPES, raw["key_scope"], "group")
+    return _build_record(balancing.RequestClass, values, CLASS_FIELDS)
 
 
 def _read_tenant(raw: JsonObject) -> balancing.Tenant:
-    return _build(balancing.Tenant, _build_values(raw, TENANT_FIELDS), TENANT_FIELDS)
+    return _build_record(balancing.Tenant, _values_by_field(raw, TENANT_FIELDS), TENANT_FIELDS)
 
 
-def _merge_groups(raw: JsonObject) -> JsonObject:
-    """Return the settings with the members of their groups at the top level; no key occurs in two groups."""
+def _flatten(raw: JsonObject) -> JsonObject:
+    """Return the settings with the members of their nested objects at the top level; no key occurs in two objects."""
     ceilings, contract, prices = raw.get("ceilings") or {}, raw.get("contract") or {}, raw.get("prices") or {}
     return {**raw, **ceilings, **contract, "cross_zone": prices.get("cross_zone")}
 
 
-def _rows(raw: JsonObject, key: str) -> list[JsonObject]:
+def _object_list(raw: JsonObject, key: str) -> list[JsonObject]:
     """Return the list of objects at ``key``; empty if the key is missing."""
-    rows = raw.get(key) or []
-    if not isinstance(rows, list) or not all(isinstance(row, dict) for row in rows):
+    items = raw.get(key) or []
+    if not isinstance(items, list) or not all(isinstance(item, dict) for item in items):
         raise ValueError(f"{key}: must be a list of objects")
-    return rows
+    return items
 
 
-def _member(members: Mapping[str, Member], value: Any, key: str) -> Member:
+def _enum_member(members_by_name: Mapping[str, Member], value: Any, key: str) -> Member:
     """Return the enum member with the external name ``value``."""
-    if not isinstance(value, str) or value not in members:
-        raise ValueError(f"{key}: must be one of {', '.join(members)}, not {value!r}")
-    return members[value]
+    if not isinstance(value, str) or value not in members_by_name:
+        raise ValueError(f"{key}: must be one of {', '.join(members_by_name)}, not {value!r}")
+    return members_by_name[value]
 
 
-def _build_values(raw: JsonObject, fields: Mapping[str, str]) -> dict[str, Any]:
-    """Return the values by field name, for the keys of ``fields`` that are present."""
-    return {field: raw[key] for key, field in fields.items() if raw.get(key) is not None}
+def _values_by_field(raw: JsonObject, fields_by_key: Mapping[str, str]) -> dict[str, Any]:
+    """Return the values by field name, for those keys of ``fields_by_key`` that are present."""
+    return {field: raw[key] for key, field in fields_by_key.items() if raw.get(key) is not None}
 
 
-def _build(record_type: type[Value], values: dict[str, Any], fields: Mapping[str, str]) -> Value:
-    """Construct a record; its errors name the external key instead of the field."""
+def _build_record(record_type: type[Value], values: dict[str, Any], fields_by_key: Mapping[str, str]) -> Value:
+    """Construct a record; an error names the external key instead of the field."""
     try:
         return record_type(**values)
     except TypeError as error:
         raise ValueError(f"{record_type.__name__}: {error}") from error
     except ValueError as error:
-        raise ValueError(_name_by_key(str(error), fields)) from error
+        raise ValueError(_replace_field_with_key(str(error), fields_by_key)) from error
 
 
-def _name_by_key(text: str, fields: Mapping[str, str]) -> str:
-    """Replace the field name at the start of an error text by its external key."""
+def _replace_field_with_key(text: str, fields_by_key: Mapping[str, str]) -> str:
+    """Replace the field name at the start of an error text with its external key."""
     field, separator, reason = text.partition(": ")
-    key = next((key for key, name in fields.items() if name == field), field)
+    key = next((key for key, name in fields_by_key.items() if name == field), field)
     return f"{key}{separator}{reason}"
