--- a/lugtally/config/balancing_settings.py
+++ b/lugtally/config/balancing_settings.py
@@ -89,7 +89,10 @@
 
 
 def _flatten(raw: JsonObject) -> JsonObject:
-    """Return the settings with the members of their nested objects at the top level; no key occurs in two objects."""
+    """Return the settings with the members of ``ceilings`` and ``contract``, and ``cross_zone``, at the top level.
+
+    No key occurs in two of these objects.
+    """
     ceilings, contract, prices = raw.get("ceilings") or {}, raw.get("contract") or {}, raw.get("prices") or {}
     return {**raw, **ceilings, **contract, "cross_zone": prices.get("cross_zone")}
 
