--- a/lugtally/config/endpoint_list.py
+++ b/lugtally/config/endpoint_list.py
@@ -22,7 +22,7 @@
 
 
 class ListedState(Enum):
-    """The state of an endpoint in the endpoint list.  Each value describes its state."""
+    """The state of an endpoint in the endpoint list.  The values are descriptions, not the names in the list."""
 
     READY = "gets requests"
     DRAINING = "gets no new requests"
