--- a/lugtally/config/operator_file.py
+++ b/lugtally/config/operator_file.py
@@ -1,4 +1,4 @@
-"""The operator's file, in TOML: settings that ``config.json`` has no key for.  All features are off by default.
+"""Decodes the operator's file, in TOML: settings that ``config.json`` does not have.  All features are off by default.
 
 Only ``serve --operator`` and ``check-config --operator`` import this module, because its decoder uses 1.2 MB of memory.
 """
@@ -18,35 +18,35 @@
 
 
 class LogSection(Struct, frozen=True, forbid_unknown_fields=True):
-    """``[log]``: the log on standard error."""
+    """``[log]``: format and level of the log on standard error."""
 
     format: Literal["text", "json"] = "text"
     level: Literal["DEBUG", "INFO", "WARNING", "ERROR"] = "INFO"
 
 
 class OverloadSection(Struct, frozen=True, forbid_unknown_fields=True):
-    """``[overload]``: shed load by priority when the sidecar itself is overloaded."""
+    """``[overload]``: load shedding by priority while the sidecar itself is overloaded."""
 
     enabled: bool = False
     target_ms: Annotated[float, Meta(gt=0, le=1000)] = 10.0
-    """Delay of the sidecar itself above which it sheds load."""
+    """Delay within the sidecar, in milliseconds, above which it sheds load."""
     memory: Annotated[float, Meta(gt=0, le=1)] = 0.9
     """Fraction of the memory limit at which every request is shed."""
     descriptors: Annotated[float, Meta(gt=0, le=1)] = 0.9
     """Fraction of the descriptor limit at which every request is shed."""
     refuse_first: tuple[str, ...] = ()
-    """Names of the classes that are shed before all others."""
+    """Names of the request classes that are shed before all others."""
 
 
 class ControlSection(Struct, frozen=True, forbid_unknown_fields=True):
     """``[control]``: the status socket."""
 
     socket: str = ""
-    """Path of the Unix socket; empty for none."""
+    """Path of the Unix socket; empty to disable it."""
 
 
 class OperatorFile(Struct, frozen=True, forbid_unknown_fields=True):
-    """The operator's file."""
+    """The decoded file, with a default for each missing section and key."""
 
     log: LogSection = LogSection()
     overload: OverloadSection = OverloadSection()
