--- a/lugtally/config/sidecar.py
+++ b/lugtally/config/sidecar.py
@@ -23,9 +23,9 @@
 MIN_DESCRIPTOR_LIMIT = 64
 MAX_CORES = 4096
 MAX_INTEGER = 2**62
-"""Upper limit of all numbers, exclusive; far above any useful duration in nanoseconds."""
+"""Upper limit of configured numbers, exclusive; far above any useful duration in nanoseconds."""
 MAX_DESCRIPTOR = 2**20
-"""Above the usual limit of descriptors per process."""
+"""Largest descriptor that is accepted; above the usual limit of descriptors per process."""
 NO_ENDPOINTS = {"version": 0, "full": True, "servers": []}
 JSON_TYPE_NAMES = {dict: "an object", list: "a list"}
 
@@ -50,16 +50,16 @@
     cores: float
     """Processor cores that the sidecar may use."""
     cached_endpoints: EndpointList
-    """The endpoint list before the restart; in force until discovery responds."""
+    """The endpoint list from before the restart, which is used until discovery responds."""
     settings: balancing.Settings
     zones: tuple[str, ...]
     idle_timeout_ns: int
-    """Time after which endpoints close an idle connection."""
+    """Time after which endpoints close an idle connection to them."""
     connect_timeout_ns: int
     load_reports_in_responses: bool
-    """Whether responses of endpoints have load report headers."""
+    """Whether the responses of endpoints contain load reports in their headers."""
     inherited_socket_fd: int | None = None
-    """Descriptor of the listening socket if the platform opened it."""
+    """Descriptor of the listening socket if the platform opened it; ``None`` to open one."""
     admin_address: Address | None = None
     """Address of the admin server; ``None`` to disable it."""
 
@@ -98,23 +98,23 @@
 
 
 def _decode(raw: JsonObject, environment: Environment) -> SidecarConfig:
-    raw_settings = _typed(raw, "settings", dict)
-    limits = _typed(raw, "limits", dict)
-    report = _typed(raw_settings, "report", dict)
-    decoded = _decode_settings(raw_settings)
+    raw_settings = _object_or_list(raw, "settings", dict)
+    limits = _object_or_list(raw, "limits", dict)
+    report = _object_or_list(raw_settings, "report", dict)
+    decoded_settings = _decode_settings(raw_settings)
     return SidecarConfig(
         name=str(environment.get("PROXY_NAME") or raw.get("name") or DEFAULT_NAME),
         listen=parse_address(environment.get("PROXY_LISTEN") or raw.get("listen"), "listen"),
         discovery=parse_address(environment.get("PROXY_DISCOVERY") or raw.get("discovery"), "discovery"),
         seed=_seed(raw.get("seed")),
         descriptor_limit=_descriptor_limit(limits),
-        memory_limit_mb=_positive(limits, "memory_mb", DEFAULT_MEMORY_LIMIT_MB),
+        memory_limit_mb=_positive_integer(limits, "memory_mb", DEFAULT_MEMORY_LIMIT_MB),
         cores=_cores(limits.get("cores")),
         cached_endpoints=parse_endpoint_list(raw.get("known") or NO_ENDPOINTS, "known"),
-        settings=decoded.settings,
-        zones=tuple(str(zone) for zone in _typed(raw_settings, "zones", list)),
-        idle_timeout_ns=decoded.idle_timeout_ns,
-        connect_timeout_ns=decoded.connect_timeout_ns,
+        settings=decoded_settings.settings,
+        zones=tuple(str(zone) for zone in _object_or_list(raw_settings, "zones", list)),
+        idle_timeout_ns=decoded_settings.idle_timeout_ns,
+        connect_timeout_ns=decoded_settings.connect_timeout_ns,
         load_reports_in_responses=report.get("how") == "answers",
         inherited_socket_fd=_inherited_socket_fd(environment.get("PROXY_SOCKET_FD")),
         admin_address=_admin_address(environment.get("PROXY_OPERATOR") or raw.get("operator")),
@@ -130,13 +130,13 @@
 
 
 def _decode_settings(raw_settings: JsonObject) -> _DecodedSettings:
-    """Decode the ``settings`` object, which also has the timeouts of connections in ``ceilings``."""
-    ceilings = _typed(raw_settings, "ceilings", dict)
+    """Decode the ``settings`` object, whose ``ceilings`` also contain the timeouts of connections."""
+    ceilings = _object_or_list(raw_settings, "ceilings", dict)
     if not isinstance(raw_settings.get("grades"), list) or not raw_settings["grades"]:
         raise ValueError("settings.grades: must be a non-empty list of classes")
     try:
-        idle_timeout_ns = _positive(ceilings, "keepalive_ns", DEFAULT_IDLE_TIMEOUT_NS)
-        connect_timeout_ns = _positive(ceilings, "connect_timeout_ns", DEFAULT_CONNECT_TIMEOUT_NS)
+        idle_timeout_ns = _positive_integer(ceilings, "keepalive_ns", DEFAULT_IDLE_TIMEOUT_NS)
+        connect_timeout_ns = _positive_integer(ceilings, "connect_timeout_ns", DEFAULT_CONNECT_TIMEOUT_NS)
         settings = _sidecar_settings(raw_settings, connect_timeout_ns)
     except (ValueError, TypeError, AttributeError) as error:
         raise ValueError(f"settings: {error}") from error
@@ -144,18 +144,19 @@
 
 
 def _sidecar_settings(raw_settings: JsonObject, connect_timeout_ns: int) -> balancing.Settings:
-    """Return the balancer's settings with the values that differ between a sidecar and the simulator.
+    """Return the balancer's settings, with two values that a sidecar sets differently from the simulator.
 
-    A sidecar always watches the endpoint list.  It sends a retry up to the connect timeout after the decision.  With
-    this margin as the timer resolution, no retry with an idempotency key arrives after the deduplication window.
+    A sidecar always watches the endpoint list.  It may send a retry up to the connect timeout after the decision to
+    retry.  With this delay as the timer resolution, no retry with an idempotency key arrives after the deduplication
+    window.
     """
     settings = read_settings(raw_settings)
     resolution_ns = max(settings.timer_resolution_ns, connect_timeout_ns)
     return replace(settings, subscribe_to_endpoints=True, timer_resolution_ns=resolution_ns)
 
 
-def _typed(raw: JsonObject, key: str, value_type: type[dict[str, Any]] | type[list[Any]]) -> Any:
-    """Return the object or list at ``key``; empty if the key is missing."""
+def _object_or_list(raw: JsonObject, key: str, value_type: type[dict[str, Any]] | type[list[Any]]) -> Any:
+    """Return the object or list at ``key``; an empty one if the key is missing."""
     value = raw.get(key)
     if value is None:
         return value_type()
@@ -164,7 +165,7 @@
     return value
 
 
-def _positive(raw: JsonObject, key: str, default: int) -> int:
+def _positive_integer(raw: JsonObject, key: str, default: int) -> int:
     value = raw.get(key)
     if value is None:
         return default
@@ -174,7 +175,7 @@
 
 
 def _descriptor_limit(limits: JsonObject) -> int:
-    limit = _positive(limits, "sockets", DEFAULT_DESCRIPTOR_LIMIT)
+    limit = _positive_integer(limits, "sockets", DEFAULT_DESCRIPTOR_LIMIT)
     if limit < MIN_DESCRIPTOR_LIMIT:
         raise ValueError(f"limits.sockets: must be at least {MIN_DESCRIPTOR_LIMIT}, not {limit}")
     return limit
