--- a/lugtally/cli/daemon.py
+++ b/lugtally/cli/daemon.py
@@ -49,7 +49,7 @@
 
     options = _OperatorOptions()
     try:
-        config = sidecar.load(os.environ)
+        config = sidecar.load_config(os.environ)
         if operator is not None:
             options = _load_operator_options(operator, config.settings)
     except ValueError as error:
@@ -102,7 +102,7 @@
             )
             if file is None and "PROXY_CONFIG" not in os.environ:
                 return 0
-        config = sidecar.load(os.environ, file)
+        config = sidecar.load_config(os.environ, file)
     except ValueError as error:
         return print_error(error)
     print(
--- a/lugtally/config/sidecar.py
+++ b/lugtally/config/sidecar.py
@@ -64,7 +64,7 @@
     """Address of the admin server; ``None`` to disable it."""
 
 
-def load(environment: Environment, path: str | None = None, *, reloading: bool = False) -> SidecarConfig:
+def load_config(environment: Environment, path: str | None = None, *, reloading: bool = False) -> SidecarConfig:
     """Load the file at ``path`` or, without one, at ``$PROXY_CONFIG``; the other variables override its values.
 
     If ``reloading``, ``discovery`` in the file overrides ``$PROXY_DISCOVERY``, because the environment of a running
--- a/lugtally/daemon/reload.py
+++ b/lugtally/daemon/reload.py
@@ -13,7 +13,7 @@
 def reload_configuration(endpoint_watcher: EndpointWatcher) -> None:
     """Reload the configuration and watch the endpoint list at its discovery address.  Other changes need a restart."""
     try:
-        config = sidecar.load(os.environ, reloading=True)
+        config = sidecar.load_config(os.environ, reloading=True)
     except sidecar.ConfigurationError as error:
         # An invalid file must not stop the sidecar; it continues with its current configuration.
         logger.error("new configuration rejected: {reason}", event="config.rejected", reason=str(error))
--- a/lugtally/testbed/experiments/baselines.py
+++ b/lugtally/testbed/experiments/baselines.py
@@ -168,10 +168,12 @@
 
 def main(name: str) -> int:
     """Serve as the daemon does, with this policy instead of the balancer."""
-    from lugtally.config.sidecar import load
+    from lugtally.config.sidecar import load_config
     from lugtally.daemon.sidecar import serve
 
-    return serve(load(os.environ), "WARNING", policy_factory=lambda settings, seed: Baseline(name, settings, seed))
+    return serve(
+        load_config(os.environ), "WARNING", policy_factory=lambda settings, seed: Baseline(name, settings, seed)
+    )
 
 
 if __name__ == "__main__":
