--- a/lugtally/logs.py
+++ b/lugtally/logs.py
@@ -1,6 +1,6 @@
 """The daemon's log on standard error: plain text, or one JSON object per line.
 
-The names and fields of events are a stable interface, which docs/logging.md lists.  Texts can change.
+The names and fields of events are a stable interface, which docs/logging.md describes.  Texts may change.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 TEXT_FORMAT = "{time:HH:mm:ss.SSS} {level: <7} {message}"
 Format = Literal["text", "json"]
 UNNAMED_EVENT = "unnamed"
-"""Event name of a line that has none, which is a bug in the program."""
+"""Event name of a line that was logged without one, which is a bug in the program."""
 
 
 def _write_json(message: Message) -> None:
-    """Write one JSON object: time, level, event, text, the fields of the event, and the traceback of an exception."""
+    """Write a record as one JSON object: time, level, event, text, fields of the event, traceback of an exception."""
     record = message.record
     fields = dict(record["extra"])
     line = {
@@ -40,7 +40,7 @@
 
 
 def start(level: str, log_format: Format) -> None:
-    """Configure the log: events of ``level`` and above, in ``log_format``.  Replaces the previous configuration."""
+    """Log events of ``level`` and above to standard error in ``log_format``.  Replaces the previous configuration."""
     logger.remove()
     if log_format == "json":
         logger.add(_write_json, level=level, format="{message}", backtrace=False, diagnose=False)
