--- a/lugtally/cli/daemon.py
+++ b/lugtally/cli/daemon.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from lugtally.balancing import Settings
     from lugtally.config.operator_file import OperatorFile
-    from lugtally.logs import Format
+    from lugtally.logs import LogFormat
     from lugtally.overload.admission import OverloadLimits
 
 LOG_LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
@@ -29,7 +29,7 @@
     """The options of ``serve`` that the operator's file can set.  The defaults apply if there is no file."""
 
     log_level: str = "INFO"
-    log_format: Format = "text"
+    log_format: LogFormat = "text"
     overload: OverloadLimits | None = None
     status_path: str = ""
 
@@ -42,7 +42,7 @@
     "--log-format", type=click.Choice(LOG_FORMATS), help="takes precedence over the operator's file  [default: text]"
 )
 @click.option("--operator", metavar="FILE", help="the operator's file, in TOML")
-def serve(log_level: str | None, log_format: Format | None, operator: str | None) -> int:
+def serve(log_level: str | None, log_format: LogFormat | None, operator: str | None) -> int:
     """Run the sidecar in the foreground, configured by the PROXY_* variables."""
     from lugtally.config import sidecar
     from lugtally.daemon.sidecar import serve as run_sidecar
--- a/lugtally/daemon/sidecar.py
+++ b/lugtally/daemon/sidecar.py
@@ -44,7 +44,7 @@
 def serve(
     config: SidecarConfig,
     log_level: str,
-    log_format: logs.Format = "text",
+    log_format: logs.LogFormat = "text",
     *,
     overload: OverloadLimits | None = None,
     status_path: str = "",
@@ -60,7 +60,7 @@
         status_path: The path of the Unix socket for ``lugtally status``; empty for none.
         policy_factory: Builds the balancing policy that replaces the balancer, for the testbed's baselines.
     """
-    logs.start(log_level, log_format)
+    logs.configure(log_level, log_format)
     try:
         sidecar = build_sidecar(config, overload, policy_factory)
         sidecar.start(status_path)
--- a/lugtally/logs.py
+++ b/lugtally/logs.py
@@ -17,7 +17,7 @@
     from loguru import Message
 
 TEXT_FORMAT = "{time:HH:mm:ss.SSS} {level: <7} {message}"
-Format = Literal["text", "json"]
+LogFormat = Literal["text", "json"]
 UNNAMED_EVENT = "unnamed"
 """Event name of a line that was logged without one, which is a bug in the program."""
 
@@ -39,7 +39,7 @@
     sys.stderr.flush()
 
 
-def start(level: str, log_format: Format) -> None:
+def configure(level: str, log_format: LogFormat) -> None:
     """Log events of ``level`` and above to standard error in ``log_format``.  Replaces the previous configuration."""
     logger.remove()
     if log_format == "json":
