--- a/lugtally/cli/daemon.py
+++ b/lugtally/cli/daemon.py
@@ -31,7 +31,7 @@
     log_level: str = "INFO"
     log_format: LogFormat = "text"
     overload: OverloadLimits | None = None
-    status_path: str = ""
+    status_socket_path: str = ""
 
 
 @click.command()
@@ -59,7 +59,7 @@
         log_level or options.log_level,
         log_format or options.log_format,
         overload=options.overload,
-        status_path=options.status_path,
+        status_socket_path=options.status_socket_path,
     )
 
 
@@ -71,7 +71,7 @@
         log_level=operator_file.log.level,
         log_format=operator_file.log.format,
         overload=overload_limits(operator_file.overload, settings),
-        status_path=operator_file.control.socket,
+        status_socket_path=operator_file.control.socket,
     )
 
 
--- a/lugtally/daemon/sidecar.py
+++ b/lugtally/daemon/sidecar.py
@@ -47,7 +47,7 @@
     log_format: logs.LogFormat = "text",
     *,
     overload: OverloadLimits | None = None,
-    status_path: str = "",
+    status_socket_path: str = "",
     policy_factory: BalancingPolicyFactory | None = None,
 ) -> int:
     """Run a sidecar until a signal stops it; return the exit status.
@@ -57,13 +57,13 @@
         log_level: The lowest level that is logged.
         log_format: The format of the log.
         overload: Limits above which the sidecar sheds load; without them, only the balancer rejects requests.
-        status_path: The path of the Unix socket for ``lugtally status``; empty for none.
+        status_socket_path: The path of the Unix socket for ``lugtally status``; empty for none.
         policy_factory: Builds the balancing policy that replaces the balancer, for the testbed's baselines.
     """
     logs.configure(log_level, log_format)
     try:
         sidecar = build_sidecar(config, overload, policy_factory)
-        sidecar.start(status_path)
+        sidecar.start(status_socket_path)
     except StartupError as error:
         print(f"lugtally: {error}", file=sys.stderr)
         return error.exit_status
@@ -96,7 +96,7 @@
         self._status_socket: StatusSocket | None = None
         self._admin_server: AdminServer | None = None
 
-    def start(self, status_path: str = "") -> None:
+    def start(self, status_socket_path: str = "") -> None:
         """Open the sockets and spawn the tasks, which do not run before :meth:`run`.
 
         Raises:
@@ -107,8 +107,8 @@
             self.loop.spawn(monitor_resources, self.loop, self.admission, self._resource_monitor())
         drains = OperatorDrains(self.dispatcher, self.downstream, DrainStore(tempfile.gettempdir(), self.config.name))
         drains.reload()
-        if status_path:
-            self._status_socket = StatusSocket(self.loop, status_path, self.snapshot)
+        if status_socket_path:
+            self._status_socket = StatusSocket(self.loop, status_socket_path, self.snapshot)
         self._admin_server = self._open_admin_server(drains)
         self._open_downstream()
         self._handle_signals()
