--- a/lugtally/daemon/__init__.py
+++ b/lugtally/daemon/__init__.py
@@ -1,5 +1,5 @@
-"""One running sidecar: it is built from its configuration, controlled by signals and stopped gracefully.
+"""Builds one sidecar from its configuration, runs it, controls it by signals and stops it gracefully.
 
-It owns the components of the sidecar and the order in which they are built, the maintenance tasks, operators' drains
-and the status socket.  It must not parse a protocol or make a balancing decision.
+The package owns the order in which the components of the sidecar are built and started, the maintenance tasks,
+operators' drains and the status socket.  It must not parse a protocol or make a balancing decision.
 """
