--- a/lugtally/daemon/errors.py
+++ b/lugtally/daemon/errors.py
@@ -1,4 +1,4 @@
-"""Errors that prevent a sidecar from starting.  The text of each is one line, and each class has its exit status."""
+"""Errors that prevent a sidecar from starting.  Their texts are one line each, and each class has an exit status."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class InvalidConfigurationError(StartupError):
-    """The configuration has an invalid value that is only detected while the sidecar is built."""
+    """The configuration has an invalid value that is detected only while the sidecar is built or started."""
 
 
 class StatusSocketError(StartupError):
