--- a/lugtally/daemon/maintenance.py
+++ b/lugtally/daemon/maintenance.py
@@ -1,4 +1,4 @@
-"""Periodic tasks of a running sidecar: expired connections, readiness, timer lag."""
+"""Periodic maintenance of a running sidecar: readiness, expired connections and timer lag."""
 
 from __future__ import annotations
 
@@ -12,29 +12,30 @@
 
 MAINTENANCE_INTERVAL_NS = 1000 * NS_PER_MS
 READINESS_CHECK_INTERVAL_NS = 10 * NS_PER_MS
-"""Maintenance interval until the sidecar is ready."""
+"""Interval in place of ``MAINTENANCE_INTERVAL_NS`` until the sidecar is ready."""
 TIMER_LAG_WARNING_NS = 50 * NS_PER_MS
-"""Smallest delay of a timer that is logged."""
+"""Delay of a timer above which it is logged."""
 
 
 def maintain_connections(
     loop: EventLoop, upstream: UpstreamPool, endpoint_watcher: EndpointWatcher, downstream: DownstreamServer
 ) -> None:
-    """Periodically update the readiness, close expired connections and log late timers, while the loop runs.
+    """Update the readiness, close expired connections and log late timers, periodically and without end.
 
-    The sidecar becomes ready with its first ready endpoint, and then remains ready.
+    The sidecar becomes ready when its first endpoint is listed as ready, and then remains ready.
     """
     while True:
         downstream.ready = downstream.ready or endpoint_watcher.ready_count > 0
         loop.sleep(MAINTENANCE_INTERVAL_NS if downstream.ready else READINESS_CHECK_INTERVAL_NS)
         upstream.close_expired()
-        _report_timer_lag(loop)
+        _log_timer_lag(loop)
 
 
-def _report_timer_lag(loop: EventLoop) -> None:
+def _log_timer_lag(loop: EventLoop) -> None:
     """Log the largest delay of a timer since the last call.
 
-    A delay is caused by the machine, a garbage collection or a long turn of the event loop, and delays responses too.
+    The machine, a garbage collection or a long iteration of the event loop causes such a delay, which also delays
+    responses.
     """
     if loop.max_timer_lag_ns > TIMER_LAG_WARNING_NS:
         logger.warning(
