--- a/lugtally/daemon/maintenance.py
+++ b/lugtally/daemon/maintenance.py
@@ -17,7 +17,7 @@
 """Delay of a timer above which it is logged."""
 
 
-def maintain_connections(
+def run_maintenance(
     loop: EventLoop, upstream: UpstreamPool, endpoint_watcher: EndpointWatcher, downstream: DownstreamServer
 ) -> None:
     """Update the readiness, close expired connections and log late timers, periodically and without end.
--- a/lugtally/daemon/sidecar.py
+++ b/lugtally/daemon/sidecar.py
@@ -16,7 +16,7 @@
 from lugtally.admin.server import AdminServer
 from lugtally.config.sidecar import SidecarConfig
 from lugtally.daemon.errors import InvalidConfigurationError, ListenError, StartupError
-from lugtally.daemon.maintenance import maintain_connections
+from lugtally.daemon.maintenance import run_maintenance
 from lugtally.daemon.operator_drains import OperatorDrains, follow_drain_file
 from lugtally.daemon.overload_protection import monitor_resources
 from lugtally.daemon.reload import reload_configuration
@@ -196,7 +196,7 @@
     def _spawn_tasks(self, drains: OperatorDrains) -> None:
         loop = self.loop
         loop.spawn(self.endpoint_watcher.start, self.config.cached_endpoints)
-        loop.spawn(maintain_connections, loop, self.upstream, self.endpoint_watcher, self.downstream)
+        loop.spawn(run_maintenance, loop, self.upstream, self.endpoint_watcher, self.downstream)
         loop.spawn(follow_drain_file, loop, drains)
 
 
