--- a/lugtally/daemon/operator_drains.py
+++ b/lugtally/daemon/operator_drains.py
@@ -12,7 +12,7 @@
 from lugtally.units import NS_PER_MS
 
 DRAIN_FILE_READ_INTERVAL_NS = 250 * NS_PER_MS
-"""Interval after which a drain started in another process of the same name takes effect in this one."""
+"""Longest time until a drain that another process of the same name started takes effect in this one."""
 
 
 class OperatorDrains:
@@ -32,14 +32,14 @@
         return self._downstream.ready and not self._downstream.draining
 
     def counters(self) -> dict[str, object]:
-        """Return the request metrics by their names in the response of the counters call."""
+        """Return the request metrics, with the keys of the response to the counters call."""
         dispatcher = self._dispatcher
         return dispatcher.metrics.snapshot(
             dispatcher.in_progress, dispatcher.endpoint_count, dispatcher.disabled_count()
         )
 
     def start_drain(self, endpoint_name: str) -> bool:
-        """Send no new requests to the endpoint until :meth:`end_drain`; return whether it has ever been listed."""
+        """Send no new requests to the endpoint until :meth:`end_drain`; return whether it was ever listed."""
         if endpoint_name not in self._drained:
             endpoint_id = endpoint_id_of(endpoint_name)
             if not self._dispatcher.was_listed(endpoint_id):
@@ -51,7 +51,7 @@
         return True
 
     def end_drain(self, endpoint_name: str) -> bool:
-        """End the drain of the endpoint, which starts to warm up; return whether it has ever been listed or drained."""
+        """End the drain of the endpoint, which then warms up; return whether it was ever listed or is drained."""
         endpoint_id = endpoint_id_of(endpoint_name)
         if endpoint_name not in self._drained:
             return self._dispatcher.was_listed(endpoint_id)
@@ -62,7 +62,7 @@
         return True
 
     def reload(self) -> None:
-        """Apply the drains in the drain file, if another process of this name changed it since the last call."""
+        """Apply the drains in the drain file if another process of this name has changed it."""
         stored = self._store.read()
         if stored is None:
             return
@@ -76,7 +76,7 @@
 
 
 def follow_drain_file(loop: EventLoop, drains: OperatorDrains) -> None:
-    """Periodically apply changes of the drain file by other processes, while the loop runs."""
+    """Apply the changes of other processes to the drain file, periodically and without end."""
     while True:
         loop.sleep(DRAIN_FILE_READ_INTERVAL_NS)
         drains.reload()
