--- a/lugtally/daemon/operator_drains.py
+++ b/lugtally/daemon/operator_drains.py
@@ -75,7 +75,7 @@
         self._drained = stored
 
 
-def follow_drain_file(loop: EventLoop, drains: OperatorDrains) -> None:
+def poll_drain_file(loop: EventLoop, drains: OperatorDrains) -> None:
     """Apply the changes of other processes to the drain file, periodically and without end."""
     while True:
         loop.sleep(DRAIN_FILE_READ_INTERVAL_NS)
--- a/lugtally/daemon/sidecar.py
+++ b/lugtally/daemon/sidecar.py
@@ -17,7 +17,7 @@
 from lugtally.config.sidecar import SidecarConfig
 from lugtally.daemon.errors import InvalidConfigurationError, ListenError, StartupError
 from lugtally.daemon.maintenance import run_maintenance
-from lugtally.daemon.operator_drains import OperatorDrains, follow_drain_file
+from lugtally.daemon.operator_drains import OperatorDrains, poll_drain_file
 from lugtally.daemon.overload_protection import monitor_resources
 from lugtally.daemon.reload import reload_configuration
 from lugtally.daemon.signals import handle_signals
@@ -197,7 +197,7 @@
         loop = self.loop
         loop.spawn(self.endpoint_watcher.start, self.config.cached_endpoints)
         loop.spawn(run_maintenance, loop, self.upstream, self.endpoint_watcher, self.downstream)
-        loop.spawn(follow_drain_file, loop, drains)
+        loop.spawn(poll_drain_file, loop, drains)
 
 
 def build_sidecar(
