--- a/lugtally/admin/calls.py
+++ b/lugtally/admin/calls.py
@@ -54,10 +54,10 @@
         """Return the JSON object of the counters, with its documented keys."""
 
     def start_drain(self, endpoint_name: str) -> bool:
-        """Drain the endpoint until :meth:`end_drain`; return whether it has ever been listed."""
+        """Drain the endpoint until :meth:`end_drain`; return whether it was ever listed."""
 
     def end_drain(self, endpoint_name: str) -> bool:
-        """End the drain of the endpoint; return whether it has ever been listed or drained."""
+        """End the drain of the endpoint; return whether it was ever listed or is drained."""
 
 
 def parse_call(method: str, target: str) -> AdminCall | AdminResponse:
