--- a/lugtally/daemon/operator_drains.py
+++ b/lugtally/daemon/operator_drains.py
@@ -62,7 +62,7 @@
         return True
 
     def reload(self) -> None:
-        """Apply the drains in the drain file if another process of this name has changed it."""
+        """Apply the drains in the drain file if another process of this name has changed it since the last call."""
         stored = self._store.read()
         if stored is None:
             return
