--- a/lugtally/daemon/overload_protection.py
+++ b/lugtally/daemon/overload_protection.py
@@ -1,4 +1,4 @@
-"""Overload protection of the sidecar itself: its limits from the operator's file, and periodic resource readings."""
+"""Overload protection of the sidecar: limits from the operator's file, and periodic readings of its resource usage."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def overload_limits(section: OverloadSection, settings: balancing.Settings) -> OverloadLimits | None:
-    """Convert the ``[overload]`` section to the limits of the admission controller; ``None`` if it is disabled."""
+    """Convert the ``[overload]`` section to limits of the admission controller; ``None`` if it is disabled."""
     if not section.enabled:
         return None
     max_retry_after_ns = min(settings.max_retry_after_ns, MAX_RETRY_AFTER_NS) if settings.retry_after_allowed else 0
@@ -33,7 +33,7 @@
 
 
 def monitor_resources(loop: EventLoop, admission: AdmissionController, monitor: ResourceMonitor) -> None:
-    """Periodically read the resources of the process, while the loop runs; log when load shedding starts or stops."""
+    """Read the resource usage of the process, periodically and without end; log when load shedding starts or stops."""
     shedding = False
     while True:
         loop.sleep(RESOURCE_READ_INTERVAL_NS)
