--- a/lugtally/daemon/reload.py
+++ b/lugtally/daemon/reload.py
@@ -1,4 +1,4 @@
-"""Reloading the configuration on SIGHUP."""
+"""Reloads the configuration on SIGHUP."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 def reload_configuration(endpoint_watcher: EndpointWatcher) -> None:
-    """Reload the configuration and watch the endpoint list at its discovery address.  Other changes need a restart."""
+    """Reload the configuration and move the watch to its discovery address.  Other changes require a restart."""
     try:
         config = sidecar.load_config(os.environ, reloading=True)
     except sidecar.ConfigurationError as error:
-        # An invalid file must not stop the sidecar; it continues with its current configuration.
+        # An invalid file must not stop the sidecar, which continues with its current configuration.
         logger.error("new configuration rejected: {reason}", event="config.rejected", reason=str(error))
         return
     logger.info(
