--- a/lugtally/daemon/sidecar.py
+++ b/lugtally/daemon/sidecar.py
@@ -1,4 +1,4 @@
-"""One sidecar: building it from its configuration, starting, running and stopping it."""
+"""The sidecar: builds it from its configuration, starts it, runs it and stops it."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 )
 
 BYTES_PER_MB = 1024 * 1024
-"""The unit of the memory limit in the configuration."""
+"""Bytes in one unit of the configured memory limit."""
 
 
 def serve(
@@ -56,9 +56,9 @@
         config: The configuration.
         log_level: The lowest level that is logged.
         log_format: The format of the log.
-        overload: Limits above which the sidecar sheds load; without them, only the balancer rejects requests.
-        status_socket_path: The path of the Unix socket for ``lugtally status``; empty for none.
-        policy_factory: Builds the balancing policy that replaces the balancer, for the testbed's baselines.
+        overload: Limits above which the sidecar sheds load; ``None`` if only the balancer may reject requests.
+        status_socket_path: The path of the Unix socket for ``lugtally status``; empty to disable it.
+        policy_factory: Builds a balancing policy in place of the balancer, for the baselines of the testbed.
     """
     logs.configure(log_level, log_format)
     try:
@@ -73,7 +73,7 @@
 
 
 class Sidecar:
-    """The components of one sidecar.  It starts and stops them in order."""
+    """The components of one sidecar, which it starts and stops in order."""
 
     def __init__(
         self,
@@ -110,13 +110,13 @@
         if status_socket_path:
             self._status_socket = StatusSocket(self.loop, status_socket_path, self.snapshot)
         self._admin_server = self._open_admin_server(drains)
-        self._open_downstream()
+        self._listen_downstream()
         self._handle_signals()
         self._spawn_tasks(drains)
 
     def run(self) -> None:
         """Serve until a graceful shutdown is complete."""
-        # The objects built so far live as long as the process.  Excluding them keeps garbage collections short.
+        # The objects built so far exist until the process ends.  Excluding them keeps garbage collections short.
         gc.collect()
         gc.freeze()
         config = self.config
@@ -138,7 +138,7 @@
         logger.info("{sidecar} has stopped", event="sidecar.stopped", sidecar=self.config.name)
 
     def snapshot(self) -> dict[str, Any]:
-        """Return the object that the status socket sends, by its documented keys."""
+        """Return the JSON object that the status socket sends, with its documented keys."""
         return {
             "sidecar": self.config.name,
             "version": __version__,
@@ -172,7 +172,7 @@
         except OSError as error:
             raise ListenError(f"operator: {address}: {error.strerror}") from error
 
-    def _open_downstream(self) -> None:
+    def _listen_downstream(self) -> None:
         """Listen at the configured address, or on the inherited socket."""
         config = self.config
         try:
@@ -226,9 +226,9 @@
 
 
 def _limit_poll_interval(settings: balancing.Settings) -> balancing.Settings:
-    """Return the settings with the poll interval limited to ``MAX_BACKOFF_NS``.
+    """Return the settings with the interval between polls of discovery limited to ``MAX_BACKOFF_NS``.
 
-    A longer backoff after a failed call could delay an endpoint update beyond the time in which it must take effect.
+    After a failed call, a longer backoff could delay an endpoint update beyond the time in which it must take effect.
     """
     interval_ns = min(settings.max_poll_interval_ns or MAX_BACKOFF_NS, MAX_BACKOFF_NS)
     return replace(settings, max_poll_interval_ns=interval_ns)
