--- a/lugtally/daemon/signals.py
+++ b/lugtally/daemon/signals.py
@@ -1,4 +1,4 @@
-"""Handling of signals by the event loop."""
+"""Handles signals in the event loop."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from lugtally.eventloop import READABLE, EventLoop
 
 MAX_SIGNALS_READ = 64
-"""Signals that are read from the socket at a time; each is one byte."""
+"""Largest number of signals that one read returns; each is one byte."""
 SignalHandlers = Mapping[signal.Signals, Callable[[], None]]
 
 
 def handle_signals(loop: EventLoop, handlers: SignalHandlers) -> None:
-    """Call the handler of each of these signals from the event loop.
+    """Let the event loop call the handler of each signal.
 
-    A signal wakes the loop through a socket, because Python restarts an interrupted poll.  Signals of the same kind
-    that arrive before the loop handles them count as one.
+    A signal wakes the loop through a socket, because Python restarts an interrupted poll.  If the same signal arrives
+    several times before the loop handles it, its handler is called once.
     """
     reader, writer = socket.socketpair()
     reader.setblocking(False)
@@ -26,9 +26,9 @@
     for number in handlers:
         signal.signal(number, lambda *_: None)
 
-    def dispatch(_: int) -> None:
-        writer.fileno()  # this reference keeps the writing end open
+    def call_handlers(_: int) -> None:
+        writer.fileno()  # the reference from this closure keeps the socket open
         for number in dict.fromkeys(reader.recv(MAX_SIGNALS_READ)):
             handlers[signal.Signals(number)]()
 
-    loop.register(reader.fileno(), READABLE, dispatch)
+    loop.register(reader.fileno(), READABLE, call_handlers)
