--- a/lugtally/daemon/status_socket.py
+++ b/lugtally/daemon/status_socket.py
@@ -1,6 +1,6 @@
 """The status socket: a Unix socket that sends each client the state of the sidecar as one JSON object.
 
-It accepts no commands.  Only the user of the sidecar process may connect.
+The socket accepts no commands.  Only the user of the sidecar process may connect.
 """
 
 from __future__ import annotations
@@ -20,24 +20,24 @@
 
 CLIENT_WRITE_TIMEOUT_NS = 1000 * NS_PER_MS
 ACCEPT_ERROR_PAUSE_NS = 50 * NS_PER_MS
-"""Pause after an error of ``accept``.  Without it, a backlog that remains readable would keep the loop busy."""
+"""Pause after an error of ``accept``.  Without it, the listener would remain readable and keep the event loop busy."""
 LISTEN_BACKLOG = 4
-Snapshot = Callable[[], dict[str, Any]]
+TakeSnapshot = Callable[[], dict[str, Any]]
 """Returns the state of the sidecar as a JSON object."""
 
 
 class StatusSocket:
     """The listening socket.  Each client receives one snapshot, then the connection is closed."""
 
-    def __init__(self, loop: EventLoop, path: str, snapshot: Snapshot) -> None:
-        """Listen at ``path``, and call ``snapshot`` for each client.
+    def __init__(self, loop: EventLoop, path: str, take_snapshot: TakeSnapshot) -> None:
+        """Listen at ``path``, and call ``take_snapshot`` for each client.
 
         Raises:
             StatusSocketError: The path cannot be used, or a file that is not a socket exists there.
         """
         self._loop = loop
         self._path = path
-        self._snapshot = snapshot
+        self._take_snapshot = take_snapshot
         try:
             _remove_stale_socket(path)
             self._listener = _listen(path)
@@ -47,7 +47,7 @@
         loop.spawn(self._serve_clients)
 
     def close(self) -> None:
-        """Stop listening and remove the socket's file."""
+        """Stop listening and remove the socket file."""
         self._listener.close()
         try:
             os.unlink(self._path)
@@ -55,7 +55,7 @@
             pass  # the file has already been removed
 
     def _serve_clients(self) -> None:
-        """Serve one client at a time, which limits the descriptors that slow clients can use."""
+        """Serve one client at a time, so that slow clients use at most one descriptor."""
         while self._listener.fileno() >= 0:
             if self._loop.wait(self._listener.fileno(), READABLE) is WakeReason.READY:
                 self._serve_client()
@@ -64,7 +64,7 @@
         try:
             client, _ = self._listener.accept()
         except OSError:
-            # Most likely no descriptor is free.
+            # The most likely cause is that no descriptor is free.
             self._loop.sleep(ACCEPT_ERROR_PAUSE_NS)
             return
         with client:
@@ -79,13 +79,13 @@
                 )
 
     def _write_snapshot(self, client: socket.socket) -> None:
-        """Write a snapshot, or a part of it if the client does not read within ``CLIENT_WRITE_TIMEOUT_NS``."""
-        data = ujson.dumps(self._snapshot(), escape_forward_slashes=False).encode() + b"\n"
+        """Write a snapshot.  A client that does not read within ``CLIENT_WRITE_TIMEOUT_NS`` receives a part of it."""
+        data = ujson.dumps(self._take_snapshot(), escape_forward_slashes=False).encode() + b"\n"
         send_all(self._loop, client, data, self._loop.now() + CLIENT_WRITE_TIMEOUT_NS)
 
 
 def _listen(path: str) -> socket.socket:
-    """Return a listening socket that only the user of this process may connect to."""
+    """Return a listening socket to which only the user of this process may connect."""
     listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
     previous_umask = os.umask(0o177)
     try:
