--- a/lugtally/daemon/sidecar.py
+++ b/lugtally/daemon/sidecar.py
@@ -116,7 +116,7 @@
 
     def run(self) -> None:
         """Serve until a graceful shutdown is complete."""
-        # The objects built so far exist until the process ends.  Excluding them keeps garbage collections short.
+        # The objects built so far live as long as the process.  Excluding them keeps garbage collections short.
         gc.collect()
         gc.freeze()
         config = self.config
