--- a/lugtally/discovery/__init__.py
+++ b/lugtally/discovery/__init__.py
@@ -1,7 +1,7 @@
-"""The watch of the endpoint list at the discovery service.
+"""Watches the endpoint list at the discovery service.
 
-This package owns the watch, its timeouts, and the records and start times of the endpoints.  It must not know requests,
-nor how an endpoint is chosen.
+The package owns the watch, its timeouts, and the records and start times of the endpoints.  It must not know requests,
+nor how an endpoint is selected.
 """
 
 from lugtally.discovery.timing import MAX_BACKOFF_NS
