--- a/lugtally/discovery/client.py
+++ b/lugtally/discovery/client.py
@@ -1,4 +1,4 @@
-"""The client of a discovery service: one connection, one call at a time."""
+"""The client of a discovery service.  It has one connection, and makes one call at a time."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 from lugtally.units import NS_PER_MS
 
 READ_CHUNK_BYTES = 64 * 1024
-"""The most bytes that one read returns."""
+"""Largest number of bytes that one read returns."""
 MAX_LIST_BYTES = 4 * 1024 * 1024
-"""The longest endpoint list that is accepted."""
+"""Size of the largest endpoint list that is accepted."""
 LIST_PATH = "/catalog/members"
 
 
@@ -32,7 +32,7 @@
 class ConnectTimeoutError(OSError):
     """Connecting to discovery timed out.
 
-    This is not a :class:`TimeoutError`: after that error, a missing response, the call is retried at once.
+    This is not a :class:`TimeoutError`, which stands for a missing response: that call is retried at once.
     """
 
     def __init__(self) -> None:
@@ -43,7 +43,7 @@
     """Polls one discovery service.
 
     Attributes:
-        version: The version of the list that was applied last; ``None`` requests the full list.
+        version: The version of the list that was applied last; ``None`` to request the full list.
         watch_requested: Set when the balancer requests the next call after a failure.  Each client has its own event,
             so that the task of an earlier client cannot consume a wake-up for this one.
     """
@@ -59,9 +59,9 @@
     def fetch_update(self) -> EndpointList:
         """Return the changes since ``version``, or the full list if there is no version.
 
-        Changes are requested even after a timeout, a reset or a refused connection.  A full list costs discovery work
-        for each record, and a restarted discovery is called by all sidecars at once.  A discovery that restarted its
-        versions responds with a lower one, and only then the full list is needed.
+        Only changes are requested, even after a timeout, a reset or a refused connection.  A full list costs discovery
+        work for each record, and a restarted discovery is called by all sidecars at once.  The full list is needed only
+        if discovery has restarted its versions; it then responds with a lower version.
 
         Raises:
             OSError: The call failed, and its retry on a new connection failed if there was one.
@@ -85,13 +85,13 @@
         self._parser = self._new_parser()
 
     def _call_with_retry(self, target: str) -> Message:
-        """Make a call; retry it once, on a new connection, if the connection turns out to be lost.
+        """Make a call; retry it once on a new connection if its connection was lost.
 
         A reused connection may have been closed between two calls.  A call without a response has probably lost its
-        connection.  Neither means that discovery has failed, and a backoff would exceed the timing budget.
+        connection.  Neither means that discovery has failed, and a backoff would exceed the budget of ``timing``.
         """
         if self._sock is not None and not is_quiet(self._sock):
-            self.close()  # closed by discovery, or bytes that belong to no call
+            self.close()  # discovery closed it, or it has received bytes that belong to no call
         is_reused = self._sock is not None
         try:
             return self._call(target)
@@ -127,7 +127,7 @@
             response = self._parser.feed(data) if data else self._parser.end_of_input()
             if response is not None:
                 if not response.keep_alive or not data or not self._parser.is_idle:
-                    self.close()  # further bytes would be read as the response to the next call
+                    self.close()  # otherwise, further bytes would be read as the response to the next call
                 return response
             if not data:
                 raise ConnectionResetError("the connection was closed")
@@ -146,10 +146,10 @@
 
         Raises:
             InterruptedError: The watch moved to another discovery.
-            OSError: The deadline passed (``timeout_error``), even if bytes can be read.
+            OSError: The deadline has passed, even if bytes can be read.  This is ``timeout_error``.
         """
         if self._loop.now() >= deadline_ns:
-            raise timeout_error  # with an endless response the socket is always readable
+            raise timeout_error  # checked first, because an endless response keeps the socket readable
         reason = self._loop.wait(sock.fileno(), poll_events, deadline_ns)
         if reason is WakeReason.INTERRUPTED:
             raise InterruptedError("the watch moved to another discovery")
