--- a/lugtally/discovery/start_times.py
+++ b/lugtally/discovery/start_times.py
@@ -1,4 +1,4 @@
-"""Conversion of the start times of endpoints from Unix time to the clock of the event loop."""
+"""Converts the start times of endpoints from Unix time to the clock of the event loop."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class _StartTime(NamedTuple):
-    """A start time as the list states it, and on the clock of the event loop."""
+    """A start time in Unix time, as listed, and on the clock of the event loop."""
 
     started_ms: int
     started_ns: int
@@ -19,8 +19,8 @@
 class StartTimeConverter:
     """Converts each start time of an endpoint only once.
 
-    If the same start time were converted again after a step of the wall clock, the endpoint would seem to have
-    restarted, and would warm up again.
+    If a start time were converted again after a step of the wall clock, the result would differ.  The endpoint would
+    seem to have restarted and would warm up again.
     """
 
     def __init__(self, loop: EventLoop) -> None:
@@ -28,12 +28,12 @@
         self._converted: dict[int, _StartTime] = {}
 
     def convert(self, record: EndpointRecord) -> int:
-        """Return when the endpoint started, in nanoseconds of the event loop's clock; 0 if that is long ago."""
+        """Return when the endpoint started, on the event loop's clock; 0 if that is long ago."""
         if record.started_ms <= 0:
             return 0
-        known = self._converted.get(record.endpoint_id)
-        if known is not None and known.started_ms == record.started_ms:
-            return known.started_ns
+        previous = self._converted.get(record.endpoint_id)
+        if previous is not None and previous.started_ms == record.started_ms:
+            return previous.started_ns
         clock_offset_ns = self._loop.wall_clock() - self._loop.now()
         started_ns = max(1, record.started_ms * NS_PER_MS - clock_offset_ns)
         if record.state is not ListedState.REMOVED:
