--- a/lugtally/discovery/watcher.py
+++ b/lugtally/discovery/watcher.py
@@ -43,38 +43,38 @@
         return sum(endpoint.state is ListedState.READY for endpoint in self._endpoints.values())
 
     def start(self, cached_list: EndpointList) -> None:
-        """Apply the cached list, then start the task that polls discovery when the balancer requests it."""
+        """Apply the cached list, then start the task that polls discovery.  Its first poll waits for :meth:`watch`."""
         self._apply_update(cached_list, EndpointUpdateKind.CACHED)
         self._client.version = cached_list.version
-        self._task = self._loop.spawn(self._follow, self._client)
+        self._task = self._loop.spawn(self._run_watch, self._client)
 
     def watch(self) -> None:
-        """Request the next poll.  The balancer does so after a failure, with a backoff."""
+        """Request the next poll.  The balancer does so for the first poll and, with a backoff, after each failure."""
         self._client.watch_requested.set()
 
     def move_to(self, address: Address) -> None:
         """Move the watch to the discovery at another address.
 
-        The current list stays valid until the new discovery responds.  Its full list is requested, as its versions need
-        not continue those of the old one.
+        The current list stays valid until the new discovery responds.  The full list is requested, because the
+        versions of the new discovery need not continue those of the old one.
         """
         if self._task is not None:
             self._loop.interrupt(self._task)
         self._client = DiscoveryClient(self._loop, address, None)
-        self._client.watch_requested.set()  # at once: a backoff concerns the old discovery only
-        self._task = self._loop.spawn(self._follow, self._client)
+        self._client.watch_requested.set()  # at once, because a backoff applies to the old discovery only
+        self._task = self._loop.spawn(self._run_watch, self._client)
 
     # ------------------------------------------------------------ the list
 
     def _apply_update(self, update: EndpointList, kind: EndpointUpdateKind) -> None:
         if update.rejected:
             self._log_rejected(update)
-        # A malformed record must not prevent the others from being applied: the previous record of its endpoint stays.
+        # A malformed record must not prevent the others from being applied: its endpoint keeps the previous record.
         listed = [self._endpoints[endpoint_id] for endpoint_id in update.rejected if endpoint_id in self._endpoints]
         for endpoint_id in self._removed_ids(update, kind):
             self._forget(endpoint_id)
         for record in update.records:
-            endpoint = self._listed_endpoint(record)
+            endpoint = self._to_listed_endpoint(record)
             if record.state is not ListedState.REMOVED:
                 self._endpoints[record.endpoint_id] = endpoint
                 self._upstream.set_address(record.endpoint_id, record.address)
@@ -99,20 +99,20 @@
         return removed
 
     def _forget(self, endpoint_id: int) -> None:
-        """Drop all state of an endpoint: a removed id is not used again, so its state would never be freed."""
+        """Drop all state of an endpoint.  Removed ids are not used again, so their state would never be freed."""
         self._endpoints.pop(endpoint_id, None)
         self._start_times.forget(endpoint_id)
         self._upstream.remove(endpoint_id)
 
-    def _listed_endpoint(self, record: EndpointRecord) -> ListedEndpoint:
+    def _to_listed_endpoint(self, record: EndpointRecord) -> ListedEndpoint:
         zone = self._zone_index(record)
         started_ns = self._start_times.convert(record)
         return ListedEndpoint(record.endpoint_id, zone, record.cell, record.state, started_ns)
 
     def _zone_index(self, record: EndpointRecord) -> int:
-        """Return the number of the record's zone.
+        """Return the index of the record's zone.
 
-        An endpoint without a zone shares its deduplication scope with no other, so it gets a zone of its own.
+        An endpoint without a zone must not share a deduplication scope with others, so it gets a zone of its own.
         """
         if not record.zone:
             return ~record.endpoint_id
@@ -120,15 +120,15 @@
 
     # ------------------------------------------------------------ the watch
 
-    def _follow(self, client: DiscoveryClient) -> None:
-        """Poll one discovery until the watch moves to another."""
+    def _run_watch(self, client: DiscoveryClient) -> None:
+        """Poll one discovery until the watch moves to another one."""
         while client is self._client:
             client.watch_requested.wait()
             self._poll_until_failure(client)
             client.close()
             if client is self._client:
                 # The current list stays valid, and the balancer decides when to poll again.  The new event discards a
-                # wake-up from before this failure, which would skip the backoff.
+                # wake-up from before this failure, as it would skip the backoff.
                 client.watch_requested = Event(self._loop)
                 self._dispatcher.update_endpoints(EndpointUpdateKind.FAILED)
 
@@ -146,16 +146,16 @@
             logger.exception("the watch of the endpoint list raised an exception", event="discovery.failed")
 
     def _poll(self, client: DiscoveryClient) -> None:
-        """Make one call and apply its update."""
+        """Make one call and apply the update that it returns."""
         started_ns = self._loop.now()
         update = client.fetch_update()
         if client is not self._client:
             return  # the watch moved during the call
         previous_version = client.version
         if previous_version is not None and update.version < previous_version and not update.full:
-            client.version = None  # its versions restarted: the changes do not continue the current list
+            client.version = None  # discovery restarted its versions: these changes do not apply to the current list
             return
         self._apply_update(update, EndpointUpdateKind.FULL if update.full else EndpointUpdateKind.DELTA)
-        client.version = update.version  # after the update, so that one that failed to apply is requested again
+        client.version = update.version  # after the update is applied, so that it is requested again if that fails
         if update.version == previous_version and self._loop.now() - started_ns < timing.EMPTY_RESPONSE_PAUSE_NS:
             self._loop.sleep(timing.EMPTY_RESPONSE_PAUSE_NS)
