--- a/tests/admin/test_calls.py
+++ b/tests/admin/test_calls.py
@@ -1,4 +1,4 @@
-"""Admin calls and the JSON object of the counters, without sockets."""
+"""Parsing and execution of admin calls, and the JSON object of the counters, without sockets."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 class FakeBackend:
-    """A backend with two listed endpoints."""
+    """A backend with two listed endpoints, which records the drained ones."""
 
     def __init__(self) -> None:
         self.drained: set[str] = set()
         self.listed = {"s-1", "s-2"}
-        self.service_ready = True
+        self.ready = True
 
     def is_ready(self) -> bool:
-        return self.service_ready
+        return self.ready
 
     def counters(self) -> dict[str, object]:
         return {"concurrent": 3}
@@ -54,7 +54,7 @@
 def test_calls_succeed_with_2xx_and_fail_otherwise() -> None:
     backend = FakeBackend()
     assert execute_call(AdminCall(AdminOperation.READY), backend).status == 200
-    backend.service_ready = False
+    backend.ready = False
     assert execute_call(AdminCall(AdminOperation.READY), backend).status == 503
     assert ujson.loads(execute_call(AdminCall(AdminOperation.COUNTERS), backend).body) == {"concurrent": 3}
     assert (
@@ -69,12 +69,12 @@
     assert not backend.drained
 
 
-def test_the_counters_have_the_documented_form() -> None:
-    counters = RequestMetrics(("campaign-read", "receipt-issue"))
-    counters.success[0] += 2
-    counters.overload[1] += 1
-    counters.dispatches += 3
-    assert counters.snapshot(4, 10, 1) == {
+def test_counters_have_the_documented_keys() -> None:
+    metrics = RequestMetrics(("campaign-read", "receipt-issue"))
+    metrics.success[0] += 2
+    metrics.overload[1] += 1
+    metrics.dispatches += 3
+    assert metrics.snapshot(4, 10, 1) == {
         "replies": {
             "campaign-read": {"success": 2, "overload": 0, "error": 0},
             "receipt-issue": {"success": 0, "overload": 1, "error": 0},
