--- a/tests/admin/test_drain_store.py
+++ b/tests/admin/test_drain_store.py
@@ -1,4 +1,4 @@
-"""The drain file: round trip, invalid files, and changes by another process."""
+"""The drain file: encoding and decoding, invalid files, failed writes, and changes by another process."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 @given(st.sets(st.text(min_size=1, max_size=40), max_size=50))
-def test_the_file_returns_what_was_written(drained: set[str]) -> None:
+def test_decode_returns_the_encoded_names(drained: set[str]) -> None:
     assert decode(encode(drained)) == drained
 
 
@@ -32,13 +32,13 @@
     assert store.path.with_suffix(".bad").read_bytes() == data
 
 
-def test_file_is_read_only_after_another_process_changed_it(store: DrainStore, tmp_path: Path) -> None:
-    other = DrainStore(str(tmp_path), "n1")
+def test_read_returns_names_only_after_another_process_changed_the_file(store: DrainStore, tmp_path: Path) -> None:
+    other_store = DrainStore(str(tmp_path), "n1")
     assert store.read() is None
     assert store.write({"s-1"})
-    assert store.read() is None  # its own write does not count as a change
-    assert other.read() == {"s-1"}
-    assert other.write({"s-1", "s-2"})
+    assert store.read() is None  # a write of the same store does not count as a change
+    assert other_store.read() == {"s-1"}
+    assert other_store.write({"s-1", "s-2"})
     assert store.read() == {"s-1", "s-2"}
     assert [path.name for path in tmp_path.iterdir()] == [store.path.name]  # no temporary file is left
 
