--- a/tests/admin/test_operator_drains.py
+++ b/tests/admin/test_operator_drains.py
@@ -1,4 +1,4 @@
-"""Operators' drains: the endpoint updates that the dispatcher sends to the balancing policy."""
+"""The endpoint updates that the dispatcher endpoint_ids to the balancing policy for operators' drains."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class RecordingPolicy:
-    """A balancing policy that records each endpoint list it receives."""
+    """A balancing policy that records each endpoint update it receives."""
 
     def __init__(self) -> None:
         self.updates: list[balancing.EndpointUpdate] = []
@@ -69,17 +69,17 @@
 ) -> None:
     dispatcher.update_endpoints(balancing.EndpointUpdateKind.FULL, [ready_endpoint(1, started_ns=5)])
     dispatcher.start_drain(1)
-    before = loop.now()
+    before_ns = loop.now()
     dispatcher.end_drain(1)
     dispatcher.update_endpoints(balancing.EndpointUpdateKind.FULL, [ready_endpoint(1, started_ns=5)])
-    restored, later = policy.updates[-2].endpoints[0], policy.updates[-1].endpoints[0]
-    assert restored.state is later.state is balancing.EndpointState.READY
-    assert before <= restored.started_ns == later.started_ns <= loop.now()
+    after_drain, after_next_list = policy.updates[-2].endpoints[0], policy.updates[-1].endpoints[0]
+    assert after_drain.state is after_next_list.state is balancing.EndpointState.READY
+    assert before_ns <= after_drain.started_ns == after_next_list.started_ns <= loop.now()
     assert dispatcher.disabled_count() == 0
 
 
 def test_operator_drain_applies_once_the_endpoint_is_listed(policy: RecordingPolicy, dispatcher: Dispatcher) -> None:
-    dispatcher.start_drain(3)  # as read from the drain file before the first list
+    dispatcher.start_drain(3)  # as when the drain file is read before the first endpoint list
     assert not policy.updates
     assert not dispatcher.was_listed(3)
     dispatcher.update_endpoints(balancing.EndpointUpdateKind.CACHED, [ready_endpoint(3)])
@@ -93,7 +93,7 @@
     assert isinstance(balancer, Balancer)
     dispatcher.update_endpoints(balancing.EndpointUpdateKind.FULL, [ready_endpoint(1), ready_endpoint(2)])
     dispatcher.start_drain(1)
-    sends = []
+    endpoint_ids = []
     for number in range(200):
         now = loop.now() + number * NS_PER_MS
         for attempt, action in enumerate(
@@ -101,15 +101,15 @@
             for action in balancer.handle(now, balancing.Request(f"r{number}", 0, 0, 2_000 * NS_PER_MS))
             if isinstance(action, balancing.SendAttempt)
         ):
-            sends.append(action.endpoint_id)
+            endpoint_ids.append(action.endpoint_id)
             balancer.handle(
                 now,
                 balancing.AttemptFinished(
                     f"r{number}", attempt, action.endpoint_id, balancing.AttemptResult.OK, True, NS_PER_MS, None
                 ),
             )
-    assert len(sends) >= 200
-    assert set(sends) == {2}
+    assert len(endpoint_ids) >= 200
+    assert set(endpoint_ids) == {2}
     dispatcher.end_drain(1)
     assert balancer.endpoints.usable
     assert {endpoint.id for endpoint in balancer.endpoints.usable} == {1, 2}
