--- a/tests/config/conftest.py
+++ b/tests/config/conftest.py
@@ -1,3 +1,5 @@
+"""Fixtures of this folder."""
+
 from __future__ import annotations
 
 import json
