--- a/tests/config/test_endpoint_list.py
+++ b/tests/config/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The decoding of the endpoint list."""
+"""Decoding of the endpoint list."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize(
-    ("word", "state"),
+    ("state_name", "state"),
     [
         ("ready", ListedState.READY),
         ("draining", ListedState.DRAINING),
@@ -18,13 +18,13 @@
         ("", ListedState.UNKNOWN),
     ],
 )
-def test_word_of_the_list_is_decoded_to_a_state(word: str, state: ListedState) -> None:
-    row = {"id": "s-1", "addr": "127.0.0.1:1", "state": word}
-    assert parse_endpoint_list({"version": 1, "servers": [row]}, "list").records[0].state is state
+def test_state_name_is_decoded(state_name: str, state: ListedState) -> None:
+    raw_record = {"id": "s-1", "addr": "127.0.0.1:1", "state": state_name}
+    assert parse_endpoint_list({"version": 1, "servers": [raw_record]}, "list").records[0].state is state
 
 
 def test_address_is_optional_for_removed_state_only() -> None:
-    row = {"id": "s-1", "state": "gone"}
-    assert len(parse_endpoint_list({"version": 1, "servers": [row]}, "list").records) == 1
+    raw_record = {"id": "s-1", "state": "gone"}
+    assert len(parse_endpoint_list({"version": 1, "servers": [raw_record]}, "list").records) == 1
     with pytest.raises(ValueError, match=r"list\.servers\[0\]\.addr"):
-        parse_endpoint_list({"version": 1, "servers": [{**row, "state": "hibernating"}]}, "list")
+        parse_endpoint_list({"version": 1, "servers": [{**raw_record, "state": "hibernating"}]}, "list")
