--- a/tests/admin/test_operator_drains.py
+++ b/tests/admin/test_operator_drains.py
@@ -1,4 +1,4 @@
-"""The endpoint updates that the dispatcher endpoint_ids to the balancing policy for operators' drains."""
+"""The endpoint updates that the dispatcher sends to the balancing policy for operators' drains."""
 
 from __future__ import annotations
 
