--- a/tests/config/test_operator_file.py
+++ b/tests/config/test_operator_file.py
@@ -1,4 +1,4 @@
-"""The operator's file, JSON logs, the status command, and modules that ``serve`` must not import."""
+"""The operator's file, the JSON log, the status command, and the modules that ``serve`` must not import."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "error_text"),
+    ("file_text", "error_text"),
     [
         ("[log", "invalid TOML"),
         ("[log]\nformat = 'xml'", "log.format: Invalid enum value 'xml'"),
@@ -58,13 +58,13 @@
         ("[log]\nlevel = 3", "log.level: Expected `str`, got `int`"),
     ],
 )
-def test_invalid_file_gives_one_line_and_status_2(tmp_path: Path, text: str, error_text: str) -> None:
+def test_invalid_file_is_reported_on_one_line_with_status_2(tmp_path: Path, file_text: str, error_text: str) -> None:
     path = tmp_path / "operator.toml"
-    path.write_text(text)
+    path.write_text(file_text)
     with pytest.raises(operator_file.OperatorFileError) as caught:
         operator_file.load(str(path))
     assert error_text in str(caught.value)
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "lugtally", "check-config", "--operator", str(path)],
         check=False,
         cwd=ROOT,
@@ -72,9 +72,9 @@
         text=True,
         env=environment_without_config(),
     )
-    assert done.returncode == 2
-    assert done.stderr.count("\n") == 1
-    assert error_text in done.stderr
+    assert completed.returncode == 2
+    assert completed.stderr.count("\n") == 1
+    assert error_text in completed.stderr
 
 
 def test_example_file_has_the_default_values() -> None:
@@ -89,7 +89,7 @@
 def test_json_log_has_the_documented_events(tmp_path: Path, config_path: Path) -> None:
     operator_path = tmp_path / "operator.toml"
     operator_path.write_text("[log]\nformat = 'json'\nlevel = 'DEBUG'\n")
-    child = subprocess.Popen(
+    process = subprocess.Popen(
         serve_command(operator_path),
         cwd=ROOT,
         stderr=subprocess.PIPE,
@@ -97,27 +97,27 @@
         env=environment_with_config(config_path),
     )
     try:
-        assert child.stderr is not None
-        first = child.stderr.readline()
+        assert process.stderr is not None
+        first_line = process.stderr.readline()
         config_path.write_text("{")
-        child.send_signal(signal.SIGHUP)
-        second = child.stderr.readline()
-        child.send_signal(signal.SIGTERM)
-        rest = child.stderr.read()
-        assert child.wait(10) == 0
+        process.send_signal(signal.SIGHUP)
+        second_line = process.stderr.readline()
+        process.send_signal(signal.SIGTERM)
+        remaining_text = process.stderr.read()
+        assert process.wait(10) == 0
     finally:
-        child.kill()
-    lines = [json.loads(line) for line in [first, second, *rest.splitlines()]]
+        process.kill()
+    lines = [json.loads(line) for line in [first_line, second_line, *remaining_text.splitlines()]]
     events = [line["event"] for line in lines]
     assert events[0] == "sidecar.serving"
     assert lines[0]["sidecar"] == "n1"
     assert isinstance(lines[0]["port"], int)
     assert {"config.rejected", "sidecar.draining", "sidecar.stopped"} <= set(events)
     assert all({"time", "level", "event", "text"} <= line.keys() for line in lines)
-    page, _, _ = (ROOT / "docs" / "logging.md").read_text().partition("## Names before this release")
-    documented = set(re.findall(r"^\| `([a-z._]+)`", page, re.M))
+    current_names, _, _ = (ROOT / "docs" / "logging.md").read_text().partition("## Names before this release")
+    documented_events = set(re.findall(r"^\| `([a-z._]+)`", current_names, re.M))
     source = "".join(path.read_text() for path in (ROOT / "lugtally").rglob("*.py"))
-    assert documented == set(re.findall(r'event="([a-z._]+)"', source)), (
+    assert documented_events == set(re.findall(r'event="([a-z._]+)"', source)), (
         "docs/logging.md lists exactly the events in the code"
     )
     assert source.count("logger.info(") + source.count("logger.warning(") + source.count(
@@ -130,7 +130,7 @@
         "import sys; from lugtally.__main__ import main; status = main(['serve']); "
         f"print(status, [name for name in {NOT_IMPORTED_BY_SERVE!r} if name in sys.modules])"
     )
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", code],
         check=False,
         cwd=ROOT,
@@ -138,8 +138,8 @@
         text=True,
         env=environment_without_config(),
     )
-    assert done.stdout.split(maxsplit=1) == ["2", "[]\n"], done.stdout
-    assert done.stderr == "lugtally: PROXY_CONFIG: not set\n"
+    assert completed.stdout.split(maxsplit=1) == ["2", "[]\n"], completed.stdout
+    assert completed.stderr == "lugtally: PROXY_CONFIG: not set\n"
 
 
 def run_status(path: Path, *options: str) -> subprocess.CompletedProcess[str]:
@@ -148,7 +148,7 @@
     return subprocess.run(command, check=False, cwd=ROOT, capture_output=True, text=True)
 
 
-def leave_stale_socket(path: Path) -> None:
+def create_stale_socket(path: Path) -> None:
     """Create a socket file without a listener, like that of a killed sidecar."""
     stale = socket.socket(socket.AF_UNIX)
     stale.bind(str(path))
@@ -168,9 +168,11 @@
     return path
 
 
-def test_file_at_the_socket_path_is_an_error(socket_path: Path, status_operator_path: Path, config_path: Path) -> None:
+def test_other_file_at_the_socket_path_is_an_error(
+    socket_path: Path, status_operator_path: Path, config_path: Path
+) -> None:
     socket_path.write_text("a file of another program")
-    done = subprocess.run(
+    completed = subprocess.run(
         serve_command(status_operator_path),
         check=False,
         cwd=ROOT,
@@ -178,16 +180,16 @@
         text=True,
         env=environment_with_config(config_path),
     )
-    assert done.returncode == 2
-    assert "operator file: control.socket: " in done.stderr
+    assert completed.returncode == 2
+    assert "operator file: control.socket: " in completed.stderr
     assert socket_path.read_text()
 
 
 def test_status_command_shows_a_running_sidecar(
     socket_path: Path, status_operator_path: Path, config_path: Path
 ) -> None:
-    leave_stale_socket(socket_path)
-    child = subprocess.Popen(
+    create_stale_socket(socket_path)
+    process = subprocess.Popen(
         serve_command(status_operator_path),
         cwd=ROOT,
         stderr=subprocess.PIPE,
@@ -195,22 +197,22 @@
         env=environment_with_config(config_path),
     )
     try:
-        assert child.stderr is not None
-        assert "sidecar.serving" in child.stderr.readline()
+        assert process.stderr is not None
+        assert "sidecar.serving" in process.stderr.readline()
         assert socket_path.stat().st_mode & 0o777 == 0o600
-        silent_client = socket.socket(socket.AF_UNIX)  # a client that reads nothing must not delay others
-        silent_client.connect(str(socket_path))
+        idle_client = socket.socket(socket.AF_UNIX)  # a client that does not read must not block others
+        idle_client.connect(str(socket_path))
         state = json.loads(run_status(socket_path, "--json").stdout)
         assert state["sidecar"] == "n1"
         assert state["requests"]["in_progress"] == 0
         assert state["overload"]["refusing"] is False
         assert state["draining"] is False
-        child.send_signal(signal.SIGTERM)
-        assert child.wait(10) == 0
+        process.send_signal(signal.SIGTERM)
+        assert process.wait(10) == 0
         assert not socket_path.exists()
-        silent_client.close()
+        idle_client.close()
     finally:
-        child.kill()
+        process.kill()
     after_stop = run_status(socket_path)
     assert after_stop.returncode == 1
     assert after_stop.stderr.count("\n") == 1
