--- a/lugtally/admin/server.py
+++ b/lugtally/admin/server.py
@@ -63,7 +63,7 @@
         self._loop = loop
         self._backend = backend
         self._connections: set[_Connection] = set()
-        self._slot_freed = Event(loop)
+        self._connection_closed = Event(loop)
         self._listener = _listen(address)
         loop.spawn(self._accept_connections)
 
@@ -78,7 +78,7 @@
         while self._listener.fileno() >= 0:
             if len(self._connections) >= MAX_CONNECTIONS:
                 self._evict_oldest_connection()
-                self._slot_freed.wait(self._loop.now() + EVICTION_INTERVAL_NS)
+                self._connection_closed.wait(self._loop.now() + EVICTION_INTERVAL_NS)
                 continue
             if self._loop.wait(self._listener.fileno(), READABLE) is WakeReason.READY:
                 self._accept_connection()
@@ -126,7 +126,7 @@
             self._loop.unregister(connection.sock.fileno())
             connection.sock.close()
             self._connections.discard(connection)
-            self._slot_freed.set()
+            self._connection_closed.set()
 
     def _process_call(self, connection: _Connection) -> AdminResponse:
         """Read, parse and execute the call; return its response."""
