--- a/lugtally/admin/drain_store.py
+++ b/lugtally/admin/drain_store.py
@@ -39,10 +39,10 @@
         """The version that was last read or written."""
 
     def read(self) -> set[str] | None:
-        """Return the names of the drained endpoints; ``None`` if there is no valid file or it is unchanged.
+        """Return the names of the drained endpoints, or ``None``.
 
-        Unchanged means since the last :meth:`read` or :meth:`write` of this object.  An error is logged.  An invalid
-        file is renamed, so that its contents are not lost.
+        ``None`` is returned if there is no valid file, or if it has not changed since this object last read or wrote
+        it.  An error is logged.  An invalid file is renamed, so that its contents are not lost.
         """
         try:
             version = self._current_version()
