--- a/lugtally/discovery/client.py
+++ b/lugtally/discovery/client.py
@@ -146,7 +146,7 @@
 
         Raises:
             InterruptedError: The watch moved to another discovery.
-            OSError: The deadline has passed, even if bytes can be read.  This is ``timeout_error``.
+            OSError: The deadline has passed, even if bytes can be read; the error is ``timeout_error``.
         """
         if self._loop.now() >= deadline_ns:
             raise timeout_error  # checked first, because an endless response keeps the socket readable
