--- a/tests/discovery/discovery_harness.py
+++ b/tests/discovery/discovery_harness.py
@@ -1,4 +1,4 @@
-"""Set-up of the races of discovery: a watch that starts with a cached list of version 1."""
+"""Helpers for tests of discovery: they start a watch with a cached list of version 1, and shorten the timeouts."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 def start_watch(sidecar: Sidecar) -> None:
-    """Start with a cached list of version 1 and let the balancer request one watch; it never requests another."""
+    """Start with a cached list of version 1 and request the first call; the scripted balancer requests no other."""
     cached = {"version": 1, "full": True, "servers": [sidecar.endpoint_row("s-a"), sidecar.endpoint_row("s-b")]}
     sidecar.endpoint_watcher.start(parse_endpoint_list(cached, "known"))
     sidecar.endpoint_watcher.watch()
 
 
 def start_first_call(sidecar: Sidecar) -> PeerConnection:
-    """Start a watch; return the connection of its first call, which has been read."""
+    """Start a watch and read the request of its first call; return the connection."""
     start_watch(sidecar)
     connection = sidecar.discovery.accept()
     assert "from=1&" in connection.read_head()
@@ -26,12 +26,12 @@
 
 
 def wait_for_failed_call(sidecar: Sidecar) -> None:
-    """Wait until the balancer has been informed of a failed call."""
+    """Wait until the balancer has received an update of kind ``failed``."""
     sidecar.wait_until(lambda: sidecar.balancer.endpoint_updates()[-1][0] == "failed")
 
 
 def update_kinds(sidecar: Sidecar) -> list[str]:
-    """Return the kind of each update that the balancer received."""
+    """Return the kinds of the updates that the balancer received, in order."""
     return [kind for kind, _ in sidecar.balancer.endpoint_updates()]
 
 
