--- a/tests/discovery/discovery_harness.py
+++ b/tests/discovery/discovery_harness.py
@@ -1,4 +1,4 @@
-"""Helpers for tests of discovery: they start a watch with a cached list of version 1, and shorten the timeouts."""
+"""Helpers for tests of discovery, which shorten the timeouts and start a watch with a cached list of version 1."""
 
 from __future__ import annotations
 
