--- a/tests/discovery/test_discovery_failures.py
+++ b/tests/discovery/test_discovery_failures.py
@@ -1,7 +1,8 @@
-"""Races of the endpoint watcher: failed watches, failed calls, and a move to another discovery server.
+"""Failures of discovery: lost watches, failed calls, and a move to another discovery during a backoff.
 
-A change must arrive 6 s after discovery has it and can be reached.  The balancer in these tests never requests a second
-call, so that one that follows at once is the watcher's own; the real balancer's backoff is tested without a socket.
+A change must arrive within 6 s after discovery has it and is reachable.  The scripted balancer never requests a second
+call, so that a call that follows at once is a retry of the watcher.  The backoff of the real balancer is tested without
+sockets.
 """
 
 from __future__ import annotations
@@ -20,10 +21,10 @@
 from tests.fakes import ENDPOINT_A, ENDPOINT_B, PeerConnection, Sidecar
 
 
-def test_update_delivery_times_sum_to_the_limit_with_margin() -> None:
-    margin = timing.UPDATE_DELIVERY_LIMIT_NS // 12
-    assert timing.UPDATE_DELIVERY_LIMIT_NS - margin >= timing.SILENT_DISCOVERY_WORST_CASE_NS
-    assert timing.UPDATE_DELIVERY_LIMIT_NS - margin >= timing.RETURNING_DISCOVERY_WORST_CASE_NS
+def test_worst_cases_stay_below_the_delivery_limit_by_a_margin() -> None:
+    margin_ns = timing.UPDATE_DELIVERY_LIMIT_NS // 12
+    assert timing.UPDATE_DELIVERY_LIMIT_NS - margin_ns >= timing.SILENT_DISCOVERY_WORST_CASE_NS
+    assert timing.UPDATE_DELIVERY_LIMIT_NS - margin_ns >= timing.RETURNING_DISCOVERY_WORST_CASE_NS
 
 
 PARTIAL_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{"
@@ -64,8 +65,8 @@
         pytest.param(2, respond_partly_and_close, id="truncated response"),
     ],
 )
-def test_failed_watch_is_reconnected_at_once(version: int, fail: Failure, sidecar: Sidecar) -> None:
-    """The balancer is not informed of a failure, and the next call requests the changes since the same version."""
+def test_lost_watch_is_retried_at_once(version: int, fail: Failure, sidecar: Sidecar) -> None:
+    """The balancer receives no failure, and the retry requests the changes since the same version."""
 
     def script() -> None:
         start_watch(sidecar)
@@ -104,18 +105,18 @@
     ],
 )
 def test_failed_call_waits_for_the_balancers_backoff(fail: Failure, calls: int, sidecar: Sidecar) -> None:
-    """The failure is reported once, and the next call requests changes only."""
+    """The failure is reported once, and the next call requests changes, not the full list."""
 
     def script() -> None:
         start_watch(sidecar)
-        connections = []  # each stays open while it is referenced
+        connections = []  # the references keep the connections open
         for _ in range(calls):
             connections.append(sidecar.discovery.accept_request())
             fail(connections[-1])
         wait_for_failed_call(sidecar)
-        assert sidecar.discovery.is_idle(), "it did not wait for the balancer"
+        assert sidecar.discovery.is_idle(), "the watcher did not wait for the balancer"
         sidecar.endpoint_watcher.watch()
-        assert "from=1&" in sidecar.discovery.accept().read_head(), "the full list was requested"
+        assert "from=1&" in sidecar.discovery.accept().read_head(), "the watcher requested the full list"
 
     sidecar.run(script)
     assert update_kinds(sidecar).count("failed") == 1
@@ -127,7 +128,7 @@
 
 
 def fill_backlog(sidecar: Sidecar) -> list[PeerConnection]:
-    """Let no further connection be established; return the clients that fill the backlog."""
+    """Let further connects time out; return the clients that fill the backlog."""
     address = sidecar.discovery.address
     sidecar.discovery.sock.listen(0)
     clients = [PeerConnection(sidecar.loop, socket.socket()) for _ in range(4)]
@@ -172,7 +173,7 @@
 
 @pytest.mark.usefixtures("short_timeouts")
 def test_move_during_backoff_polls_the_new_discovery_at_once(sidecar: Sidecar) -> None:
-    """A wake-up of the old backoff must not shorten a later one."""
+    """A timer of the old backoff must not shorten a later backoff of the new discovery."""
 
     def script() -> None:
         connection = start_first_call(sidecar)
@@ -183,7 +184,7 @@
         assert moved.read_head() == "GET /catalog/members HTTP/1.1"
         moved.send_endpoint_list(1, True, sidecar.endpoint_row("s-a"))
         moved.read_head()
-        # A late timer of the old backoff, while the new watch is in progress.
+        # The timer of the old backoff fires while the new watch is in progress.
         sidecar.endpoint_watcher.watch()
         moved.sock.close()
         reconnected = sidecar.second_discovery.accept()
