--- a/tests/discovery/test_endpoint_lists.py
+++ b/tests/discovery/test_endpoint_lists.py
@@ -1,4 +1,4 @@
-"""Races of endpoint lists: malformed, outdated, duplicate, unsolicited and endless ones."""
+"""Handling of endpoint lists that are malformed, outdated, duplicate, unsolicited or endless."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 def test_list_received_during_move_is_discarded(sidecar: Sidecar) -> None:
     def script() -> None:
         connection = start_first_call(sidecar)
-        # Readable at the next poll, in which the move takes effect.
+        # The list can be read in the same iteration of the event loop in which the move takes effect.
         connection.send_endpoint_list(9, True, sidecar.endpoint_row("s-b", "draining"))
         sidecar.endpoint_watcher.move_to(sidecar.second_discovery.address)
         moved = sidecar.second_discovery.accept()
@@ -34,7 +34,7 @@
 
 @pytest.mark.usefixtures("short_timeouts")
 def test_lower_version_requests_the_full_list(sidecar: Sidecar) -> None:
-    """Discovery has restarted: its changes do not apply to the current list."""
+    """A lower version shows that discovery has restarted, so that its changes do not apply to the current list."""
 
     def script() -> None:
         connection = start_first_call(sidecar)
@@ -51,25 +51,27 @@
 
 @pytest.mark.usefixtures("short_timeouts")
 @pytest.mark.parametrize(
-    "bad",
+    "invalid_field",
     [{"cell": "x"}, {"addr": "nowhere"}, {"started_ms": 1e999}, {"state": 4}, {"id": 7}],
     ids=["cell", "addr", "started_ms", "state", "id"],
 )
 @pytest.mark.parametrize("full", [True, False], ids=["full list", "changes"])
-def test_malformed_row_does_not_hide_drains_of_other_rows(bad: dict[str, Any], full: bool, sidecar: Sidecar) -> None:
+def test_malformed_record_does_not_hide_drains_in_other_records(
+    invalid_field: dict[str, Any], full: bool, sidecar: Sidecar
+) -> None:
     def script() -> None:
         connection = start_first_call(sidecar)
         connection.send_endpoint_list(
-            2, full, sidecar.endpoint_row("s-b", "draining"), sidecar.endpoint_row("s-a", **bad)
+            2, full, sidecar.endpoint_row("s-b", "draining"), sidecar.endpoint_row("s-a", **invalid_field)
         )
         assert "from=2&" in connection.read_head()
 
     sidecar.run(script)
     kind, states = sidecar.balancer.endpoint_updates()[-1]
-    valid = {} if "id" in bad else {ENDPOINT_A: "ready"}  # a row without an id is ignored
+    valid = {} if "id" in invalid_field else {ENDPOINT_A: "ready"}  # a record without an id is ignored
     assert kind == ("full" if full else "delta")
     assert states == {ENDPOINT_B: "draining", **valid}
-    assert sidecar.endpoint_watcher.ready_count == (0 if full and "id" in bad else 1)
+    assert sidecar.endpoint_watcher.ready_count == (0 if full and "id" in invalid_field else 1)
 
 
 @pytest.mark.usefixtures("short_timeouts")
@@ -85,7 +87,7 @@
     ],
     ids=["no object", "version as text", "servers as number", "no JSON", "no valid row", "version as boolean"],
 )
-def test_list_without_valid_rows_keeps_the_current_list(body: bytes, sidecar: Sidecar) -> None:
+def test_list_without_valid_records_keeps_the_current_list(body: bytes, sidecar: Sidecar) -> None:
     def script() -> None:
         connection = start_first_call(sidecar)
         connection.respond(body)
@@ -94,15 +96,12 @@
         assert "from=1&" in sidecar.discovery.accept().read_head()
 
     sidecar.run(script)
-    assert update_kinds(sidecar) == [
-        "cached",
-        "failed",
-    ]
+    assert update_kinds(sidecar) == ["cached", "failed"]
     assert sidecar.endpoint_watcher.ready_count == 2
 
 
-class FailingApply:
-    """Raises an error the first time that a list is applied."""
+class FailingFirstUpdate:
+    """Replaces ``_apply_update``: raises an error on the first call, and applies the update on later ones."""
 
     def __init__(self, sidecar: Sidecar) -> None:
         self.apply_update = sidecar.endpoint_watcher._apply_update
@@ -117,12 +116,12 @@
 
 @pytest.mark.usefixtures("short_timeouts")
 def test_update_that_fails_to_apply_is_requested_again(monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar) -> None:
-    """The version counts as applied only once its list is."""
-    failing_apply = FailingApply(sidecar)
+    """The watcher stores the version of an update only after the update was applied."""
+    failing_first_update = FailingFirstUpdate(sidecar)
 
     def script() -> None:
         connection = start_first_call(sidecar)
-        monkeypatch.setattr(sidecar.endpoint_watcher, "_apply_update", failing_apply.apply)
+        monkeypatch.setattr(sidecar.endpoint_watcher, "_apply_update", failing_first_update.apply)
         connection.send_endpoint_list(2, False, sidecar.endpoint_row("s-b", "draining"))
         wait_for_failed_call(sidecar)
         sidecar.endpoint_watcher.watch()
@@ -135,13 +134,15 @@
     assert sidecar.balancer.endpoint_updates()[-1] == ("delta", {ENDPOINT_B: "draining"})
 
 
-def test_endpoints_of_unknown_cell_or_zone_share_no_group() -> None:
-    """A keyed retry must not go to an endpoint that may not know its first attempt."""
-    rows = [{"id": name, "addr": "127.0.0.1:1", "state": "ready"} for name in ("s-a", "s-b")]
-    cells = [row.cell for row in parse_endpoint_list({"version": 1, "servers": rows}, "known").records]
+def test_endpoints_of_unknown_cell_or_zone_share_no_deduplication_scope() -> None:
+    """A retry with an idempotency key must not go to an endpoint that may not know the first attempt."""
+    raw_records = [{"id": name, "addr": "127.0.0.1:1", "state": "ready"} for name in ("s-a", "s-b")]
+    cells = [record.cell for record in parse_endpoint_list({"version": 1, "servers": raw_records}, "known").records]
     assert len(set(cells)) == 2
     sidecar = Sidecar()
-    sidecar.run(lambda: sidecar.endpoint_watcher.start(parse_endpoint_list({"version": 1, "servers": rows}, "known")))
+    sidecar.run(
+        lambda: sidecar.endpoint_watcher.start(parse_endpoint_list({"version": 1, "servers": raw_records}, "known"))
+    )
     endpoints = next(
         event.endpoints for event in sidecar.balancer.events if isinstance(event, balancing.EndpointUpdate)
     )
@@ -149,13 +150,13 @@
 
 
 def serialize_list(version: int) -> bytes:
-    """Serialize a response of discovery without a change."""
+    """Serialize a response of discovery that contains no changes."""
     body = ujson.dumps({"version": version, "full": False, "servers": []}).encode()
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
 
 
 def test_duplicate_list_does_not_delay_the_next_call(sidecar: Sidecar) -> None:
-    """The second copy must not pass for the response to the next call."""
+    """The second copy must not be taken for the response to the next call."""
 
     def script() -> None:
         connection = start_first_call(sidecar)
@@ -170,7 +171,7 @@
 
 
 def test_list_received_between_calls_is_discarded(monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar) -> None:
-    """It arrives in the pause that follows an unchanged list."""
+    """The unsolicited list arrives in the pause that follows an unchanged list."""
     monkeypatch.setattr(timing, "EMPTY_RESPONSE_PAUSE_NS", MAX_WAIT_NS)
     loop_sleep = sidecar.loop.sleep
 
@@ -180,7 +181,7 @@
         def sleep(duration_ns: int) -> WakeReason:
             if duration_ns != MAX_WAIT_NS:
                 return loop_sleep(duration_ns)
-            connection.send(serialize_list(9))  # unsolicited: its changes do not apply to the current list
+            connection.send(serialize_list(9))  # its changes do not apply to the current list
             return loop_sleep(0)
 
         monkeypatch.setattr(sidecar.loop, "sleep", sleep)
@@ -196,7 +197,7 @@
 
 
 def test_endless_list_is_aborted_at_call_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Bytes are always readable, so that no wait ever times out."""
+    """The response never ends and is always readable, so that no wait for bytes times out."""
     monkeypatch.setattr(timing, "WATCH_HOLD_MS", 100)
     monkeypatch.setattr(timing, "RESPONSE_TIMEOUT_NS", 100 * NS_PER_MS)
     sidecar = Sidecar()
