--- a/tests/discovery/test_watcher.py
+++ b/tests/discovery/test_watcher.py
@@ -44,9 +44,9 @@
     balancer: ScriptedBalancer,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A step of the wall clock used to look like a restart, after which the endpoint warmed up again."""
+    """Regression: after a step of the wall clock, endpoints seemed to have restarted and warmed up again."""
     started_ms = loop.wall_clock() // NS_PER_MS - 700
-    raw = {
+    raw_list = {
         "version": 1,
         "full": True,
         "servers": [
@@ -54,51 +54,51 @@
             {"id": "s-2", "addr": "127.0.0.1:2", "zone": "a", "state": "draining", "started_ms": 0},
         ],
     }
-    run_task(loop, dispatcher, lambda: endpoint_watcher.start(parse_endpoint_list(raw, "known")))
+    run_task(loop, dispatcher, lambda: endpoint_watcher.start(parse_endpoint_list(raw_list, "known")))
     monkeypatch.setattr(EventLoop, "wall_clock", staticmethod(lambda: 5))
-    endpoint_watcher._apply_update(parse_endpoint_list(raw, "known"), balancing.EndpointUpdateKind.FULL)
-    lists = [event.endpoints for event in balancer.events if isinstance(event, balancing.EndpointUpdate)]
-    assert lists[0] == lists[1]
+    endpoint_watcher._apply_update(parse_endpoint_list(raw_list, "known"), balancing.EndpointUpdateKind.FULL)
+    updates = [event.endpoints for event in balancer.events if isinstance(event, balancing.EndpointUpdate)]
+    assert updates[0] == updates[1]
     assert endpoint_watcher.ready_count == 1
-    assert [(endpoint.id, endpoint.zone, endpoint.state) for endpoint in lists[0]] == [
+    assert [(endpoint.id, endpoint.zone, endpoint.state) for endpoint in updates[0]] == [
         (endpoint_id_of("s-1"), 1, balancing.EndpointState.READY),
         (endpoint_id_of("s-2"), 0, balancing.EndpointState.DRAINING),
     ]
-    assert 0 < loop.now() - lists[0][0].started_ns < 60_000 * NS_PER_MS
-    assert lists[0][1].started_ns == 0
+    assert 0 < loop.now() - updates[0][0].started_ns < 60_000 * NS_PER_MS
+    assert updates[0][1].started_ns == 0
 
 
 def test_state_of_removed_endpoints_is_dropped(
     endpoint_watcher: EndpointWatcher, upstream: UpstreamPool, balancer: ScriptedBalancer
 ) -> None:
-    """Thousands of endpoint ids may be listed in one day, and a new id may have the address of an old one."""
+    """Thousands of endpoint ids may be listed in a day, and a new endpoint may have the address of a removed one."""
     real_balancer = Balancer(balancing.Settings(), 1)
     for version in range(1, 40):
-        rows = [
+        raw_records = [
             {"id": f"s-{number}", "addr": "127.0.0.1:1", "zone": "a", "state": state, "started_ms": 1000 * number}
             for number, state in ((version, "ready"), (version - 1, "gone"))
         ]
         kind = balancing.EndpointUpdateKind.FULL if version % 9 == 0 else balancing.EndpointUpdateKind.DELTA
-        endpoint_watcher._apply_update(parse_endpoint_list({"version": version, "servers": rows}, "list"), kind)
+        endpoint_watcher._apply_update(parse_endpoint_list({"version": version, "servers": raw_records}, "list"), kind)
         real_balancer.handle(version, balancer.events[-1])
-    tables = (endpoint_watcher._endpoints, endpoint_watcher._start_times._converted, upstream._addresses)
-    assert [len(table) for table in tables] == [1, 1, 1]
+    tables_by_endpoint = (endpoint_watcher._endpoints, endpoint_watcher._start_times._converted, upstream._addresses)
+    assert [len(table) for table in tables_by_endpoint] == [1, 1, 1]
     assert len(real_balancer.endpoints.by_id) == 1
 
 
-def test_unknown_state_is_listed_but_removed_for_balancer(
+def test_endpoint_of_unknown_state_is_listed_but_removed_for_the_balancer(
     endpoint_watcher: EndpointWatcher,
     dispatcher: dispatch.Dispatcher,
     upstream: UpstreamPool,
     balancer: ScriptedBalancer,
 ) -> None:
     endpoint_id = endpoint_id_of("s-1")
-    row = {"id": "s-1", "addr": "127.0.0.1:1", "zone": "a", "state": "hibernating", "started_ms": 0}
-    update = parse_endpoint_list({"version": 1, "full": True, "servers": [row]}, "list")
+    raw_record = {"id": "s-1", "addr": "127.0.0.1:1", "zone": "a", "state": "hibernating", "started_ms": 0}
+    update = parse_endpoint_list({"version": 1, "full": True, "servers": [raw_record]}, "list")
     endpoint_watcher._apply_update(update, balancing.EndpointUpdateKind.FULL)
     dispatcher.start_drain(endpoint_id)
-    lists = [event.endpoints for event in balancer.events if isinstance(event, balancing.EndpointUpdate)]
-    assert [endpoint.state for endpoints in lists for endpoint in endpoints] == [
+    updates = [event.endpoints for event in balancer.events if isinstance(event, balancing.EndpointUpdate)]
+    assert [endpoint.state for endpoints in updates for endpoint in endpoints] == [
         balancing.EndpointState.REMOVED,
         balancing.EndpointState.DRAINING,
     ]
