--- a/tests/discovery/test_watcher.py
+++ b/tests/discovery/test_watcher.py
@@ -57,15 +57,15 @@
     run_task(loop, dispatcher, lambda: endpoint_watcher.start(parse_endpoint_list(raw_list, "known")))
     monkeypatch.setattr(EventLoop, "wall_clock", staticmethod(lambda: 5))
     endpoint_watcher._apply_update(parse_endpoint_list(raw_list, "known"), balancing.EndpointUpdateKind.FULL)
-    updates = [event.endpoints for event in balancer.events if isinstance(event, balancing.EndpointUpdate)]
-    assert updates[0] == updates[1]
+    endpoint_lists = [event.endpoints for event in balancer.events if isinstance(event, balancing.EndpointUpdate)]
+    assert endpoint_lists[0] == endpoint_lists[1]
     assert endpoint_watcher.ready_count == 1
-    assert [(endpoint.id, endpoint.zone, endpoint.state) for endpoint in updates[0]] == [
+    assert [(endpoint.id, endpoint.zone, endpoint.state) for endpoint in endpoint_lists[0]] == [
         (endpoint_id_of("s-1"), 1, balancing.EndpointState.READY),
         (endpoint_id_of("s-2"), 0, balancing.EndpointState.DRAINING),
     ]
-    assert 0 < loop.now() - updates[0][0].started_ns < 60_000 * NS_PER_MS
-    assert updates[0][1].started_ns == 0
+    assert 0 < loop.now() - endpoint_lists[0][0].started_ns < 60_000 * NS_PER_MS
+    assert endpoint_lists[0][1].started_ns == 0
 
 
 def test_state_of_removed_endpoints_is_dropped(
@@ -97,8 +97,8 @@
     update = parse_endpoint_list({"version": 1, "full": True, "servers": [raw_record]}, "list")
     endpoint_watcher._apply_update(update, balancing.EndpointUpdateKind.FULL)
     dispatcher.start_drain(endpoint_id)
-    updates = [event.endpoints for event in balancer.events if isinstance(event, balancing.EndpointUpdate)]
-    assert [endpoint.state for endpoints in updates for endpoint in endpoints] == [
+    endpoint_lists = [event.endpoints for event in balancer.events if isinstance(event, balancing.EndpointUpdate)]
+    assert [endpoint.state for endpoints in endpoint_lists for endpoint in endpoints] == [
         balancing.EndpointState.REMOVED,
         balancing.EndpointState.DRAINING,
     ]
