--- a/lugtally/daemon/sidecar.py
+++ b/lugtally/daemon/sidecar.py
@@ -1,4 +1,4 @@
-"""One sidecar: building it from its configuration, starting, running and stopping it."""
+"""The sidecar: builds it from its configuration, starts it, runs it and stops it."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from lugtally.admin.server import AdminServer
 from lugtally.config.sidecar import SidecarConfig
 from lugtally.daemon.errors import InvalidConfigurationError, ListenError, StartupError
-from lugtally.daemon.maintenance import maintain_connections
-from lugtally.daemon.operator_drains import OperatorDrains, follow_drain_file
+from lugtally.daemon.maintenance import run_maintenance
+from lugtally.daemon.operator_drains import OperatorDrains, poll_drain_file
 from lugtally.daemon.overload_protection import monitor_resources
 from lugtally.daemon.reload import reload_configuration
 from lugtally.daemon.signals import handle_signals
@@ -38,16 +38,16 @@
 )
 
 BYTES_PER_MB = 1024 * 1024
-"""The unit of the memory limit in the configuration."""
+"""Bytes in one unit of the configured memory limit."""
 
 
 def serve(
     config: SidecarConfig,
     log_level: str,
-    log_format: logs.Format = "text",
+    log_format: logs.LogFormat = "text",
     *,
     overload: OverloadLimits | None = None,
-    status_path: str = "",
+    status_socket_path: str = "",
     policy_factory: BalancingPolicyFactory | None = None,
 ) -> int:
     """Run a sidecar until a signal stops it; return the exit status.
@@ -56,14 +56,14 @@
         config: The configuration.
         log_level: The lowest level that is logged.
         log_format: The format of the log.
-        overload: Limits above which the sidecar sheds load; without them, only the balancer rejects requests.
-        status_path: The path of the Unix socket for ``lugtally status``; empty for none.
-        policy_factory: Builds the balancing policy that replaces the balancer, for the testbed's baselines.
+        overload: Limits above which the sidecar sheds load; ``None`` if only the balancer may reject requests.
+        status_socket_path: The path of the Unix socket for ``lugtally status``; empty to disable it.
+        policy_factory: Builds a balancing policy in place of the balancer, for the baselines of the testbed.
     """
-    logs.start(log_level, log_format)
+    logs.configure(log_level, log_format)
     try:
         sidecar = build_sidecar(config, overload, policy_factory)
-        sidecar.start(status_path)
+        sidecar.start(status_socket_path)
     except StartupError as error:
         print(f"lugtally: {error}", file=sys.stderr)
         return error.exit_status
@@ -73,7 +73,7 @@
 
 
 class Sidecar:
-    """The components of one sidecar.  It starts and stops them in order."""
+    """The components of one sidecar, which it starts and stops in order."""
 
     def __init__(
         self,
@@ -96,7 +96,7 @@
         self._status_socket: StatusSocket | None = None
         self._admin_server: AdminServer | None = None
 
-    def start(self, status_path: str = "") -> None:
+    def start(self, status_socket_path: str = "") -> None:
         """Open the sockets and spawn the tasks, which do not run before :meth:`run`.
 
         Raises:
@@ -107,10 +107,10 @@
             self.loop.spawn(monitor_resources, self.loop, self.admission, self._resource_monitor())
         drains = OperatorDrains(self.dispatcher, self.downstream, DrainStore(tempfile.gettempdir(), self.config.name))
         drains.reload()
-        if status_path:
-            self._status_socket = StatusSocket(self.loop, status_path, self.snapshot)
+        if status_socket_path:
+            self._status_socket = StatusSocket(self.loop, status_socket_path, self.snapshot)
         self._admin_server = self._open_admin_server(drains)
-        self._open_downstream()
+        self._listen_downstream()
         self._handle_signals()
         self._spawn_tasks(drains)
 
@@ -138,7 +138,7 @@
         logger.info("{sidecar} has stopped", event="sidecar.stopped", sidecar=self.config.name)
 
     def snapshot(self) -> dict[str, Any]:
-        """Return the object that the status socket sends, by its documented keys."""
+        """Return the JSON object that the status socket sends, with its documented keys."""
         return {
             "sidecar": self.config.name,
             "version": __version__,
@@ -172,7 +172,7 @@
         except OSError as error:
             raise ListenError(f"operator: {address}: {error.strerror}") from error
 
-    def _open_downstream(self) -> None:
+    def _listen_downstream(self) -> None:
         """Listen at the configured address, or on the inherited socket."""
         config = self.config
         try:
@@ -196,8 +196,8 @@
     def _spawn_tasks(self, drains: OperatorDrains) -> None:
         loop = self.loop
         loop.spawn(self.endpoint_watcher.start, self.config.cached_endpoints)
-        loop.spawn(maintain_connections, loop, self.upstream, self.endpoint_watcher, self.downstream)
-        loop.spawn(follow_drain_file, loop, drains)
+        loop.spawn(run_maintenance, loop, self.upstream, self.endpoint_watcher, self.downstream)
+        loop.spawn(poll_drain_file, loop, drains)
 
 
 def build_sidecar(
@@ -226,9 +226,9 @@
 
 
 def _limit_poll_interval(settings: balancing.Settings) -> balancing.Settings:
-    """Return the settings with the poll interval limited to ``MAX_BACKOFF_NS``.
+    """Return the settings with the interval between polls of discovery limited to ``MAX_BACKOFF_NS``.
 
-    A longer backoff after a failed call could delay an endpoint update beyond the time in which it must take effect.
+    After a failed call, a longer backoff could delay an endpoint update beyond the time in which it must take effect.
     """
     interval_ns = min(settings.max_poll_interval_ns or MAX_BACKOFF_NS, MAX_BACKOFF_NS)
     return replace(settings, max_poll_interval_ns=interval_ns)
