--- a/lugtally/balancing/balancer.py
+++ b/lugtally/balancing/balancer.py
@@ -198,7 +198,7 @@
         if self.latency.baselines_ns and elapsed_ns >= UPDATE_INTERVAL_NS:
             self._update_limits(now_ns, elapsed_ns)
             self._refreshed_ns = now_ns
-        self.subset.draw_members()
+        self.subset.select_members()
         self.limiter.use_start_limit()
         self.slow_start.count_warm_members(now_ns)
         self.outliers.eject_slow_outliers(now_ns)
--- a/lugtally/balancing/subset.py
+++ b/lugtally/balancing/subset.py
@@ -29,7 +29,7 @@
         self.is_outdated = False
         """Whether members and weights must be recomputed before the next pick."""
 
-    def draw_members(self) -> None:
+    def select_members(self) -> None:
         """Select the members: more of them while more own requests are in flight."""
         self.is_outdated = False
         self._mean_in_flight += IN_FLIGHT_SMOOTHING * (len(self._attempts) - self._mean_in_flight)
