--- a/lugtally/balancing/balancer.py
+++ b/lugtally/balancing/balancer.py
@@ -199,7 +199,7 @@
             self._update_limits(now_ns, elapsed_ns)
             self._refreshed_ns = now_ns
         self.subset.select_members()
-        self.limiter.use_start_limit()
+        self.limiter.apply_initial_limit()
         self.slow_start.count_warm_members(now_ns)
         self.outliers.eject_slow_outliers(now_ns)
         self.candidates.update(now_ns)
--- a/lugtally/balancing/concurrency_limit.py
+++ b/lugtally/balancing/concurrency_limit.py
@@ -85,7 +85,7 @@
         if self._updates > MIN_UPDATES:
             self.limit = min(self._limit_by_throughput(), self._quota.update(now_ns, elapsed_ns))
 
-    def use_start_limit(self) -> None:
+    def apply_initial_limit(self) -> None:
         """Set a generous limit until the throughput is known."""
         if self._updates <= MIN_UPDATES:
             self.limit = START_LIMIT_PER_MEMBER * max(MIN_START_MEMBERS, len(self._subset.members))
