--- a/lugtally/balancing/fleet_quota.py
+++ b/lugtally/balancing/fleet_quota.py
@@ -58,19 +58,19 @@
         self._latency = latency
         self._objective_share = 0.0
         self._min_objective_share = 0.0
-        self.fleet_limit = MIN_FLEET_LIMIT
+        self.fleet_limit_per_endpoint = MIN_FLEET_LIMIT
         """Requests that all balancers together should let an endpoint hold."""
         self.own_load = 0.0
         """Own requests in flight multiplied by time, decaying."""
-        self.fleet_load = 0.0
+        self.fleet_load_per_endpoint = 0.0
         """Requests in flight at an endpoint multiplied by time, decaying."""
 
     @property
     def traffic_share(self) -> float:
         """This balancer's part of the fleet's traffic, 0 if unknown."""
-        if not self.fleet_load:
+        if not self.fleet_load_per_endpoint:
             return 0.0
-        return self.own_load / self.fleet_load / max(1, len(self._endpoints.usable))
+        return self.own_load / self.fleet_load_per_endpoint / max(1, len(self._endpoints.usable))
 
     def record_response(self, attempt: InFlightAttempt) -> None:
         """Learn from a good response which part of its latency objective it took."""
@@ -85,10 +85,10 @@
         load = sum(member.reported_load for member in recent) / len(recent)
         self._record_load(load, elapsed_ns)
         self._update_min_share(elapsed_ns)
-        if load > FULL_SHARE * self.fleet_limit:
+        if load > FULL_SHARE * self.fleet_limit_per_endpoint:
             self._change_fleet_limit(elapsed_ns)
-        quota = self.fleet_limit * self.own_load / max(1.0, self.fleet_load) + 1.0
-        slack = max(1.0, SLACK_SHARE * self.fleet_limit / max(MIN_REPORTED_LOAD, load))
+        quota = self.fleet_limit_per_endpoint * self.own_load / max(1.0, self.fleet_load_per_endpoint) + 1.0
+        slack = max(1.0, SLACK_SHARE * self.fleet_limit_per_endpoint / max(MIN_REPORTED_LOAD, load))
         return max(MIN_QUOTA, quota * slack)
 
     def _members_with_recent_report(self, now_ns: int) -> list[EndpointStats]:
@@ -102,7 +102,7 @@
     def _record_load(self, load: float, elapsed_ns: int) -> None:
         decay = exp(-elapsed_ns / LOAD_DECAY_NS)
         self.own_load = decay * self.own_load + len(self._attempts) * elapsed_ns
-        self.fleet_load = decay * self.fleet_load + load * elapsed_ns
+        self.fleet_load_per_endpoint = decay * self.fleet_load_per_endpoint + load * elapsed_ns
 
     def _update_min_share(self, elapsed_ns: int) -> None:
         share, min_share = self._objective_share, self._min_objective_share
@@ -113,5 +113,5 @@
         """Raise the fleet limit while responses are prompt, as endpoints have many cores; else lower it."""
         is_prompt = self._objective_share < min(PROMPT_SHARE, PROMPT_RATIO * self._min_objective_share)
         change_per_s = LIMIT_CHANGE_PER_S if is_prompt else -LIMIT_CHANGE_PER_S
-        changed = self.fleet_limit * (1 + change_per_s * elapsed_ns / NS_PER_S)
-        self.fleet_limit = max(MIN_FLEET_LIMIT, changed)
+        changed = self.fleet_limit_per_endpoint * (1 + change_per_s * elapsed_ns / NS_PER_S)
+        self.fleet_limit_per_endpoint = max(MIN_FLEET_LIMIT, changed)
--- a/tests/balancing/test_admission.py
+++ b/tests/balancing/test_admission.py
@@ -111,7 +111,7 @@
         make_endpoints(4),
     )
     serve_requests(world, 20)
-    world.balancer.quota.own_load = world.balancer.quota.fleet_load = 1.0  # as set by load reports
+    world.balancer.quota.own_load = world.balancer.quota.fleet_load_per_endpoint = 1.0  # as set by load reports
     world.now += 100 * 3600 * NS_PER_S
     serve_requests(world, 5)
     assert all(demand > 0 for demand in world.balancer.priority.demand.values())
--- a/tests/balancing/test_fleet.py
+++ b/tests/balancing/test_fleet.py
@@ -151,7 +151,7 @@
     arrived = sum(count for (outcome, _), count in fleet.class_counts.items() if outcome is RequestOutcome.ARRIVED)
     rejected = sum(count for (outcome, _), count in fleet.class_counts.items() if outcome is RequestOutcome.REJECTED)
     assert rejected < 0.15 * arrived
-    assert sum(balancer.quota.fleet_limit > 5 for balancer in fleet.balancers) >= 4
+    assert sum(balancer.quota.fleet_limit_per_endpoint > 5 for balancer in fleet.balancers) >= 4
 
 
 def test_overloaded_fleet_rejects_tenant_over_quota_first() -> None:
