--- a/lugtally/balancing/fleet_quota.py
+++ b/lugtally/balancing/fleet_quota.py
@@ -80,7 +80,7 @@
     def update(self, now_ns: int, elapsed_ns: int) -> float:
         """Return the quota: a limit on own requests in flight, infinite while load reports are missing."""
         recent = self._members_with_recent_report(now_ns)
-        if not self._latency.reports_seen or not recent:
+        if not self._latency.load_reports_seen or not recent:
             return inf
         load = sum(member.reported_load for member in recent) / len(recent)
         self._record_load(load, elapsed_ns)
--- a/lugtally/balancing/latency.py
+++ b/lugtally/balancing/latency.py
@@ -67,7 +67,7 @@
         """Number of baselines in the tightest latency objective."""
         self.mean_load = 0.0
         """Estimated requests that wait at an endpoint, over all of them, smoothed."""
-        self.reports_seen = False
+        self.load_reports_seen = False
         """Whether any response carried a load report."""
 
     def baseline_ns(self, class_index: int) -> float:
@@ -104,7 +104,7 @@
         if reported is not None:
             load = min(max(load, reported), MAX_REPORTED_RATIO * (load + 1))
             endpoint.reported_load = reported
-            self.reports_seen = True
+            self.load_reports_seen = True
         endpoint.load_estimate = load
         endpoint.load_estimated_ns = now_ns
         self.mean_load += MEAN_LOAD_SMOOTHING * (load - self.mean_load)
