--- a/lugtally/balancing/admission.py
+++ b/lugtally/balancing/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: while responses are late, part of the requests is rejected.
+"""Admission control: rejects a share of the requests while responses are late.
 
 The reasons are in docs/design.md, "Admission".
 """
@@ -15,23 +15,27 @@
 from lugtally.balancing.stale_connections import may_be_stale
 from lugtally.units import NS_PER_S
 
-STRAINED_SHARE = 0.35
-"""Part of the responses that may take over half their objective before fewer requests are admitted."""
+TOLERATED_OVERLOAD_SHARE = 0.35
+"""Share of the outcomes that may show overload before fewer requests are admitted.
+
+An outcome shows overload if the attempt was rejected, was abandoned or took over half its objective.
+"""
 MIN_LOG_PROBABILITY = -3.0
-"""Lowest log probability: one request in twenty is still tried."""
+"""Lower bound of the log probability: about one request in twenty is still admitted."""
 MAX_LOG_PROBABILITY = 0.7
-"""Highest log probability: good responses save this up, so that one bad response sheds nothing."""
+"""Upper bound: good outcomes build up this margin, so that a single bad outcome does not cause shedding."""
 RECOVERY_PER_S = 0.05
-"""Rise of the log probability a second without any response, so that rejecting everything cannot last."""
-GOOD_RESPONSE_GAIN = 0.25
-"""Extra weight of a good response for each unit of log probability below 0."""
-LATE_RESULTS = (AttemptResult.TIMEOUT, AttemptResult.CANCELLED)
-RELEVANT_RESULTS = (*LATE_RESULTS, AttemptResult.OK, AttemptResult.REJECTED)
-"""Results that say something of the load of the endpoints."""
+"""Rise of the log probability per second, even without responses, so that full rejection cannot last."""
+GOOD_OUTCOME_GAIN = 0.25
+"""Additional rise with a good outcome, per unit by which the log probability is below 0."""
+NO_RESPONSE_RESULTS = (AttemptResult.TIMEOUT, AttemptResult.CANCELLED)
+"""Results of attempts that were abandoned before a response arrived."""
+LOAD_RELATED_RESULTS = (*NO_RESPONSE_RESULTS, AttemptResult.OK, AttemptResult.REJECTED)
+"""Results that depend on the load of the endpoints."""
 
 
 class AdmissionControl:
-    """The probability with which a request is admitted."""
+    """The probability of admission, adjusted to the outcomes of attempts."""
 
     def __init__(self, rng: Random, priority: PriorityTracker) -> None:
         self._rng = rng
@@ -46,42 +50,47 @@
         return self.log_probability < 0
 
     def admits(self, request: RequestState) -> bool:
-        """Draw whether a request is tried at all; classes of low priority are shed first."""
-        return self._rng.random() < self._probability(request)
+        """Decide at random whether to admit a request; classes of low priority are shed first."""
+        return self._rng.random() < self._admission_probability(request)
 
-    def _probability(self, request: RequestState) -> float:
+    def _admission_probability(self, request: RequestState) -> float:
         priority = self._priority.relative_priority(request)
-        relative = self._priority.lowest / priority if priority else 1.0
-        return exp(min(0.0, self.log_probability) * relative)
+        exponent = self._priority.lowest / priority if priority else 1.0
+        return exp(min(0.0, self.log_probability) * exponent)
 
     def record_outcome(self, now_ns: int, attempt: InFlightAttempt) -> None:
         """Admit fewer requests while responses are late or rejected, more while they are not."""
-        if not _is_relevant(attempt):
+        if not _is_load_related(attempt):
             return
-        late_ns = attempt.request_class.latency_objective_ns / 2
-        weight = min(1.0, (now_ns - self._last_outcome_ns) / late_ns)  # many outcomes at once count as one
+        late_after_ns = attempt.request_class.latency_objective_ns / 2
+        # A burst of outcomes counts as one.
+        weight = min(1.0, (now_ns - self._last_outcome_ns) / late_after_ns)
         self._last_outcome_ns = now_ns
-        is_bad = attempt.result is not AttemptResult.OK or attempt.duration_ns > late_ns
-        if is_bad:
-            change = STRAINED_SHARE - 1
-        else:  # the fewer requests are admitted, the more each good response counts
-            change = STRAINED_SHARE + GOOD_RESPONSE_GAIN * max(0.0, -self.log_probability)
+        shows_overload = attempt.result is not AttemptResult.OK or attempt.duration_ns > late_after_ns
+        if shows_overload:
+            change = TOLERATED_OVERLOAD_SHARE - 1
+        else:  # the fewer requests are admitted, the more each good outcome counts
+            change = TOLERATED_OVERLOAD_SHARE + GOOD_OUTCOME_GAIN * max(0.0, -self.log_probability)
         changed = max(MIN_LOG_PROBABILITY, self.log_probability + weight * change)
         self.log_probability = min(MAX_LOG_PROBABILITY, changed)
 
     def recover(self, elapsed_ns: int) -> None:
-        """Admit a little more with time."""
+        """Raise the admission probability for the time that has passed."""
         recovered = self.log_probability + RECOVERY_PER_S * elapsed_ns / NS_PER_S
         self.log_probability = min(MAX_LOG_PROBABILITY, recovered)
 
 
-def _is_relevant(attempt: InFlightAttempt) -> bool:
-    """Return whether an outcome says something of the load of the fleet."""
-    if attempt.is_lost or attempt.result not in RELEVANT_RESULTS:
+def _is_load_related(attempt: InFlightAttempt) -> bool:
+    """Return whether an outcome depends on the load of the endpoints and was not counted before.
+
+    Load does not explain a missing response if the endpoint fails repeatedly, and so may not respond at all,
+    or if the connection may be stale.
+    """
+    if attempt.is_lost or attempt.result not in LOAD_RELATED_RESULTS:
         return False
-    is_late = attempt.result in LATE_RESULTS
-    endpoint_is_silent = attempt.endpoint.consecutive_failures > 1
-    if is_late and (endpoint_is_silent or may_be_stale(attempt)):
+    has_no_response = attempt.result in NO_RESPONSE_RESULTS
+    endpoint_is_failing = attempt.endpoint.consecutive_failures > 1
+    if has_no_response and (endpoint_is_failing or may_be_stale(attempt)):
         return False
-    was_counted = attempt.is_overdue and attempt.result is not AttemptResult.OK
-    return not was_counted
+    was_counted_as_overdue = attempt.is_overdue and attempt.result is not AttemptResult.OK
+    return not was_counted_as_overdue
