--- a/lugtally/balancing/candidates.py
+++ b/lugtally/balancing/candidates.py
@@ -1,4 +1,7 @@
-"""The members that the picker draws from, with their weights by speed, warm-up and zone."""
+"""Weighted candidates: the endpoints that the picker draws from, weighted by latency, warm-up and zone.
+
+Slowness is the response time of an endpoint as a multiple of the latency baseline, so 1 is the baseline.
+"""
 
 from __future__ import annotations
 
@@ -12,28 +15,28 @@
 from lugtally.balancing.subset import Subset
 from lugtally.units import NS_PER_S
 
-FORGET_AFTER_NS = 2 * NS_PER_S
-"""Time without a response after which the slowness of an endpoint moves back towards the baseline."""
-FORGET_RATE = 0.05
-"""Part of the distance to the baseline that slowness moves with each update then."""
+SLOWNESS_EXPIRY_NS = 2 * NS_PER_S
+"""Time without a response after which the slowness of an endpoint decays towards the baseline."""
+SLOWNESS_DECAY = 0.05
+"""Share of the distance to the baseline by which slowness decays with each update from then on."""
 MIN_SLOWNESS = 0.3
-"""Least slowness, in baselines, that the weight of an endpoint is divided by."""
+"""Lower bound of the slowness that the weight of an endpoint is divided by."""
 MAX_SLOWNESS = 8.0
-"""Greatest slowness, in baselines, that the weight of an endpoint is divided by."""
+"""Upper bound of the slowness that the weight of an endpoint is divided by."""
 INITIAL_CROSS_ZONE_WEIGHT = 0.1
-"""First weight of endpoints in other zones, against 1 for the own zone."""
+"""Initial weight of endpoints in other zones, relative to 1 for the local zone."""
 MIN_CROSS_ZONE_WEIGHT = 0.03
-"""Lowest such weight: some requests must cross, to learn how fast the other zones are."""
-CROSS_ZONE_RISE = 1.1
-"""Factor of that weight with each update while the own zone is slower."""
-CROSS_ZONE_FALL = 0.95
-"""Factor of that weight with each update while the own zone is not slower."""
+"""Lower bound of that weight: some requests must cross zones, to learn how fast the other zones are."""
+CROSS_ZONE_INCREASE_FACTOR = 1.1
+"""Factor by which that weight rises with each update while the local zone is slower."""
+CROSS_ZONE_DECREASE_FACTOR = 0.95
+"""Factor by which that weight falls with each update while the local zone is not slower."""
 SLOWER_ZONE_RATIO = 1.3
-"""Mean slowness of the own zone, as a multiple of the others', from which more is sent to these."""
+"""Mean slowness of the local zone, relative to the other zones, above which more is sent to the others."""
 
 
 class WeightedCandidates:
-    """The members that are not ejected; all members where that leaves none."""
+    """The subset members that are not ejected, or all members if every one of them is."""
 
     def __init__(self, settings: Settings, rng: Random, subset: Subset, slow_start: SlowStart) -> None:
         self._settings = settings
@@ -42,60 +45,64 @@
         self._slow_start = slow_start
         self._cross_zone_weight = INITIAL_CROSS_ZONE_WEIGHT
         self._endpoints: list[EndpointStats] = []
-        self._weights: list[float] = []
-        """Cumulative weights."""
-        self._zone_aware_weights: list[float] = []
-        """Cumulative weights with the preference for the own zone."""
+        self._cumulative_weights: list[float] = []
+        """Cumulative weights without regard to zones."""
+        self._zone_aware_cumulative_weights: list[float] = []
+        """Cumulative weights with the preference for the local zone."""
 
     def __len__(self) -> int:
         return len(self._endpoints)
 
     def draw(self, *, zone_aware: bool) -> EndpointStats:
-        """Draw a candidate by weight; there must be one."""
-        weights = self._zone_aware_weights if zone_aware else self._weights
-        position = self._rng.random() * weights[-1]
-        return self._endpoints[bisect(weights, position, 0, len(weights) - 1)]
+        """Draw a candidate with a probability proportional to its weight; there must be at least one."""
+        cumulative_weights = self._zone_aware_cumulative_weights if zone_aware else self._cumulative_weights
+        position = self._rng.random() * cumulative_weights[-1]
+        return self._endpoints[bisect(cumulative_weights, position, 0, len(cumulative_weights) - 1)]
 
     def update(self, now_ns: int) -> None:
         """Recompute candidates and weights."""
         members = self._subset.members
         self._endpoints = [member for member in members if not member.is_ejected(now_ns)] or members
         self._update_cross_zone_weight()
-        self._forget_old_slowness(now_ns)
+        self._decay_expired_slowness(now_ns)
         weights = [self._weight(now_ns, endpoint) for endpoint in self._endpoints]
-        factors = [
-            1.0 if self._is_own_zone(endpoint) else self._cross_zone_weight for endpoint in self._endpoints
+        zone_weights = [
+            1.0 if self._is_local(endpoint) else self._cross_zone_weight for endpoint in self._endpoints
         ]
-        self._weights = list(accumulate(weights))
-        self._zone_aware_weights = list(
-            accumulate(weight * factor for weight, factor in zip(weights, factors, strict=True))
+        self._cumulative_weights = list(accumulate(weights))
+        self._zone_aware_cumulative_weights = list(
+            accumulate(
+                weight * zone_weight for weight, zone_weight in zip(weights, zone_weights, strict=True)
+            )
         )
 
     def _weight(self, now_ns: int, endpoint: EndpointStats) -> float:
         slowness = min(MAX_SLOWNESS, max(MIN_SLOWNESS, endpoint.slowness))
         return self._slow_start.warm_fraction(now_ns, endpoint) / slowness
 
-    def _is_own_zone(self, endpoint: EndpointStats) -> bool:
+    def _is_local(self, endpoint: EndpointStats) -> bool:
         return endpoint.zone == self._settings.zone
 
-    def _forget_old_slowness(self, now_ns: int) -> None:
+    def _decay_expired_slowness(self, now_ns: int) -> None:
         for endpoint in self._endpoints:
-            if now_ns - endpoint.last_response_ns > FORGET_AFTER_NS:
-                endpoint.slowness += FORGET_RATE * (1 - endpoint.slowness)
+            if now_ns - endpoint.last_response_ns > SLOWNESS_EXPIRY_NS:
+                endpoint.slowness += SLOWNESS_DECAY * (1 - endpoint.slowness)
 
     def _update_cross_zone_weight(self) -> None:
-        """Prefer the own zone where crossing costs; send more to the others while they are faster."""
+        """Prefer the local zone if crossing zones has a cost, unless the others are clearly faster."""
         if not self._settings.cross_zone_cost:
             self._cross_zone_weight = 1.0
-        elif self._own_zone_is_slower():
-            self._cross_zone_weight = min(1.0, self._cross_zone_weight * CROSS_ZONE_RISE)
+        elif self._is_local_zone_slower():
+            self._cross_zone_weight = min(1.0, self._cross_zone_weight * CROSS_ZONE_INCREASE_FACTOR)
         else:
-            self._cross_zone_weight = max(MIN_CROSS_ZONE_WEIGHT, self._cross_zone_weight * CROSS_ZONE_FALL)
+            self._cross_zone_weight = max(
+                MIN_CROSS_ZONE_WEIGHT, self._cross_zone_weight * CROSS_ZONE_DECREASE_FACTOR
+            )
 
-    def _own_zone_is_slower(self) -> bool:
-        """Return whether the own zone is much slower than the others, or has no candidate."""
-        own = [endpoint.slowness for endpoint in self._endpoints if self._is_own_zone(endpoint)]
-        other = [endpoint.slowness for endpoint in self._endpoints if not self._is_own_zone(endpoint)]
-        if not own:
+    def _is_local_zone_slower(self) -> bool:
+        """Return whether the local zone is much slower than the others, or has no candidate."""
+        local = [endpoint.slowness for endpoint in self._endpoints if self._is_local(endpoint)]
+        remote = [endpoint.slowness for endpoint in self._endpoints if not self._is_local(endpoint)]
+        if not local:
             return True
-        return bool(other) and sum(own) / len(own) > SLOWER_ZONE_RATIO * sum(other) / len(other)
+        return bool(remote) and sum(local) / len(local) > SLOWER_ZONE_RATIO * sum(remote) / len(remote)
