--- a/lugtally/balancing/picker.py
+++ b/lugtally/balancing/picker.py
@@ -1,4 +1,7 @@
-"""Endpoint picker: of two members drawn at random by weight, the one with fewer own requests in flight."""
+"""Endpoint picker: of two members drawn at random by weight, the one with fewer own requests in flight.
+
+"Own" requests are those of this balancer.
+"""
 
 from __future__ import annotations
 
@@ -13,17 +16,17 @@
 from lugtally.balancing.retry_rules import RetryRules
 
 ZONE_AWARE_DRAWS = 6
-"""Draws that prefer the own zone; those after them ignore zones."""
+"""Number of draws that prefer the local zone; later draws ignore zones."""
 MAX_DRAWS = 12
-"""Draws before the picker gives up on the members."""
-ANY_CLASS_SHARE = 0.4
-"""Part of the limits that requests of any priority may use; the rest is used in proportion to it."""
-CLEARLY_FASTER = 1.25
-"""Expected response times must differ by this factor to decide: less would starve all but the fastest."""
+"""Number of draws before the picker gives up on the members."""
+ANY_PRIORITY_SHARE = 0.4
+"""Share of the limits that is open to every priority; the rest is open in proportion to the priority."""
+DECISIVE_LATENCY_RATIO = 1.25
+"""Factor by which expected response times must differ to decide: less would starve all but the fastest."""
 
 
 class EndpointPicker:
-    """Chooses the endpoint of each attempt, within the rules and limits."""
+    """Chooses the endpoint of each attempt, within the retry rules and the concurrency limits."""
 
     def __init__(
         self,
@@ -46,21 +49,21 @@
     def pick(self, now_ns: int, request: RequestState) -> EndpointStats | None:
         """Choose an endpoint that the rules and limits allow; ``None`` if there is none."""
         priority = self._priority.relative_priority(request) or 1.0
-        share = ANY_CLASS_SHARE + (1 - ANY_CLASS_SHARE) * priority
-        if self._attempts.active >= self._limiter.limit * share:
+        limit_share = ANY_PRIORITY_SHARE + (1 - ANY_PRIORITY_SHARE) * priority
+        if self._attempts.active >= self._limiter.limit * limit_share:
             return None
-        endpoint = self._pick_candidate(now_ns, request, share)
+        endpoint = self._pick_candidate(now_ns, request, limit_share)
         if endpoint is None and request.endpoint_ids:
-            return self._search_all(now_ns, request)
+            return self._pick_from_all(now_ns, request)
         return endpoint
 
-    def _pick_candidate(self, now_ns: int, request: RequestState, share: float) -> EndpointStats | None:
-        """Return the better of two candidates, the only one found, or ``None``."""
+    def _pick_candidate(self, now_ns: int, request: RequestState, limit_share: float) -> EndpointStats | None:
+        """Return the better of two allowed candidates, the only one found, or ``None``."""
         first: EndpointStats | None = None
         for draw in range(MAX_DRAWS if self._candidates else 0):
             zone_aware = draw < ZONE_AWARE_DRAWS
             endpoint = self._candidates.draw(zone_aware=zone_aware)
-            if endpoint is first or not self._may_use(now_ns, request, endpoint, share):
+            if endpoint is first or not self._may_use(now_ns, request, endpoint, limit_share):
                 continue
             if first is not None:
                 return self._better(now_ns, first, endpoint)
@@ -69,21 +72,23 @@
             first = endpoint
         return first
 
-    def _may_use(self, now_ns: int, request: RequestState, endpoint: EndpointStats, share: float) -> bool:
-        if endpoint.active >= max(1.0, endpoint.concurrency_limit * share):
+    def _may_use(
+        self, now_ns: int, request: RequestState, endpoint: EndpointStats, limit_share: float
+    ) -> bool:
+        if endpoint.active >= max(1.0, endpoint.concurrency_limit * limit_share):
             return False
         return endpoint.id not in request.endpoint_ids and self._rules.may_send_to(now_ns, request, endpoint)
 
     def _better(self, now_ns: int, first: EndpointStats, second: EndpointStats) -> EndpointStats:
-        """Return the less busy one; between equals the second only if it is clearly faster."""
+        """Return the one with fewer own requests in flight; of equals, the second only if clearly faster."""
         if first.active != second.active:
             return second if second.active < first.active else first
         first_ratio = self._latency.expected_ratio(now_ns, first)
         second_ratio = self._latency.expected_ratio(now_ns, second)
-        return second if second_ratio * CLEARLY_FASTER < first_ratio else first
+        return second if second_ratio * DECISIVE_LATENCY_RATIO < first_ratio else first
 
-    def _search_all(self, now_ns: int, request: RequestState) -> EndpointStats | None:
-        """Search every usable endpoint for the least busy one: few may be allowed for a retry."""
+    def _pick_from_all(self, now_ns: int, request: RequestState) -> EndpointStats | None:
+        """Return the least busy of all usable endpoints: the rules may allow only a few for a retry."""
         allowed = (
             endpoint
             for endpoint in self._endpoints.usable
