--- a/lugtally/balancing/subset.py
+++ b/lugtally/balancing/subset.py
@@ -1,4 +1,4 @@
-"""Subset: the few endpoints, drawn at random and stable over time, that this balancer sends to."""
+"""Subset: the few endpoints that this balancer sends to, chosen at random and stable over time."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from lugtally.balancing.settings import Settings
 
 MIN_MEMBERS = 10
-"""Smallest subset, if there are as many endpoints."""
-BALANCERS_PER_ENDPOINT = 3
-"""How many subsets of the fleet contain each endpoint, on average and at least."""
-MEMBERS_PER_REQUEST = 2
-"""Members for each own request in flight: every second member is near one request in flight."""
+"""Minimum size of the subset, if there are that many endpoints."""
+MIN_BALANCERS_PER_ENDPOINT = 3
+"""Minimum number of balancers, on average, whose subsets contain an endpoint."""
+MEMBERS_PER_REQUEST_IN_FLIGHT = 2
+"""Members per own request in flight: about every second member has one request in flight."""
 IN_FLIGHT_SMOOTHING = 0.3
 """Weight of the newest number of requests in flight in their mean."""
 
 
 class Subset:
-    """The members of the subset."""
+    """The members: as many usable endpoints as needed, in their fixed random order."""
 
     def __init__(self, settings: Settings, endpoints: EndpointTable, attempts: InFlightAttempts) -> None:
         self._settings = settings
@@ -34,6 +34,7 @@
         self.is_outdated = False
         self._mean_in_flight += IN_FLIGHT_SMOOTHING * (len(self._attempts) - self._mean_in_flight)
         usable = self._endpoints.usable
-        fair_share = -(-BALANCERS_PER_ENDPOINT * len(usable) // self._settings.fleet_size)  # rounded up
-        needed = int(MEMBERS_PER_REQUEST * self._mean_in_flight)
-        self.members = usable[: max(MIN_MEMBERS, fair_share, needed)]
+        # Rounded up.
+        size_for_coverage = -(-MIN_BALANCERS_PER_ENDPOINT * len(usable) // self._settings.fleet_size)
+        size_for_traffic = int(MEMBERS_PER_REQUEST_IN_FLIGHT * self._mean_in_flight)
+        self.members = usable[: max(MIN_MEMBERS, size_for_coverage, size_for_traffic)]
