--- a/lugtally/dispatch/dispatcher.py
+++ b/lugtally/dispatch/dispatcher.py
@@ -21,7 +21,7 @@
 from lugtally.dispatch.fault_recovery import FaultRecovery
 from lugtally.dispatch.guarded_policy import GuardedPolicy
 from lugtally.dispatch.metrics import RequestMetrics
-from lugtally.dispatch.pending_request import PendingRequest, SentAttempt
+from lugtally.dispatch.pending_request import PendingRequest, StartedAttempt
 from lugtally.dispatch.policy import BalancingPolicyFactory
 from lugtally.dispatch.service_times import ServiceTimes
 from lugtally.eventloop import EventLoop, WakeReason
@@ -344,7 +344,7 @@
     def _start_attempt(self, request: PendingRequest, endpoint_id: int, now_ns: int, timeout_ns: int) -> None:
         number = len(request.attempts)
         request.awaited_timer = None
-        request.attempts.append(SentAttempt(endpoint_id, now_ns))
+        request.attempts.append(StartedAttempt(endpoint_id, now_ns))
         request.in_flight.add(number)
         deadline_ns = min(now_ns + timeout_ns, request.deadline_ns)
         request.decisions.append(StartAttempt(number, endpoint_id, deadline_ns))
--- a/lugtally/dispatch/pending_request.py
+++ b/lugtally/dispatch/pending_request.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class SentAttempt:
+class StartedAttempt:
     """An attempt that was started.
 
     Attributes:
@@ -88,7 +88,7 @@
         self.cancel_attempt = cancel_attempt
         self.decisions: deque[Decision] = deque()
         self.decision_ready = Event(loop)
-        self.attempts: list[SentAttempt] = []
+        self.attempts: list[StartedAttempt] = []
         self.in_flight: set[int] = set()
         self.submitted = False
         self.awaited_timer: balancing.Timer | None = None
