--- a/lugtally/dispatch/dispatcher.py
+++ b/lugtally/dispatch/dispatcher.py
@@ -112,7 +112,7 @@
                 # All attempts have timed out by now, so only a fault of the balancer leads here.
                 if not request.deadline_was_shortened:
                     logger.error("a request got no decision by its deadline", event="dispatch.deadline_exceeded")
-                self._recovery.give_up(request)
+                self._recovery.reject_or_fail(request)
         return request.decisions.popleft()
 
     def shorten_deadline(self, request: PendingRequest, deadline_ns: int) -> None:
@@ -132,7 +132,7 @@
         request.streaming_attempt = number
         endpoint_id = request.attempts[number].endpoint_id
         if not self._handle_event(balancing.ResponseStarted(request.id, number, endpoint_id)):
-            self._recovery.withdraw(request)  # the balancer must not start another attempt
+            self._recovery.drop_from_balancer(request)  # the balancer must not start another attempt
         for other in request.in_flight - {number}:
             request.cancel_attempt(other)
         return True
@@ -178,9 +178,9 @@
         elif is_streamed:
             self._finish(request, Failed())  # the client has received a truncated response
         elif not handled:
-            self._recovery.recover(request)
+            self._recovery.continue_without_balancer(request)
         else:
-            self._recovery.give_up_if_stranded(request)
+            self._recovery.reject_or_fail_if_stuck(request)
         return won
 
     def client_disconnected(self, request: PendingRequest) -> None:
@@ -252,12 +252,12 @@
             request.awaited_timer = None
         if self._handle_event(balancing.TimerFired(due.timer), request):
             if request is not None:
-                self._recovery.give_up_if_stranded(request)
+                self._recovery.reject_or_fail_if_stuck(request)
             return
         # The timer may be one that sets itself again, as the poll timer does, so it must not be lost.
         self._timers.add(now_ns + fault_recovery.FAULT_RETRY_NS, due.timer)
         for pending in list(self._pending.values()):
-            self._recovery.give_up_if_stranded(pending)
+            self._recovery.reject_or_fail_if_stuck(pending)
 
     def _submit(self, request: PendingRequest) -> None:
         request.submitted = True
@@ -270,9 +270,9 @@
             return
         event = balancing.Request(request.id, request.class_index, request.tenant_index, time_left_ns, request.is_retry)
         if self._handle_event(event, request):
-            self._recovery.give_up_if_stranded(request)
+            self._recovery.reject_or_fail_if_stuck(request)
         else:
-            self._recovery.recover(request)
+            self._recovery.continue_without_balancer(request)
 
     def _finish(self, request: PendingRequest, decision: Decision) -> None:
         """Give the request its final decision and cancel its attempts in flight.  Does nothing if it has finished."""
--- a/lugtally/dispatch/fault_recovery.py
+++ b/lugtally/dispatch/fault_recovery.py
@@ -37,35 +37,35 @@
         self._handle_event = handle_event
         self._finish = finish
 
-    def recover(self, request: PendingRequest) -> None:
+    def continue_without_balancer(self, request: PendingRequest) -> None:
         """Continue a request without the balancer, which failed on an event of it.
 
         The decision is lost, and the balancer may number later attempts differently, so it must not decide on this
         request again.  Attempts in flight may still be served; without any, the request is answered now.
         """
-        self.withdraw(request)
+        self.drop_from_balancer(request)
         request.awaited_timer = None
-        self.give_up_if_stranded(request)
+        self.reject_or_fail_if_stuck(request)
 
-    def give_up_if_stranded(self, request: PendingRequest) -> None:
+    def reject_or_fail_if_stuck(self, request: PendingRequest) -> None:
         """Answer a request that waits for nothing, if a fault may have lost a decision on it."""
-        if self._balancer.has_failed and request.is_stranded:
-            self.give_up(request)
+        if self._balancer.has_failed and request.is_stuck:
+            self.reject_or_fail(request)
 
-    def give_up(self, request: PendingRequest) -> None:
+    def reject_or_fail(self, request: PendingRequest) -> None:
         """Reject the request, or fail it if an attempt may have run."""
         self._finish(request, Failed() if request.may_have_run else Rejected(0))
-        self.withdraw(request)
+        self.drop_from_balancer(request)
 
-    def withdraw(self, request: PendingRequest) -> None:
+    def drop_from_balancer(self, request: PendingRequest) -> None:
         """Make the balancer drop its state of the request, so that it starts no further attempt for it.
 
         A balancer that failed may have recorded one more attempt than it started.  That attempt is reported as never
         sent: otherwise it would count as in flight at its endpoint until the process ends.
         """
         if self._balancer.has_failed:
-            never_started = len(request.attempts)
+            unstarted_number = len(request.attempts)
             self._handle_event(
-                balancing.AttemptFinished(request.id, never_started, 0, balancing.AttemptResult.NEVER_SENT, True, 0)
+                balancing.AttemptFinished(request.id, unstarted_number, 0, balancing.AttemptResult.NEVER_SENT, True, 0)
             )
         self._handle_event(balancing.ClientDisconnected(request.id))
--- a/lugtally/dispatch/pending_request.py
+++ b/lugtally/dispatch/pending_request.py
@@ -106,7 +106,7 @@
         return any(attempt.may_have_run for attempt in self.attempts)
 
     @property
-    def is_stranded(self) -> bool:
+    def is_stuck(self) -> bool:
         """Whether the request has no final answer and waits for nothing that could lead to one."""
         return not (self.finished or self.is_streaming or self.in_flight or self.awaited_timer is not None)
 
--- a/tests/dispatch/test_balancer_faults.py
+++ b/tests/dispatch/test_balancer_faults.py
@@ -58,7 +58,7 @@
         run_task(self.loop, self.dispatcher, work)
         assert self.loop.now() - started_ns < TIME_LEFT_NS, "the request was answered at its deadline only"
 
-    def withdrawn(self) -> list[str]:
+    def dropped_requests(self) -> list[str]:
         """Return the ids of the requests that the balancer was notified to drop."""
         return [event.request_id for event in self.balancer.events if isinstance(event, balancing.ClientDisconnected)]
 
@@ -87,7 +87,7 @@
     def work() -> None:
         pending = harness.pending()
         assert harness.dispatcher.next_decision(pending) == dispatch.Rejected(0)
-        assert harness.withdrawn() == [pending.id] * 2
+        assert harness.dropped_requests() == [pending.id] * 2
 
     harness.run(work)
 
@@ -171,7 +171,7 @@
         for _ in range(2):
             assert isinstance(harness.dispatcher.next_decision(pending), dispatch.StartAttempt)
         harness.dispatcher.attempt_finished(pending, 0, AttemptOutcome.RESET)
-        assert harness.withdrawn() == [pending.id]
+        assert harness.dropped_requests() == [pending.id]
         assert not pending.finished
         harness.dispatcher.attempt_finished(pending, 1, outcome)
         assert harness.dispatcher.next_decision(pending) == decision
@@ -187,7 +187,7 @@
         for _ in range(2):
             harness.dispatcher.next_decision(pending)
         assert harness.dispatcher.claim_stream(pending, 0)
-        assert harness.withdrawn() == [pending.id], "the balancer may start another attempt"
+        assert harness.dropped_requests() == [pending.id], "the balancer may start another attempt"
         assert harness.cancelled == [1]
         harness.dispatcher.attempt_finished(pending, 1, AttemptOutcome.CANCELLED)
         assert not pending.finished
