--- a/lugtally/dispatch/endpoint_registry.py
+++ b/lugtally/dispatch/endpoint_registry.py
@@ -42,7 +42,7 @@
         self._listed: dict[int, ListedEndpoint] = {}
         self._ever_listed: set[int] = set()
         self._drained: set[int] = set()
-        self._restarted_ns: dict[int, int] = {}  # when an operator's drain ended: slow start begins again
+        self._drain_ended_ns: dict[int, int] = {}  # when an operator's drain ended: slow start begins again
 
     def __len__(self) -> int:
         return len(self._listed)
@@ -59,11 +59,11 @@
         if kind is EndpointUpdateKind.FULL:
             for endpoint_id in self._listed.keys() - {endpoint.id for endpoint in updated}:
                 self._remove(endpoint_id)
-        return [self._effective(endpoint) for endpoint in updated]
+        return [self._effective_endpoint(endpoint) for endpoint in updated]
 
     def all(self) -> list[Endpoint]:
         """Return all listed endpoints as the balancer receives them."""
-        return [self._effective(endpoint) for endpoint in self._listed.values()]
+        return [self._effective_endpoint(endpoint) for endpoint in self._listed.values()]
 
     def was_listed(self, endpoint_id: int) -> bool:
         """Return whether the endpoint was listed at any time since the start."""
@@ -78,7 +78,7 @@
         if endpoint_id in self._drained:
             return None
         self._drained.add(endpoint_id)
-        return self._effective_of(endpoint_id)
+        return self._effective_endpoint_by_id(endpoint_id)
 
     def end_drain(self, endpoint_id: int, now_ns: int) -> Endpoint | None:
         """End the drain of the endpoint, which warms up again; return it as :meth:`start_drain` does."""
@@ -86,21 +86,21 @@
             return None
         self._drained.discard(endpoint_id)
         if endpoint_id in self._listed:
-            self._restarted_ns[endpoint_id] = now_ns
-        return self._effective_of(endpoint_id)
+            self._drain_ended_ns[endpoint_id] = now_ns
+        return self._effective_endpoint_by_id(endpoint_id)
 
     def _remove(self, endpoint_id: int) -> None:
         self._listed.pop(endpoint_id, None)
-        self._restarted_ns.pop(endpoint_id, None)
+        self._drain_ended_ns.pop(endpoint_id, None)
 
-    def _effective_of(self, endpoint_id: int) -> Endpoint | None:
+    def _effective_endpoint_by_id(self, endpoint_id: int) -> Endpoint | None:
         endpoint = self._listed.get(endpoint_id)
-        return None if endpoint is None else self._effective(endpoint)
+        return None if endpoint is None else self._effective_endpoint(endpoint)
 
-    def _effective(self, endpoint: ListedEndpoint) -> Endpoint:
+    def _effective_endpoint(self, endpoint: ListedEndpoint) -> Endpoint:
         """Return the endpoint as the balancer receives it: one that operators drain is draining until it is removed."""
         state = _BALANCER_STATES[endpoint.state]
         if endpoint.id in self._drained and endpoint.state is not ListedState.REMOVED:
             state = EndpointState.DRAINING
-        started_ns = max(endpoint.started_ns, self._restarted_ns.get(endpoint.id, 0))
+        started_ns = max(endpoint.started_ns, self._drain_ended_ns.get(endpoint.id, 0))
         return Endpoint(endpoint.id, endpoint.zone, endpoint.cell, state, started_ns)
