--- a/lugtally/dispatch/dispatcher.py
+++ b/lugtally/dispatch/dispatcher.py
@@ -1,7 +1,7 @@
-"""The dispatcher: the only caller of the balancer.
+"""The dispatcher: the only component that calls the balancer.
 
-It translates changes of requests, attempts and endpoints into events of the balancer.  It translates the balancer's
-actions into decisions, which the tasks of the requests wait for.
+It reports changes of requests, attempts and endpoints to the balancer as events, and performs the actions that the
+balancer returns.  Actions that concern a request become decisions, which the task of the request waits for.
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
 from lugtally.units import NS_PER_MS
 
 DEADLINE_MARGIN_NS = 20 * NS_PER_MS
-"""How long after its deadline a request without a decision gets its final answer."""
+"""How long after its deadline a request that still waits for a decision gets its final answer."""
 
 
 def _do_nothing(*_: object) -> None:
-    """Replace a handler that has not been set."""
+    """Ignore a call to a handler that has not been set."""
 
 
 class Dispatcher:
@@ -66,12 +66,12 @@
         self.metrics = RequestMetrics(tuple(request_class.name for request_class in settings.classes))
 
     def set_handlers(self, close_idle_connections: Callable[[int], None], watch_endpoints: Callable[[], None]) -> None:
-        """Set what closes the idle connections to an endpoint, and what polls the endpoint list."""
+        """Set the functions that close the idle connections to an endpoint and that poll the endpoint list."""
         self._close_idle_connections = close_idle_connections
         self._watch_endpoints = watch_endpoints
 
     def set_admission_controller(self, admission: AdmissionController) -> None:
-        """Check each request with this controller before it is processed."""
+        """Set the controller that admits or sheds each request before it is processed."""
         self._admission = admission
 
     # ------------------------------------------------------------ requests
@@ -79,7 +79,7 @@
     def reject_if_overloaded(self, class_index: int, time_left_ns: int) -> Rejected | None:
         """Return a rejection if this sidecar is itself overloaded, else ``None``.
 
-        The caller has only read the head of the request: no byte of it has been sent to an endpoint.
+        Call this when only the head of the request has been read, before any byte of it is sent to an endpoint.
         """
         admission = self._admission
         if admission is None:
@@ -97,19 +97,22 @@
         return Rejected(admission.retry_after_ns())
 
     def next_decision(self, request: PendingRequest) -> Decision:
-        """Block until the next decision on a request; the first call submits it to the balancer."""
+        """Return the next decision on a request, waiting until there is one.
+
+        The first call submits the request to the balancer.
+        """
         if not request.submitted:
             self._submit(request)
         while not request.decisions:
             if request.is_streaming:
-                # The request has no deadline any more: it ends when its stream ends.
+                # The deadline no longer applies: the request finishes when its stream ends.
                 request.decision_ready.wait()
                 continue
             reason = request.decision_ready.wait(request.deadline_ns + DEADLINE_MARGIN_NS)
-            # READY without a decision is a stale wake-up.
-            # Wait again, so that attempts that timed out during a stall of the process report first.
+            # A wake-up with READY but without a decision is outdated: wait again.  After a stall of the process, this
+            # lets the attempts that have timed out report their outcomes first.
             if reason is not WakeReason.READY and not request.decisions and not request.is_streaming:
-                # All attempts have timed out by now, so only a fault of the balancer leads here.
+                # All attempts have timed out by now, so unless the deadline was shortened, the balancer is at fault.
                 if not request.deadline_was_shortened:
                     logger.error("a request got no decision by its deadline", event="dispatch.deadline_exceeded")
                 self._recovery.reject_or_fail(request)
@@ -119,13 +122,13 @@
         """Set an earlier deadline for a request that is already in progress."""
         request.deadline_ns = deadline_ns
         request.deadline_was_shortened = True
-        request.decision_ready.set()  # the waiting task must use the new deadline
+        request.decision_ready.set()  # wake the waiting task, which must wait for the new deadline instead
 
     def claim_stream(self, request: PendingRequest, number: int) -> bool:
-        """Bind the request to an attempt whose response is streamed; return whether the attempt may send it.
+        """Claim the client's response for an attempt that streams; return whether the attempt may send its response.
 
-        Only the first attempt that claims the stream may.  The balancer starts no further attempt for the request, the
-        other attempts in flight are cancelled, and the request finishes when this attempt does.
+        Only the first attempt that makes the claim may.  From then on the balancer starts no further attempt for the
+        request, the other attempts in flight are cancelled, and the request finishes when the streaming attempt does.
         """
         if request.finished or request.is_streaming or number not in request.in_flight:
             return False
@@ -138,7 +141,7 @@
         return True
 
     def may_start(self, request: PendingRequest, number: int) -> bool:
-        """Return whether bytes of an attempt may be written now.  Call this right before each write."""
+        """Return whether bytes of an attempt may be written now.  Call this immediately before each write."""
         now_ns = self._loop.now()
         return request.allows_attempt(number, now_ns) and self._balancer.may_start(now_ns, request.id, number)
 
@@ -157,21 +160,21 @@
         attempt = request.attempts[number]
         is_streamed = request.streaming_attempt == number
         served = outcome is AttemptOutcome.SERVED
-        won = served and not request.finished and (not request.is_streaming or is_streamed)
+        is_final_answer = served and not request.finished and (not request.is_streaming or is_streamed)
         duration_ns = self._loop.now() - attempt.started_ns
         if outcome in FULLY_SENT:
             self.metrics.record_dispatch()
         result = ATTEMPT_RESULTS[outcome]
         attempt.may_have_run = result not in balancing.NOT_PROCESSED
-        request_finished = won or request.finished or is_streamed
+        request_finished = is_final_answer or request.finished or is_streamed
         handled = self._handle_event(
             balancing.AttemptFinished(
                 request.id, number, attempt.endpoint_id, result, request_finished, duration_ns, load_report
             ),
             request,
         )
-        if won:
-            if not is_streamed:  # the duration of a stream depends on how fast its client reads
+        if is_final_answer:
+            if not is_streamed:  # the duration of a stream depends on how fast the client reads
                 self._service_times.record(request.class_index, duration_ns)
             self.metrics.record_success(request.class_index)
             self._finish(request, Finished())
@@ -181,7 +184,7 @@
             self._recovery.continue_without_balancer(request)
         else:
             self._recovery.reject_or_fail_if_stuck(request)
-        return won
+        return is_final_answer
 
     def client_disconnected(self, request: PendingRequest) -> None:
         """Record that the client disconnected.  Does nothing if the request has finished."""
@@ -193,7 +196,7 @@
     # ------------------------------------------------------------ endpoints
 
     def update_endpoints(self, kind: balancing.EndpointUpdateKind, endpoints: Iterable[ListedEndpoint] = ()) -> None:
-        """Apply an update of the endpoint list.  ``FAILED`` reports that discovery could not be polled."""
+        """Apply an update of the endpoint list.  The kind ``FAILED`` means that discovery could not be polled."""
         self._endpoint_updates.apply(kind, endpoints)
 
     def was_listed(self, endpoint_id: int) -> bool:
@@ -226,7 +229,7 @@
         return drained_count + self._balancer.ejected_count(self._loop.now())
 
     def request_counts(self) -> dict[str, int]:
-        """Return the requests in progress and the finished ones by result, keyed as on the status socket."""
+        """Return the number of requests in progress and of finished requests by result, by the status socket's keys."""
         return self.metrics.request_counts(len(self._pending))
 
     # ------------------------------------------------------------ the balancer
@@ -234,8 +237,8 @@
     def run_due_timers(self) -> int | None:
         """Fire the balancer's timers that are due; return when the next one is due, or ``None``."""
         now_ns = self._loop.now()
-        while (due := self._timers.pop_due(now_ns)) is not None:
-            self._fire_timer(now_ns, due)
+        while (due_timer := self._timers.pop_due(now_ns)) is not None:
+            self._fire_timer(now_ns, due_timer)
         updates = self._endpoint_updates
         if updates.resend_due_ns is not None and updates.resend_due_ns <= now_ns:
             updates.resend()
@@ -246,23 +249,24 @@
             return updates.resend_due_ns
         return min(timer_due_ns, updates.resend_due_ns)
 
-    def _fire_timer(self, now_ns: int, due: BalancerTimer) -> None:
-        request = self._pending.get(due.request_id)
-        if request is not None and request.awaited_timer == due.timer:
+    def _fire_timer(self, now_ns: int, due_timer: BalancerTimer) -> None:
+        request = self._pending.get(due_timer.request_id)
+        if request is not None and request.awaited_timer == due_timer.timer:
             request.awaited_timer = None
-        if self._handle_event(balancing.TimerFired(due.timer), request):
+        if self._handle_event(balancing.TimerFired(due_timer.timer), request):
             if request is not None:
                 self._recovery.reject_or_fail_if_stuck(request)
             return
-        # The timer may be one that sets itself again, as the poll timer does, so it must not be lost.
-        self._timers.add(now_ns + fault_recovery.FAULT_RETRY_NS, due.timer)
+        # The balancer failed.  The timer must not be lost: the balancer sets a periodic timer, such as the poll timer,
+        # again only when it fires.
+        self._timers.add(now_ns + fault_recovery.FAULT_RETRY_NS, due_timer.timer)
         for pending in list(self._pending.values()):
             self._recovery.reject_or_fail_if_stuck(pending)
 
     def _submit(self, request: PendingRequest) -> None:
         request.submitted = True
         self._last_id += 1
-        request.id = str(self._last_id)  # not the client's id, which another request in flight may have
+        request.id = str(self._last_id)  # the client's id may not be unique among the requests in progress
         self._pending[request.id] = request
         time_left_ns = request.deadline_ns - self._loop.now()
         if time_left_ns <= 0:
@@ -294,7 +298,7 @@
             self._watch_endpoints()
 
     def _handle_event(self, event: balancing.Event, request: PendingRequest | None = None) -> bool:
-        """Send an event to the balancer and perform its actions; return false if the balancer failed on the event.
+        """Pass an event to the balancer and perform the actions that it returns; return false if the balancer failed.
 
         ``request`` is the request that the event belongs to, if any.
         """
@@ -306,7 +310,7 @@
             try:
                 self._perform(now_ns, action, request)
             except Exception:
-                # A fault in one action must not prevent the others, nor the remaining work of the caller.
+                # An action that fails must not prevent the other actions or the remaining work of the caller.
                 action_type = type(action).__name__
                 logger.exception(
                     "the action {action_type} raised an exception",
@@ -315,8 +319,8 @@
                 )
         return True
 
-    def _perform(self, now_ns: int, action: balancing.Action, subject: PendingRequest | None = None) -> None:
-        """Perform one action, which the balancer returned for an event of the request ``subject``."""
+    def _perform(self, now_ns: int, action: balancing.Action, event_request: PendingRequest | None = None) -> None:
+        """Perform one action of the balancer; ``event_request`` is the request of the event that led to it, if any."""
         match action:
             case balancing.SendAttempt(request_id, endpoint_id, timeout_ns):
                 if (request := self._pending.get(request_id)) is not None:
@@ -328,18 +332,18 @@
             case balancing.CancelAttempt(request_id, number):
                 self._cancel_attempt(request_id, number)
             case balancing.SetTimer(delay_ns, timer):
-                self._set_timer(now_ns + delay_ns, timer, subject)
+                self._set_timer(now_ns + delay_ns, timer, event_request)
             case balancing.CloseIdleConnections(endpoint_id):
                 self._close_idle_connections(endpoint_id)
             case balancing.WatchEndpoints():
                 self._watch_endpoints()
 
-    def _set_timer(self, due_ns: int, timer: balancing.Timer, subject: PendingRequest | None) -> None:
-        if subject is None or subject.finished or subject.in_flight:
+    def _set_timer(self, due_ns: int, timer: balancing.Timer, event_request: PendingRequest | None) -> None:
+        if event_request is None or event_request.finished or event_request.in_flight:
             self._timers.add(due_ns, timer)
             return
-        subject.awaited_timer = timer  # the request waits for nothing else
-        self._timers.add(due_ns, timer, subject.id)
+        event_request.awaited_timer = timer  # no attempt is in flight: the request waits for this timer alone
+        self._timers.add(due_ns, timer, event_request.id)
 
     def _start_attempt(self, request: PendingRequest, endpoint_id: int, now_ns: int, timeout_ns: int) -> None:
         number = len(request.attempts)
