--- a/lugtally/dispatch/__init__.py
+++ b/lugtally/dispatch/__init__.py
@@ -1,7 +1,8 @@
-"""Requests in progress, between the connections and the balancer.
+"""Management of the requests in progress, between the connections and the balancer.
 
-This package owns each request from its submission to its final answer, the timers of the balancer, the operators'
-drains and the request metrics.  It must not know sockets or protocols, and it makes no balancing decision.
+This package owns each request from its submission to its final answer, the timers of the balancer, the drains that
+operators start, and the request metrics.  It must not depend on sockets or protocols, and it makes no balancing
+decisions.
 """
 
 from lugtally.dispatch.attempt_outcome import ATTEMPT_RESULTS, FULLY_SENT, AttemptOutcome
--- a/lugtally/dispatch/attempt_outcome.py
+++ b/lugtally/dispatch/attempt_outcome.py
@@ -1,4 +1,4 @@
-"""The outcomes of an attempt, and the result that each is reported as to the balancer."""
+"""The outcomes of an attempt, and the result that the balancer receives for each outcome."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class AttemptOutcome(Enum):
-    """How an attempt ended.  "Sent" means that the last byte of the request was written."""
+    """How an attempt ended.  A request counts as sent once its last byte has been written."""
 
     SERVED = "a complete response with status 200"
     ERRORED = "a complete response after which the request may have been processed"
@@ -42,7 +42,7 @@
     AttemptOutcome.CANCELLED_BEFORE_SENT: AttemptResult.NEVER_SENT,
     AttemptOutcome.CANCELLED: AttemptResult.CANCELLED,
 }
-"""The result that each outcome is reported as to the balancer."""
+"""The result that the balancer receives for each outcome."""
 
 FULLY_SENT = frozenset(
     {
@@ -56,4 +56,4 @@
         AttemptOutcome.CANCELLED,
     }
 )
-"""Outcomes of attempts whose request was sent: the counters call these attempts dispatches."""
+"""Outcomes of attempts whose request was sent; the counter ``dispatches`` counts these attempts."""
--- a/lugtally/dispatch/dispatcher.py
+++ b/lugtally/dispatch/dispatcher.py
@@ -109,8 +109,8 @@
                 request.decision_ready.wait()
                 continue
             reason = request.decision_ready.wait(request.deadline_ns + DEADLINE_MARGIN_NS)
-            # A wake-up with READY but without a decision is outdated: wait again.  After a stall of the process, this
-            # lets the attempts that have timed out report their outcomes first.
+            # A wake-up with READY but without a decision is outdated.  Wait again, so that after a stall of the process
+            # the attempts that have timed out report their outcomes first.
             if reason is not WakeReason.READY and not request.decisions and not request.is_streaming:
                 # All attempts have timed out by now, so unless the deadline was shortened, the balancer is at fault.
                 if not request.deadline_was_shortened:
