--- a/lugtally/dispatch/balancer_timers.py
+++ b/lugtally/dispatch/balancer_timers.py
@@ -1,4 +1,4 @@
-"""The timers that the balancer has set."""
+"""The timers that the balancer has set and that have not fired yet."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 class BalancerTimer(NamedTuple):
-    """A timer of the balancer; ``sequence`` orders timers that are due at the same time."""
+    """A timer of the balancer.  ``sequence`` orders the timers that are due at the same time."""
 
     due_ns: int
     sequence: int
     timer: balancing.Timer
     request_id: str
-    """The request that waits for this timer and nothing else, or ``NO_REQUEST``."""
+    """The request that waits for this timer alone, or ``NO_REQUEST``."""
 
 
 class BalancerTimers:
-    """A heap of timers.  Timers that are due at the same time fire in the order in which they were set."""
+    """A priority queue of timers.  Timers that are due at the same time fire in the order in which they were set."""
 
     def __init__(self) -> None:
         self._heap: list[BalancerTimer] = []
@@ -40,5 +40,5 @@
         return None
 
     def next_due_ns(self) -> int | None:
-        """Return when the next timer is due; ``None`` if there is none."""
+        """Return the time at which the next timer is due; ``None`` if there is none."""
         return self._heap[0].due_ns if self._heap else None
--- a/lugtally/dispatch/decision.py
+++ b/lugtally/dispatch/decision.py
@@ -1,4 +1,4 @@
-"""Decisions on a request: start an attempt, or give the final answer."""
+"""Decisions on a request: start an attempt, or finish the request with a final answer."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class StartAttempt:
-    """Start attempt ``number`` at this endpoint.  It times out at ``deadline_ns`` on the event loop's clock."""
+    """Start the attempt ``number`` at an endpoint; it times out at ``deadline_ns`` on the event loop's clock."""
 
     number: int
     endpoint_id: int
@@ -16,10 +16,10 @@
 
 @dataclass(slots=True)
 class Rejected:
-    """Final: the request was not processed, and the client may retry it.
+    """Final answer: the request was not processed, and the client may retry it.
 
     Attributes:
-        retry_after_ns: When the client should retry; 0 sends no advice.
+        retry_after_ns: How long the client should wait before it retries; 0 if the response does not say.
     """
 
     retry_after_ns: int
@@ -27,12 +27,12 @@
 
 @dataclass(slots=True)
 class Failed:
-    """Final: the request failed and may have been processed."""
+    """Final answer: the request failed and may have been processed."""
 
 
 @dataclass(slots=True)
 class Finished:
-    """Final: an attempt was served, or the client disconnected."""
+    """The request needs no answer from the dispatcher: an attempt was served, or the client disconnected."""
 
 
 Decision = StartAttempt | Rejected | Failed | Finished
