--- a/lugtally/dispatch/decision.py
+++ b/lugtally/dispatch/decision.py
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class Finished:
-    """The request needs no answer from the dispatcher: an attempt was served, or the client disconnected."""
+    """The request has finished: an attempt was served, or the client disconnected."""
 
 
 Decision = StartAttempt | Rejected | Failed | Finished
--- a/lugtally/dispatch/endpoint_registry.py
+++ b/lugtally/dispatch/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The listed endpoints and the operators' drains, which take precedence over the listed state."""
+"""The listed endpoints, and the drains that operators started, which take precedence over the listed state."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
     """An endpoint as the endpoint list describes it.
 
     Attributes:
-        id: Derived from the id in the list.
-        zone: The number of its zone.
-        cell: The number of the cell that shares its deduplication records.
-        state: The listed state.
-        started_ns: When it started, on the event loop's clock; 0 if that is long ago.
+        id: A number derived from the endpoint's id in the list.
+        zone: The number of the endpoint's zone.
+        cell: The number of the endpoint's cell, whose endpoints share their deduplication records.
+        state: The state in the list.
+        started_ns: When the endpoint started, on the event loop's clock; 0 if it started long ago.
     """
 
     id: int
@@ -42,13 +42,13 @@
         self._listed: dict[int, ListedEndpoint] = {}
         self._ever_listed: set[int] = set()
         self._drained: set[int] = set()
-        self._drain_ended_ns: dict[int, int] = {}  # when an operator's drain ended: slow start begins again
+        self._drain_ended_ns: dict[int, int] = {}  # by endpoint: slow start begins again when a drain ends
 
     def __len__(self) -> int:
         return len(self._listed)
 
     def update(self, kind: EndpointUpdateKind, endpoints: Iterable[ListedEndpoint]) -> list[Endpoint]:
-        """Apply an update of the list; return the updated endpoints as the balancer receives them."""
+        """Apply an update of the list; return the updated endpoints in the form for the balancer."""
         updated = list(endpoints)
         for endpoint in updated:
             if endpoint.state is ListedState.REMOVED:
@@ -62,7 +62,7 @@
         return [self._effective_endpoint(endpoint) for endpoint in updated]
 
     def all(self) -> list[Endpoint]:
-        """Return all listed endpoints as the balancer receives them."""
+        """Return all listed endpoints in the form for the balancer."""
         return [self._effective_endpoint(endpoint) for endpoint in self._listed.values()]
 
     def was_listed(self, endpoint_id: int) -> bool:
@@ -74,14 +74,14 @@
         return len(self._drained & self._listed.keys())
 
     def start_drain(self, endpoint_id: int) -> Endpoint | None:
-        """Drain the endpoint; return it as the balancer receives it, or ``None`` if nothing changes."""
+        """Drain the endpoint; return it in the form for the balancer, or ``None`` if nothing changes for it."""
         if endpoint_id in self._drained:
             return None
         self._drained.add(endpoint_id)
         return self._effective_endpoint_by_id(endpoint_id)
 
     def end_drain(self, endpoint_id: int, now_ns: int) -> Endpoint | None:
-        """End the drain of the endpoint, which warms up again; return it as :meth:`start_drain` does."""
+        """End the drain of the endpoint, which then warms up; return the same as :meth:`start_drain`."""
         if endpoint_id not in self._drained:
             return None
         self._drained.discard(endpoint_id)
@@ -98,7 +98,7 @@
         return None if endpoint is None else self._effective_endpoint(endpoint)
 
     def _effective_endpoint(self, endpoint: ListedEndpoint) -> Endpoint:
-        """Return the endpoint as the balancer receives it: one that operators drain is draining until it is removed."""
+        """Return the endpoint for the balancer: ``DRAINING`` while an operator drains it, unless it was removed."""
         state = _BALANCER_STATES[endpoint.state]
         if endpoint.id in self._drained and endpoint.state is not ListedState.REMOVED:
             state = EndpointState.DRAINING
