--- a/lugtally/dispatch/fault_recovery.py
+++ b/lugtally/dispatch/fault_recovery.py
@@ -1,6 +1,6 @@
-"""Recovery of pending requests after the balancer raised an exception.
+"""Recovery of pending requests after the balancer has raised an exception.
 
-After such a fault, actions of the balancer may be lost, and the balancer may wait for attempts that never started.
+After such a fault, actions of the balancer may be lost, and the balancer may wait for attempts that were never started.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from lugtally.units import NS_PER_MS
 
 FAULT_RETRY_NS = 500 * NS_PER_MS
-"""The delay before the balancer receives a timer or the endpoint list again after it failed on it."""
+"""The delay after which a timer or endpoint update on which the balancer failed is sent to it again."""
 
 
 class FaultRecovery:
-    """Gives requests their final answer where the balancer cannot."""
+    """Finishes requests for which the balancer makes no decision because of a fault."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         """Initialize the recovery.
 
         Args:
-            balancer: Knows whether the policy has ever failed.
+            balancer: The balancer, which reports whether it has ever failed.
             handle_event: Sends an event to the balancer.
             finish: Gives a request its final decision.
         """
@@ -38,30 +38,30 @@
         self._finish = finish
 
     def continue_without_balancer(self, request: PendingRequest) -> None:
-        """Continue a request without the balancer, which failed on an event of it.
+        """Continue a request without the balancer, which has failed on an event of this request.
 
-        The decision is lost, and the balancer may number later attempts differently, so it must not decide on this
-        request again.  Attempts in flight may still be served; without any, the request is answered now.
+        The balancer's decision is lost, and it may number later attempts differently, so it must not decide on this
+        request again.  Attempts in flight may still be served.  If there are none, the request is finished now.
         """
         self.drop_from_balancer(request)
         request.awaited_timer = None
         self.reject_or_fail_if_stuck(request)
 
     def reject_or_fail_if_stuck(self, request: PendingRequest) -> None:
-        """Answer a request that waits for nothing, if a fault may have lost a decision on it."""
+        """Finish a request that waits for nothing, if a fault may have lost a decision on it."""
         if self._balancer.has_failed and request.is_stuck:
             self.reject_or_fail(request)
 
     def reject_or_fail(self, request: PendingRequest) -> None:
-        """Reject the request, or fail it if an attempt may have run."""
+        """Reject the request, or fail it if an endpoint may have processed it."""
         self._finish(request, Failed() if request.may_have_run else Rejected(0))
         self.drop_from_balancer(request)
 
     def drop_from_balancer(self, request: PendingRequest) -> None:
         """Make the balancer drop its state of the request, so that it starts no further attempt for it.
 
-        A balancer that failed may have recorded one more attempt than it started.  That attempt is reported as never
-        sent: otherwise it would count as in flight at its endpoint until the process ends.
+        A balancer that has failed may have recorded one attempt that was never started.  That attempt is reported as
+        never sent, because otherwise it would count as in flight at its endpoint until the process ends.
         """
         if self._balancer.has_failed:
             unstarted_number = len(request.attempts)
