--- a/lugtally/dispatch/guarded_policy.py
+++ b/lugtally/dispatch/guarded_policy.py
@@ -1,4 +1,4 @@
-"""A wrapper that catches the exceptions of a balancing policy and reports them to the dispatcher."""
+"""A wrapper that catches and logs the exceptions of a balancing policy."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class GuardedPolicy:
-    """Calls a balancing policy and catches its exceptions, so that they end no task.
+    """Calls a balancing policy and catches its exceptions, so that they do not end the calling task.
 
     Attributes:
-        has_failed: Whether the policy ever raised an exception.  Actions may be lost since, and the policy may wait for
-            attempts that never started.
+        has_failed: Whether the policy has ever raised an exception.  If so, actions may have been lost, and the policy
+            may wait for attempts that were never started.
     """
 
     __slots__ = ("_ejected_count", "_may_start", "_policy", "has_failed")
@@ -27,7 +27,7 @@
         self.has_failed = False
 
     def handle(self, now_ns: int, event: balancing.Event) -> list[balancing.Action] | None:
-        """Return the actions of the policy on an event; ``None`` if the policy failed."""
+        """Return the actions that the policy takes on an event; ``None`` if the policy failed."""
         try:
             return self._policy.handle(now_ns, event)
         except Exception:
@@ -47,7 +47,7 @@
             return False
 
     def ejected_count(self, now_ns: int) -> int:
-        """Return how many endpoints the policy currently ejects."""
+        """Return how many endpoints are currently ejected; 0 if the policy does not count them."""
         return 0 if self._ejected_count is None else self._ejected_count(now_ns)
 
 
