--- a/lugtally/dispatch/guarded_policy.py
+++ b/lugtally/dispatch/guarded_policy.py
@@ -1,4 +1,4 @@
-"""A wrapper that catches and logs the exceptions of a balancing policy."""
+"""A wrapper that catches and logs the exceptions of a balancing policy, and reports the failure to its caller."""
 
 from __future__ import annotations
 
--- a/lugtally/dispatch/policy.py
+++ b/lugtally/dispatch/policy.py
@@ -1,4 +1,4 @@
-"""The interface of a balancing policy, as the dispatcher requires it."""
+"""The interface that the dispatcher requires of a balancing policy."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 class BalancingPolicy(Protocol):
-    """The shipped :class:`~lugtally.balancing.Balancer`, or a baseline that the testbed compares with it.
+    """Chooses endpoints: :class:`~lugtally.balancing.Balancer`, or a baseline that the testbed compares with it.
 
-    A policy may define two further methods.  ``may_start(now_ns, request_id, attempt)`` returns whether bytes of an
-    attempt may be written.  ``ejected_count(now_ns)`` returns the number of endpoints that are currently ejected.
+    A policy may define two more methods.  ``may_start(now_ns, request_id, attempt)`` returns whether bytes of an
+    attempt may be written.  ``ejected_count(now_ns)`` returns how many endpoints are currently ejected.
     """
 
     def handle(self, now_ns: int, event: balancing.Event, /) -> list[balancing.Action]:
-        """Return the actions on an event that occurred at ``now_ns``."""
+        """Return the actions to perform after an event that occurred at ``now_ns``."""
 
 
 BalancingPolicyFactory = Callable[[balancing.Settings, int], BalancingPolicy]
-"""Builds a policy from the settings and a seed."""
+"""Creates a policy from the settings and a seed for its random numbers."""
