--- a/lugtally/dispatch/metrics.py
+++ b/lugtally/dispatch/metrics.py
@@ -1,4 +1,4 @@
-"""The request counters of one process, for ``GET /control/counters`` and the status socket."""
+"""The request counters of this process, which ``GET /control/counters`` and the status socket report."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class RequestMetrics:
-    """Counts requests by class and result, and attempts that were sent completely.
+    """Counts requests by class and result, and attempts whose request was sent completely.
 
-    All counters start at 0 in each process.
+    All counters are 0 when the process starts.
 
     Attributes:
         success: Served requests, by class.
@@ -59,7 +59,7 @@
         self.dispatches += 1
 
     def snapshot(self, in_progress: int, endpoint_count: int, disabled_count: int) -> dict[str, Any]:
-        """Return the response body of ``GET /control/counters``; the arguments are current values."""
+        """Return the body of the response to ``GET /control/counters``.  The arguments are the current numbers."""
         return {
             "replies": {
                 name: {"success": success, "overload": overload, "error": error}
@@ -74,7 +74,7 @@
         }
 
     def request_counts(self, in_progress: int) -> dict[str, int]:
-        """Return the requests in progress and the finished ones by result, keyed as on the status socket."""
+        """Return the number of requests in progress and of finished requests by result, by the status socket's keys."""
         return {
             "in_progress": in_progress,
             "served": sum(self.success),
