--- a/lugtally/dispatch/pending_request.py
+++ b/lugtally/dispatch/pending_request.py
@@ -13,7 +13,7 @@
 UNKNOWN_TENANT = -1
 """The tenant index of a request without a tenant, or with one that is not in the settings."""
 NO_ATTEMPT = -1
-"""The number that stands for no attempt."""
+"""The attempt number that means that no attempt streams its response."""
 
 
 @dataclass(slots=True)
@@ -21,9 +21,9 @@
     """An attempt that was started.
 
     Attributes:
-        endpoint_id: The endpoint of the attempt.
-        started_ns: When it was started, on the event loop's clock.
-        may_have_run: Whether the endpoint may have processed the request; false once the outcome rules this out.
+        endpoint_id: The endpoint that the attempt is made at.
+        started_ns: When the attempt was started, on the event loop's clock.
+        may_have_run: Whether the endpoint may have processed the request; false once an outcome rules this out.
     """
 
     endpoint_id: int
@@ -35,19 +35,19 @@
     """A request in progress.
 
     Attributes:
-        id: Assigned at submission; empty before.
+        id: The id that the balancer knows the request by; empty until the request is submitted.
         class_index: The index of the request's class in the settings.
         tenant_index: The index of the tenant in the settings, or ``UNKNOWN_TENANT``.
         deadline_ns: When the final answer is due, on the event loop's clock.
-        deadline_was_shortened: Whether attempts may have started with a later deadline.
+        deadline_was_shortened: Whether ``deadline_ns`` was moved earlier while attempts may have been in flight.
         is_retry: Whether the client marked the request as a retry.
-        cancel_attempt: Cancels the attempt of that number, which reports its outcome later.
+        cancel_attempt: Cancels the attempt with a given number, which reports its outcome later.
         decisions: Decisions that the task of the request has not processed yet.
         decision_ready: Set when a decision is added or the deadline changes.
         attempts: All attempts, by number.
         in_flight: The numbers of the attempts that have not finished.
-        submitted: Whether the request was handed to the dispatcher.
-        awaited_timer: The balancer's timer that the request waits for, with no attempt in flight.
+        submitted: Whether the request was submitted to the balancer.
+        awaited_timer: The timer of the balancer that the request waits for while no attempt is in flight.
         finished: Whether the final decision has been made.
         streaming_attempt: The attempt whose response is streamed to the client, or ``NO_ATTEMPT``.
     """
@@ -107,14 +107,14 @@
 
     @property
     def is_stuck(self) -> bool:
-        """Whether the request has no final answer and waits for nothing that could lead to one."""
+        """Whether the request is unfinished but has neither an attempt in flight nor a timer to wait for."""
         return not (self.finished or self.is_streaming or self.in_flight or self.awaited_timer is not None)
 
     def allows_attempt(self, number: int, now_ns: int) -> bool:
-        """Return whether the attempt may start, or continue to be written, at ``now_ns``.
+        """Return whether bytes of the attempt may be written at ``now_ns``.
 
-        It may not if the request has finished or streams another response, the attempt is no longer in flight, or the
-        deadline has passed.
+        They may not if the request has finished, another attempt streams its response, the attempt is no longer in
+        flight, or the deadline has passed.
         """
         if self.finished or number not in self.in_flight or now_ns >= self.deadline_ns:
             return False
