--- a/lugtally/dispatch/service_times.py
+++ b/lugtally/dispatch/service_times.py
@@ -1,9 +1,9 @@
-"""Moving averages of how long a served attempt takes."""
+"""Moving averages of the duration of served attempts."""
 
 from __future__ import annotations
 
 NEW_DURATION_WEIGHT = 0.1
-"""The weight of a new duration in the moving average of its class."""
+"""The weight, from 0 to 1, of a new duration in the moving average of its class."""
 
 
 class ServiceTimes:
@@ -20,5 +20,5 @@
         self._average_ns[class_index] = average_ns + NEW_DURATION_WEIGHT * (duration_ns - average_ns)
 
     def average_ns(self, class_index: int) -> float:
-        """Return the average of the class; 0 if none of its attempts has been served."""
+        """Return the average duration of the class; 0 if no attempt of the class has been served."""
         return self._average_ns.get(class_index, 0.0)
