--- a/lugtally/dispatch/pending_request.py
+++ b/lugtally/dispatch/pending_request.py
@@ -46,7 +46,7 @@
         decision_ready: Set when a decision is added or the deadline changes.
         attempts: All attempts, by number.
         in_flight: The numbers of the attempts that have not finished.
-        submitted: Whether the request was submitted to the balancer.
+        submitted: Whether the request was submitted to the dispatcher.
         awaited_timer: The timer of the balancer that the request waits for while no attempt is in flight.
         finished: Whether the final decision has been made.
         streaming_attempt: The attempt whose response is streamed to the client, or ``NO_ATTEMPT``.
