--- a/lugtally/overload/admission.py
+++ b/lugtally/overload/admission.py
@@ -20,18 +20,18 @@
 """``Retry-After`` while nothing is shed, before jitter."""
 MAX_RETRY_AFTER_NS = 2000 * NS_PER_MS
 """Upper limit of :attr:`OverloadLimits.max_retry_after_ns`."""
-MIN_RETRY_AFTER_JITTER = 0.5
-MAX_RETRY_AFTER_JITTER = 1.5
+MIN_RETRY_AFTER_JITTER_FACTOR = 0.5
+MAX_RETRY_AFTER_JITTER_FACTOR = 1.5
 S_PER_NS = 1e-9
 DELAY_GAIN = 1.25
 """Change of the shed fraction per period, for each second of delay above the target (alpha in RFC 8033)."""
 DELAY_GROWTH_GAIN = 6.25
 """Change of the shed fraction per period, for each second by which the delay grew (beta in RFC 8033)."""
-MAX_INCREASE = 0.1
-"""Largest increase of the shed fraction in one period."""
+MAX_SHED_FRACTION_INCREASE = 0.1
+"""Largest change of the shed fraction in one period."""
 MAX_IDLE_PERIODS = 200
 """Largest number of empty periods that are processed at once; after these, the shed fraction is 0."""
-DECAY = 0.98
+DECAY_FACTOR = 0.98
 """Factor on the shed fraction in each period whose delay is less than half of the target."""
 MIN_SHED_FRACTION = 0.001
 """A smaller fraction becomes 0 when it decays."""
@@ -98,8 +98,8 @@
         self.shed_counts: dict[ShedReason, int] = dict.fromkeys(ShedReason, 0)
         self.admitted_count = 0
         self._random = Random(seed)
-        self._last_standing_ns = 0.0  # standing delay of the previous period
-        self._last_mean_ns = 0.0  # mean delay of the previous period
+        self._last_standing_delay_ns = 0.0  # standing delay of the previous period
+        self._last_mean_delay_ns = 0.0  # mean delay of the previous period
 
     def check(
         self, now_ns: int, class_index: int, time_left_ns: int, delay_ns: int, typical_duration_ns: float
@@ -176,7 +176,12 @@
         if not max_ns:
             return 0
         retry_after_ns = max(0.0, MIN_RETRY_AFTER_NS + self.shed_fraction * (max_ns - MIN_RETRY_AFTER_NS))
-        return int(min(max_ns, retry_after_ns * self._random.uniform(MIN_RETRY_AFTER_JITTER, MAX_RETRY_AFTER_JITTER)))
+        return int(
+            min(
+                max_ns,
+                retry_after_ns * self._random.uniform(MIN_RETRY_AFTER_JITTER_FACTOR, MAX_RETRY_AFTER_JITTER_FACTOR),
+            )
+        )
 
     def update_when_idle(self, now_ns: int) -> None:
         """Adjust the shed fraction while no requests arrive, so that it decays after an overload.
@@ -201,23 +206,23 @@
         The standing delay is the smaller mean of the last two periods.  It ignores a single long turn, such as one with
         a garbage collection, because shedding cannot prevent it.
         """
-        standing_ns = min(period.mean_ns, self._last_mean_ns)
-        self._last_mean_ns = period.mean_ns
-        increase = min(MAX_INCREASE, self._scale() * self._raw_change(standing_ns))
-        self.shed_fraction = min(self.limits.max_shed_fraction, max(0.0, self.shed_fraction + increase))
-        if standing_ns < self.limits.target_ns / 2 and self._last_standing_ns < self.limits.target_ns / 2:
+        standing_delay_ns = min(period.mean_ns, self._last_mean_delay_ns)
+        self._last_mean_delay_ns = period.mean_ns
+        change = min(MAX_SHED_FRACTION_INCREASE, self._change_scale() * self._unscaled_change(standing_delay_ns))
+        self.shed_fraction = min(self.limits.max_shed_fraction, max(0.0, self.shed_fraction + change))
+        if standing_delay_ns < self.limits.target_ns / 2 and self._last_standing_delay_ns < self.limits.target_ns / 2:
             self._decay()
-        self._last_standing_ns = standing_ns
+        self._last_standing_delay_ns = standing_delay_ns
 
-    def _raw_change(self, standing_ns: float) -> float:
+    def _unscaled_change(self, standing_delay_ns: float) -> float:
         """Return the change of the shed fraction by the control law of PIE, before scaling."""
         target_ns = self.limits.target_ns
-        growth_ns = standing_ns - self._last_standing_ns
-        if standing_ns < target_ns:
-            growth_ns = min(0.0, growth_ns)  # growth below the target does not indicate an overload
-        return S_PER_NS * (DELAY_GAIN * (standing_ns - target_ns) + DELAY_GROWTH_GAIN * growth_ns)
+        delay_growth_ns = standing_delay_ns - self._last_standing_delay_ns
+        if standing_delay_ns < target_ns:
+            delay_growth_ns = min(0.0, delay_growth_ns)  # growth below the target does not indicate an overload
+        return S_PER_NS * (DELAY_GAIN * (standing_delay_ns - target_ns) + DELAY_GROWTH_GAIN * delay_growth_ns)
 
-    def _scale(self) -> float:
+    def _change_scale(self) -> float:
         """Return the scale of a change at the current shed fraction."""
         for threshold in SCALE_THRESHOLDS:
             if self.shed_fraction < threshold.below_fraction:
@@ -226,6 +231,6 @@
 
     def _decay(self) -> None:
         """Decrease the shed fraction by one step."""
-        self.shed_fraction *= DECAY
+        self.shed_fraction *= DECAY_FACTOR
         if self.shed_fraction < MIN_SHED_FRACTION:
             self.shed_fraction = 0.0
