--- a/lugtally/overload/admission.py
+++ b/lugtally/overload/admission.py
@@ -1,7 +1,7 @@
-"""Admission control: sheds a fraction of the requests that follows the sidecar's own delay.
+"""Admission control: sheds a fraction of the requests, which is adjusted to the scheduling delay of this process.
 
-The rule is the best of the five that ``benchmarks/gates.py`` compares (docs/overload-design.md has the results).  The
-controller decides on a request once, after its head has been parsed and before any other work.
+The control law is the best of the five that ``benchmarks/gates.py`` compares; docs/overload-design.md has the results.
+The controller decides on each request once, after its head has been parsed and before any other work.
 """
 
 from __future__ import annotations
@@ -20,58 +20,60 @@
 """``Retry-After`` while nothing is shed, before jitter."""
 MAX_RETRY_AFTER_NS = 2000 * NS_PER_MS
 """Upper limit of :attr:`OverloadLimits.max_retry_after_ns`."""
-MIN_RETRY_AFTER_JITTER_FACTOR = 0.5
-MAX_RETRY_AFTER_JITTER_FACTOR = 1.5
+MIN_JITTER_FACTOR = 0.5
+"""Lower limit of the random factor on ``Retry-After``."""
+MAX_JITTER_FACTOR = 1.5
+"""Upper limit of the random factor on ``Retry-After``."""
 S_PER_NS = 1e-9
 DELAY_GAIN = 1.25
 """Change of the shed fraction per period, for each second of delay above the target (alpha in RFC 8033)."""
 DELAY_GROWTH_GAIN = 6.25
 """Change of the shed fraction per period, for each second by which the delay grew (beta in RFC 8033)."""
 MAX_SHED_FRACTION_INCREASE = 0.1
-"""Largest change of the shed fraction in one period."""
+"""Largest increase of the shed fraction in one period."""
 MAX_IDLE_PERIODS = 200
-"""Largest number of empty periods that are processed at once; after these, the shed fraction is 0."""
+"""Largest number of periods without requests that are processed at once; the shed fraction is 0 after these."""
 DECAY_FACTOR = 0.98
-"""Factor on the shed fraction in each period whose delay is less than half of the target."""
+"""Factor by which the shed fraction decays in each period whose standing delay is below half of the target."""
 MIN_SHED_FRACTION = 0.001
-"""A smaller fraction becomes 0 when it decays."""
+"""A shed fraction that decays below this becomes 0."""
 
 
 class ScaleThreshold(NamedTuple):
-    """The scale of changes while the shed fraction is below a value."""
+    """The factor on changes of the shed fraction while it is below ``below_fraction``."""
 
     below_fraction: float
     scale: float
 
 
 SCALE_THRESHOLDS = (ScaleThreshold(0.01, 0.25), ScaleThreshold(0.1, 0.5))
-"""Changes are smaller while the shed fraction is small (RFC 8033, 4.2); above the last threshold the scale is 1."""
+"""Changes are scaled down while the shed fraction is small (RFC 8033, 4.2); from the last threshold the scale is 1."""
 
 
 @dataclass(frozen=True, slots=True)
 class OverloadLimits:
-    """The limits that the operator can set.  Fractions of resources refer to the configured resource limits."""
+    """The limits that an operator can set.  Resource fractions are fractions of the configured resource limits."""
 
     target_ns: int = 10 * NS_PER_MS
-    """Own delay above which the shed fraction increases."""
+    """Scheduling delay above which the shed fraction increases."""
     period_ns: int = 20 * NS_PER_MS
     """Interval between two adjustments of the shed fraction."""
     memory_fraction: float = 0.9
-    """Resident memory at which every request is shed."""
+    """Fraction of resident memory at which every request is shed."""
     descriptors_fraction: float = 0.9
-    """Open descriptors at which every request is shed."""
+    """Fraction of open descriptors at which every request is shed."""
     max_shed_fraction: float = 0.97
-    """Upper limit of the shed fraction.  Some requests must be admitted to measure whether the overload has ended."""
+    """Upper limit of the shed fraction.  Some requests must be admitted to detect when the overload has ended."""
     min_time_left_fraction: float = 0.5
     """A request is shed if less than this fraction of the typical response time remains until its deadline."""
     shed_first: tuple[str, ...] = ()
-    """Names of the classes that are shed before all others, in this order."""
+    """Names of the request classes that are shed before all others, in this order."""
     max_retry_after_ns: int = 0
-    """Upper limit of ``Retry-After``; 0 if responses have no such header."""
+    """Upper limit of ``Retry-After``; 0 if responses do not have this header."""
 
 
 class ShedReason(Enum):
-    """Why a request was shed.  The value is the key of the count in the status."""
+    """Why a request was shed.  The value is the key of its count in the status."""
 
     DELAY = "delay"
     DEADLINE = "hopeless"
@@ -104,14 +106,14 @@
     def check(
         self, now_ns: int, class_index: int, time_left_ns: int, delay_ns: int, typical_duration_ns: float
     ) -> ShedReason | None:
-        """Return ``None`` if the request is admitted, otherwise the reason why it is shed.
+        """Admit or shed a request: return ``None`` if it is admitted, otherwise the reason why it is shed.
 
         Args:
             now_ns: The current time.
             class_index: The class of the request.
             time_left_ns: Time from the last byte of the request until its deadline.
-            delay_ns: Upper bound of the time for which the request has waited for this process.
-            typical_duration_ns: Typical duration of a response; 0 if unknown.
+            delay_ns: Upper bound of the time for which the request has waited to be handled by this process.
+            typical_duration_ns: Typical duration of a served attempt of the class; 0 if unknown.
         """
         meter = self.meter
         meter.record(delay_ns)
@@ -143,7 +145,7 @@
         return None
 
     def snapshot(self) -> dict[str, object]:
-        """Return the state by the keys of the status socket."""
+        """Return the state of the controller, by the keys of the status socket."""
         usage = self.meter.usage
         return {
             "refusing": self.is_shedding,
@@ -176,15 +178,10 @@
         if not max_ns:
             return 0
         retry_after_ns = max(0.0, MIN_RETRY_AFTER_NS + self.shed_fraction * (max_ns - MIN_RETRY_AFTER_NS))
-        return int(
-            min(
-                max_ns,
-                retry_after_ns * self._random.uniform(MIN_RETRY_AFTER_JITTER_FACTOR, MAX_RETRY_AFTER_JITTER_FACTOR),
-            )
-        )
+        return int(min(max_ns, retry_after_ns * self._random.uniform(MIN_JITTER_FACTOR, MAX_JITTER_FACTOR)))
 
     def update_when_idle(self, now_ns: int) -> None:
-        """Adjust the shed fraction while no requests arrive, so that it decays after an overload.
+        """Adjust the shed fraction if no requests arrive, so that it decays after an overload.
 
         Call this periodically.
         """
@@ -193,7 +190,7 @@
             return
         self._adjust(period)
         if not period.count:
-            for _ in range(min(elapsed, MAX_IDLE_PERIODS) - 1):  # one for each empty period
+            for _ in range(min(elapsed, MAX_IDLE_PERIODS) - 1):  # one call for each further period without requests
                 self._adjust(period)
 
     def record_usage(self, usage: ResourceUsage) -> None:
@@ -203,8 +200,8 @@
     def _adjust(self, period: DelayPeriod) -> None:
         """Adjust the shed fraction to the standing delay, with the control law of PIE (RFC 8033, 4.2).
 
-        The standing delay is the smaller mean of the last two periods.  It ignores a single long turn, such as one with
-        a garbage collection, because shedding cannot prevent it.
+        The standing delay is the smaller of the mean delays of the last two periods.  It ignores a single long turn of
+        the event loop, such as one with a garbage collection, because shedding cannot prevent that.
         """
         standing_delay_ns = min(period.mean_ns, self._last_mean_delay_ns)
         self._last_mean_delay_ns = period.mean_ns
@@ -219,11 +216,11 @@
         target_ns = self.limits.target_ns
         delay_growth_ns = standing_delay_ns - self._last_standing_delay_ns
         if standing_delay_ns < target_ns:
-            delay_growth_ns = min(0.0, delay_growth_ns)  # growth below the target does not indicate an overload
+            delay_growth_ns = min(0.0, delay_growth_ns)  # a delay that grows below the target is no overload
         return S_PER_NS * (DELAY_GAIN * (standing_delay_ns - target_ns) + DELAY_GROWTH_GAIN * delay_growth_ns)
 
     def _change_scale(self) -> float:
-        """Return the scale of a change at the current shed fraction."""
+        """Return the factor on a change at the current shed fraction."""
         for threshold in SCALE_THRESHOLDS:
             if self.shed_fraction < threshold.below_fraction:
                 return threshold.scale
