--- a/lugtally/overload/delay_meter.py
+++ b/lugtally/overload/delay_meter.py
@@ -1,25 +1,25 @@
-"""Measurements of the sidecar itself, aggregated by period.  Free of clocks and I/O: the caller passes the values."""
+"""Measurements of this process, aggregated by period.  Uses no clock and no I/O: the caller passes the values."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 SMOOTHING_WEIGHT = 0.3
-"""Weight of a new value in the moving averages that the status shows."""
+"""Weight of a new value in the moving averages that the status reports."""
 
 MAX_DELAY_NS = 1 << 62
-"""Larger than any delay."""
+"""A bound that is larger than any delay."""
 
 
 @dataclass(slots=True)
 class DelayPeriod:
-    """The sidecar's own delays in one period: from when an item may have been ready until it was handled."""
+    """The scheduling delays of one period.  A delay lasts from when a request may be ready until it is handled."""
 
     mean_ns: float
     min_ns: int
     max_ns: int
     count: int
-    """Number of items; if 0, all delays are 0."""
+    """Number of requests; if 0, all delays are 0."""
 
 
 @dataclass(slots=True)
@@ -27,18 +27,18 @@
     """The fraction of each configured resource limit that the process uses."""
 
     cpu_fraction: float
-    """Of the processor time of the configured cores, since the last reading."""
+    """Fraction of the processor time of the configured cores, since the last reading."""
     memory_fraction: float
-    """Of the memory limit, at the time of the reading."""
+    """Fraction of the memory limit, at the time of the reading."""
     descriptors_fraction: float
-    """Of the descriptor limit, at the time of the reading."""
+    """Fraction of the descriptor limit, at the time of the reading."""
 
 
 class DelayMeter:
-    """Collects the sidecar's own delays and summarizes them by period.
+    """Records the scheduling delays of requests and summarizes them by period.
 
-    The delay of an item is measured from the poll before the last one, after which it may have become ready.  This
-    upper bound costs two subtractions per item and no system call.
+    A request that the last poll of the event loop reported may have become ready right after the poll before it, so its
+    delay is measured from that earlier poll.  This upper bound costs two subtractions per request and no system call.
     """
 
     __slots__ = (
@@ -57,8 +57,8 @@
         self._period_ns = period_ns
         self._period_start_ns = now_ns
         self._clear()
-        self.mean_delay_ns = 0.0  # moving average of the means of all periods, for the status
-        self.max_delay_ns = 0  # of all periods, for the status
+        self.mean_delay_ns = 0.0  # for the status: the moving average of the periods' means
+        self.max_delay_ns = 0  # for the status: the maximum of all periods
         self.usage = ResourceUsage(0.0, 0.0, 0.0)
 
     def _clear(self) -> None:
@@ -66,7 +66,7 @@
         self._min_ns = MAX_DELAY_NS
 
     def record(self, delay_ns: int) -> None:
-        """Record that an item was handled ``delay_ns`` after it may have become ready."""
+        """Record that a request was handled ``delay_ns`` after it may have become ready."""
         self._sum_ns += delay_ns
         self._count += 1
         if delay_ns < self._min_ns:
@@ -79,7 +79,7 @@
         return (now_ns - self._period_start_ns) // self._period_ns
 
     def end_period(self, now_ns: int) -> DelayPeriod | None:
-        """End the current period and return it, or return ``None`` if it is not complete."""
+        """End the current period and return it; return ``None`` if it is not over yet."""
         if now_ns - self._period_start_ns < self._period_ns:
             return None
         count = self._count
--- a/lugtally/overload/resource_monitor.py
+++ b/lugtally/overload/resource_monitor.py
@@ -1,4 +1,4 @@
-"""Reads the resources of the process: processor time, resident memory, descriptors.  The only I/O of the package."""
+"""Reads how much processor time, memory and descriptors this process uses.  No other module of the package does I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from lugtally.overload.delay_meter import ResourceUsage
 
 STATM_READ_BYTES = 128
-"""The file has seven numbers on one line."""
+"""More than the length of ``/proc/self/statm``, which has seven numbers on one line."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,9 +23,10 @@
 
 
 class ResourceMonitor:
-    """Reads the resources of this process.
+    """Reads the resources that this process uses.
 
-    ``open_descriptors`` returns the number of open descriptors.  Listing them would cost time in proportion to it.
+    ``open_descriptors`` returns the number of open descriptors.  The caller counts them, because listing them takes
+    time in proportion to their number.
     """
 
     def __init__(
@@ -41,7 +42,7 @@
         self._last_wall_ns, self._last_cpu_ns = time.monotonic_ns(), time.process_time_ns()
 
     def read(self) -> ResourceUsage:
-        """Return the current usage of each resource; of the processor time, the usage since the last call."""
+        """Return the current usage of memory and descriptors, and the usage of processor time since the last call."""
         limits = self._limits
         return ResourceUsage(
             cpu_fraction=self._cpu_fraction(),
@@ -63,7 +64,7 @@
         return int(resident_pages) * self._page_bytes
 
     def close(self) -> None:
-        """Close the descriptor of the memory file."""
+        """Close the descriptor of ``/proc/self/statm``."""
         if self._statm_fd is not None:
             os.close(self._statm_fd)
             self._statm_fd = None
--- a/lugtally/overload/shedding_order.py
+++ b/lugtally/overload/shedding_order.py
@@ -1,8 +1,8 @@
-"""The order in which classes are shed, and the fraction of each: idempotent requests first, non-idempotent ones last.
+"""The order in which request classes are shed, and how much of each: idempotent first, non-idempotent last.
 
-The classes' shares of the traffic are placed in this order on the range from 0 to 1.  The shed fraction is a point on
-this range: classes below it are shed completely, classes above it are admitted, and the class that contains it is shed
-in part.
+Each class occupies a part of the range from 0 to 1 that is as long as its share of the traffic, in shedding order.  The
+shed fraction is a point on this range: classes below the point are shed completely, classes above it are admitted, and
+the class that contains it is shed in part.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 IDEMPOTENCY_RANK = {Idempotency.IDEMPOTENT: 0, Idempotency.IDEMPOTENCY_KEY: 1, Idempotency.NON_IDEMPOTENT: 2}
 """Classes with a lower rank are shed first."""
 TRAFFIC_HALVING_INTERVAL_NS = 2 * NS_PER_S
-"""Interval after which the request counts are halved, so that the weight of old traffic decays."""
+"""Interval at which the request counts are halved, so that the weight of old traffic decays."""
 
 
 class TrafficRange(NamedTuple):
@@ -27,16 +27,16 @@
 
 
 class SheddingOrder:
-    """The classes in the order in which they are shed, with their shares of the traffic."""
+    """Holds the classes in the order in which they are shed, with their shares of the traffic."""
 
     def __init__(self, classes: tuple[balancing.RequestClass, ...], shed_first: tuple[str, ...] = ()) -> None:
-        """Determine the order; the classes that ``shed_first`` names come first, in its order.
+        """Determine the order.  The classes that ``shed_first`` names come first, in the order of ``shed_first``.
 
         Raises:
             ValueError: ``shed_first`` names an unknown class.
         """
         self.order = _shedding_order(classes, shed_first)
-        """Class indices; the first is shed first."""
+        """The class indices in shedding order: the first class is shed first."""
         self._request_counts = [1.0] * len(classes)
         self._total_count = float(len(classes))
         self._last_halving_ns = 0
