--- a/lugtally/upstream/pool.py
+++ b/lugtally/upstream/pool.py
@@ -29,7 +29,7 @@
 """
 
 
-def _always() -> bool:
+def _always_proceed() -> bool:
     return True
 
 
@@ -77,7 +77,7 @@
         request: ForwardedRequest,
         deadline_ns: int,
         claim_stream: ClaimStream | None = None,
-        may_proceed: MayProceed = _always,
+        may_proceed: MayProceed = _always_proceed,
     ) -> AttemptResponse:
         """Make one attempt.  Call this in a task of its own; interrupting the task cancels the attempt.
 
@@ -87,9 +87,11 @@
         try:
             connection = self._acquire(endpoint_id, deadline_ns, may_proceed)
             try:
-                return self._attempt_over(connection, request, deadline_ns, claim_stream, may_proceed)
+                return self._execute_on(connection, request, deadline_ns, claim_stream, may_proceed)
             finally:
-                self._put_back(endpoint_id, connection)  # also after an exception, as nothing else closes it
+                self._release_after_attempt(
+                    endpoint_id, connection
+                )  # also after an exception, as nothing else closes it
         except AttemptAborted as aborted:
             return AttemptResponse(aborted.outcome, None)
 
@@ -99,7 +101,7 @@
             return None
         return parse_load_report(response, self._load_report_fields)
 
-    def _attempt_over(
+    def _execute_on(
         self,
         connection: UpstreamConnection,
         request: ForwardedRequest,
@@ -137,7 +139,7 @@
             if self._loop.now() >= deadline_ns:
                 self._close(connection)
                 raise AttemptAborted(AttemptOutcome.TIMEOUT_BEFORE_SENT)
-            if not self._leads_to(endpoint_id, connection):
+            if not self._has_current_address(endpoint_id, connection):
                 self._close(connection)  # the address changed, or the endpoint was removed, while connecting
                 continue
             self._check_may_proceed(endpoint_id, connection, may_proceed)
@@ -164,7 +166,7 @@
         if not allowed:
             raise AttemptAborted(AttemptOutcome.CANCELLED_BEFORE_SENT)
 
-    def _leads_to(self, endpoint_id: int, connection: UpstreamConnection) -> bool:
+    def _has_current_address(self, endpoint_id: int, connection: UpstreamConnection) -> bool:
         """Return whether the connection leads to the current address of the endpoint."""
         return connection.address == self._addresses.get(endpoint_id)
 
@@ -211,7 +213,7 @@
                 self._close(connection)  # a byte may have been received at the same time
             raise AttemptAborted(AttemptOutcome.CANCELLED_BEFORE_SENT)
 
-    def _put_back(self, endpoint_id: int, connection: UpstreamConnection) -> None:
+    def _release_after_attempt(self, endpoint_id: int, connection: UpstreamConnection) -> None:
         """Return the connection to the pool if it may carry another request, else close it."""
         if connection.carries_request:
             self._close(connection)
@@ -220,7 +222,7 @@
 
     def _release(self, endpoint_id: int, connection: UpstreamConnection) -> None:
         """Make the connection idle, or close it if it must not be reused."""
-        if connection.is_retired or not self._leads_to(endpoint_id, connection):
+        if connection.is_retired or not self._has_current_address(endpoint_id, connection):
             self._close(connection)
             return
         # A connection that was not used keeps the time since which it is idle.
