--- a/lugtally/upstream/__init__.py
+++ b/lugtally/upstream/__init__.py
@@ -4,7 +4,7 @@
 decisions.  It knows the client only as the sink of a streamed response.
 """
 
-from lugtally.upstream.attempt import AttemptResponse, MayProceed
+from lugtally.upstream.attempt import FinishedAttempt, MayProceed
 from lugtally.upstream.errors import AttemptAborted
 from lugtally.upstream.limits import (
     ConnectionLimits,
@@ -18,9 +18,9 @@
 __all__ = [
     "SETTLE_NS",
     "AttemptAborted",
-    "AttemptResponse",
     "ClaimStream",
     "ConnectionLimits",
+    "FinishedAttempt",
     "MayProceed",
     "ResponseSink",
     "UpstreamPool",
--- a/lugtally/upstream/attempt.py
+++ b/lugtally/upstream/attempt.py
@@ -16,7 +16,7 @@
 """Returns whether bytes of a request may be written now.  Called right before each write."""
 
 
-class AttemptResponse(NamedTuple):
+class FinishedAttempt(NamedTuple):
     """The result of an attempt.
 
     Attributes:
--- a/lugtally/upstream/pool.py
+++ b/lugtally/upstream/pool.py
@@ -13,7 +13,7 @@
 from lugtally.http1 import ForwardedRequest, Message
 from lugtally.units import NS_PER_MS
 from lugtally.upstream import attempt
-from lugtally.upstream.attempt import AttemptResponse, MayProceed
+from lugtally.upstream.attempt import FinishedAttempt, MayProceed
 from lugtally.upstream.connection import UpstreamConnection, open_socket
 from lugtally.upstream.errors import AttemptAborted
 from lugtally.upstream.idle_connections import IdleConnections
@@ -78,7 +78,7 @@
         deadline_ns: int,
         claim_stream: ClaimStream | None = None,
         may_proceed: MayProceed = _always_proceed,
-    ) -> AttemptResponse:
+    ) -> FinishedAttempt:
         """Make one attempt.  Call this in a task of its own; interrupting the task cancels the attempt.
 
         A response with status 200 and a long, chunked or unbounded body is streamed to the sink that ``claim_stream``
@@ -93,7 +93,7 @@
                     endpoint_id, connection
                 )  # also after an exception, as nothing else closes it
         except AttemptAborted as aborted:
-            return AttemptResponse(aborted.outcome, None)
+            return FinishedAttempt(aborted.outcome, None)
 
     def load_report(self, response: Message | None) -> tuple[float, ...] | None:
         """Return the load report of a response, if the settings say that responses carry one."""
@@ -108,7 +108,7 @@
         deadline_ns: int,
         claim_stream: ClaimStream | None,
         may_proceed: MayProceed,
-    ) -> AttemptResponse:
+    ) -> FinishedAttempt:
         """Make one attempt over a connection.
 
         Raises:
@@ -124,7 +124,7 @@
         if connection.is_reusable_after(response):
             connection.carries_request = False
             connection.idle_since_ns = self._loop.now()
-        return AttemptResponse(outcome, response)
+        return FinishedAttempt(outcome, response)
 
     # ------------------------------------------------------------ reuse
 
--- a/tests/upstream/pool_harness.py
+++ b/tests/upstream/pool_harness.py
@@ -10,7 +10,7 @@
 from lugtally.eventloop import READABLE, Task, WakeReason
 from lugtally.http1 import ForwardedRequest, Message
 from lugtally.units import NS_PER_S
-from lugtally.upstream import AttemptResponse
+from lugtally.upstream import FinishedAttempt
 from tests.fakes import PeerConnection, Sidecar
 
 ENDPOINT = 1
@@ -19,7 +19,7 @@
 
 
 def start_attempt(
-    sidecar: Sidecar, results: list[AttemptResponse], message: Message | None = None, **options: Any
+    sidecar: Sidecar, results: list[FinishedAttempt], message: Message | None = None, **options: Any
 ) -> Task:
     """Start an attempt as a task; its response is appended to ``results``."""
 
@@ -33,7 +33,7 @@
 
 def idle_peers(sidecar: Sidecar, count: int) -> list[PeerConnection]:
     """Open idle connections in the pool; return the endpoint's sides, the longest idle first."""
-    results: list[AttemptResponse] = []
+    results: list[FinishedAttempt] = []
     peers = []
     for _ in range(count):
         start_attempt(sidecar, results)
@@ -73,7 +73,7 @@
 
 
 def change_during_attempt(
-    sidecar: Sidecar, patch: pytest.MonkeyPatch, waits_for: str, change: Change, results: list[AttemptResponse]
+    sidecar: Sidecar, patch: pytest.MonkeyPatch, waits_for: str, change: Change, results: list[FinishedAttempt]
 ) -> PeerConnection:
     """Start an attempt and call ``change`` while it waits; return the endpoint's side of its first connection.
 
--- a/tests/upstream/test_pool_races.py
+++ b/tests/upstream/test_pool_races.py
@@ -14,7 +14,7 @@
 from lugtally.eventloop import READABLE, WakeReason
 from lugtally.http1 import ForwardedRequest, Message
 from lugtally.units import NS_PER_MS, NS_PER_S
-from lugtally.upstream import AttemptResponse, pool
+from lugtally.upstream import FinishedAttempt, pool
 from lugtally.upstream.connection import open_socket
 from tests.fakes import MAX_WAIT_NS, PeerConnection, Sidecar
 from tests.upstream.pool_harness import (
@@ -61,7 +61,7 @@
     """The pool closes a settling connection, and its neighbour's descriptor number is reused at once."""
     monkeypatch.setattr(pool, "SETTLE_NS", LONG_SETTLE_NS)
     wake_reasons: list[WakeReason] = []
-    results: list[AttemptResponse] = []
+    results: list[FinishedAttempt] = []
 
     def script() -> None:
         settling, other = idle_peers(sidecar, 2)
@@ -91,7 +91,7 @@
     close: Callable[[Sidecar], None], sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(pool, "SETTLE_NS", LONG_SETTLE_NS)
-    results: list[AttemptResponse] = []
+    results: list[FinishedAttempt] = []
 
     def script() -> None:
         peers = idle_peers(sidecar, 3)
@@ -116,7 +116,7 @@
 def test_endpoint_moved_during_wait_gets_request_at_new_address(
     waits_for: str, sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    results: list[AttemptResponse] = []
+    results: list[FinishedAttempt] = []
 
     def script() -> None:
         old = change_during_attempt(sidecar, monkeypatch, waits_for, lambda: move_endpoint(sidecar), results)
@@ -136,7 +136,7 @@
 def test_endpoint_removed_during_wait_gets_no_request(
     waits_for: str, sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    results: list[AttemptResponse] = []
+    results: list[FinishedAttempt] = []
 
     def script() -> None:
         old = change_during_attempt(sidecar, monkeypatch, waits_for, lambda: sidecar.upstream.remove(ENDPOINT), results)
@@ -150,7 +150,7 @@
 
 def test_closing_idle_connections_closes_a_settling_one(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> None:
     """The balancer closes idle connections so that the next attempt uses a new one."""
-    results: list[AttemptResponse] = []
+    results: list[FinishedAttempt] = []
 
     def script() -> None:
         old = change_during_attempt(
@@ -168,7 +168,7 @@
 @pytest.mark.parametrize("failing", ["may_proceed", "claim_stream"])
 def test_exception_in_attempt_callback_leaks_no_connection(failing: str, sidecar: Sidecar) -> None:
     failed: list[str] = []
-    results: list[AttemptResponse] = []
+    results: list[FinishedAttempt] = []
 
     def fail(*_: object) -> Any:
         raise RuntimeError(failing)
@@ -207,7 +207,7 @@
     """The process is stopped while it waits for the connection, and the endpoint closes it meanwhile."""
     sidecar.limits.idle_timeout_ns = 2 * NS_PER_S
     stop_for = stoppable_clock(sidecar, monkeypatch)
-    results: list[AttemptResponse] = []
+    results: list[FinishedAttempt] = []
 
     def script() -> None:
         old = change_during_attempt(sidecar, monkeypatch, "settling", lambda: stop_for(3 * NS_PER_S), results)
@@ -223,7 +223,7 @@
     sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(pool, "SETTLE_NS", LONG_SETTLE_NS)
-    results: list[AttemptResponse] = []
+    results: list[FinishedAttempt] = []
     open_connections: list[int] = []
     release = sidecar.upstream._release
 
@@ -267,7 +267,7 @@
 def test_response_from_old_address_counts_but_is_not_pooled(
     change: Callable[[Sidecar], None], sidecar: Sidecar
 ) -> None:
-    results: list[AttemptResponse] = []
+    results: list[FinishedAttempt] = []
 
     def script() -> None:
         start_attempt(sidecar, results)
@@ -289,7 +289,7 @@
     sidecar.limits.max_connections = 2
     other_endpoint = ENDPOINT + 1
     sidecar.upstream.set_address(other_endpoint, sidecar.second_discovery.address)
-    results: list[AttemptResponse] = []
+    results: list[FinishedAttempt] = []
     other_outcomes: list[str] = []
 
     def attempt_at_other() -> None:
@@ -317,7 +317,7 @@
 def test_self_connection_counts_as_refused(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> None:
     """With no listener and an equal local port, the kernel connects a socket to itself."""
     address = sidecar.server.address
-    results: list[AttemptResponse] = []
+    results: list[FinishedAttempt] = []
 
     def open_at_the_same_port(to: Address) -> socket.socket:
         sock = open_socket(to)
--- a/tests/upstream/test_pool_random.py
+++ b/tests/upstream/test_pool_random.py
@@ -14,7 +14,7 @@
 from lugtally.eventloop import READABLE, Task, WakeReason
 from lugtally.http1 import ForwardedRequest, Message
 from lugtally.units import NS_PER_MS
-from lugtally.upstream import AttemptResponse
+from lugtally.upstream import FinishedAttempt
 from tests.fakes import MAX_WAIT_NS, FakeServer, Sidecar
 
 ATTEMPTS = 300
@@ -88,7 +88,7 @@
     def __init__(self, sidecar: Sidecar, servers: list[FakeServer], draws: random.Random) -> None:
         self.sidecar, self.servers, self.draws = sidecar, servers, draws
         self.tasks: list[Task] = []
-        self.results: dict[str, AttemptResponse] = {}
+        self.results: dict[str, FinishedAttempt] = {}
 
     def attempt(self, path: str) -> None:
         loop = self.sidecar.loop
--- a/tests/upstream/test_request_writing.py
+++ b/tests/upstream/test_request_writing.py
@@ -10,7 +10,7 @@
 from lugtally.eventloop import WRITABLE, EventLoop
 from lugtally.http1 import Message
 from lugtally.units import NS_PER_S
-from lugtally.upstream import AttemptResponse, attempt
+from lugtally.upstream import FinishedAttempt, attempt
 from lugtally.upstream.connection import UpstreamConnection
 from tests.fakes import PeerConnection, Sidecar
 from tests.upstream.pool_harness import ATTEMPT_TIMEOUT_NS, change_at_wait, start_attempt
@@ -51,7 +51,7 @@
 ) -> None:
     """The wait is within the head, before the header is written."""
     stop_for = make_stoppable_clock(sidecar, monkeypatch)
-    results: list[AttemptResponse] = []
+    results: list[FinishedAttempt] = []
     time_left_headers: list[str] = []
 
     def script() -> None:
@@ -82,7 +82,7 @@
 ) -> None:
     """The process is stopped while it waits to write, and the endpoint has read meanwhile."""
     stop_for = make_stoppable_clock(sidecar, monkeypatch)
-    results: list[AttemptResponse] = []
+    results: list[FinishedAttempt] = []
     peers: list[PeerConnection] = []
     received_in_time: list[bytes] = []
 
@@ -115,7 +115,7 @@
     write_request = attempt.write_request
     connections: list[UpstreamConnection] = []
     written: list[bool] = []
-    results: list[AttemptResponse] = []
+    results: list[FinishedAttempt] = []
     sidecar.server.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
 
     def set_buffer_and_write(loop: EventLoop, connection: UpstreamConnection, *arguments: Any) -> None:
--- a/tests/upstream/test_unexpected_responses.py
+++ b/tests/upstream/test_unexpected_responses.py
@@ -10,7 +10,7 @@
 from lugtally.eventloop import WRITABLE, WakeReason
 from lugtally.http1 import Message
 from lugtally.units import NS_PER_MS
-from lugtally.upstream import AttemptResponse
+from lugtally.upstream import FinishedAttempt
 from tests.fakes import MAX_WAIT_NS, PeerConnection, Sidecar, disconnect
 from tests.upstream.pool_harness import change_at_wait, idle_peers, start_attempt
 
@@ -21,7 +21,7 @@
 
 def test_bytes_before_first_write_are_not_the_response(sidecar: Sidecar) -> None:
     """They arrive as ``may_proceed`` is called for the last time."""
-    results: list[AttemptResponse] = []
+    results: list[FinishedAttempt] = []
 
     def script() -> None:
         peer = idle_peers(sidecar, 1)[0]
@@ -58,7 +58,7 @@
     send_early: Callable[[PeerConnection], None], sidecar: Sidecar
 ) -> None:
     """The attempt ends as not sent, so that a request that must not run twice may be retried."""
-    results: list[AttemptResponse] = []
+    results: list[FinishedAttempt] = []
     peers: list[PeerConnection] = []
 
     def may_proceed() -> bool:
@@ -81,7 +81,7 @@
     ending: str, sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The attempt may have run, and does not wait for its deadline."""
-    results: list[AttemptResponse] = []
+    results: list[FinishedAttempt] = []
     peers: list[PeerConnection] = []
 
     def respond() -> None:
@@ -111,7 +111,7 @@
 def test_endless_response_is_aborted_at_deadline(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> None:
     """Bytes are always readable, so that no wait ever times out."""
     monkeypatch.setattr("tests.upstream.pool_harness.ATTEMPT_TIMEOUT_NS", 200 * NS_PER_MS)
-    results: list[AttemptResponse] = []
+    results: list[FinishedAttempt] = []
 
     def script() -> None:
         start_attempt(sidecar, results)
@@ -141,7 +141,7 @@
 @pytest.mark.parametrize("how", ["close", "reset"])
 def test_response_truncated_at_any_byte_is_reset(how: str, response: bytes, status: bytes, sidecar: Sidecar) -> None:
     response %= status
-    results: list[AttemptResponse] = []
+    results: list[FinishedAttempt] = []
 
     def script() -> None:
         for count in range(len(response)):
@@ -158,7 +158,7 @@
 
 @pytest.mark.parametrize("status", [b"200", b"503"], ids=["200", "503"])
 def test_body_until_close_is_complete_at_close_but_not_at_reset(status: bytes, sidecar: Sidecar) -> None:
-    results: list[AttemptResponse] = []
+    results: list[FinishedAttempt] = []
 
     def script() -> None:
         for number, how in enumerate(("reset", "close"), 1):
@@ -177,7 +177,7 @@
 
 def test_connection_of_cancelled_attempt_is_not_pooled(sidecar: Sidecar) -> None:
     """Its response has arrived and would pass for that of the next request."""
-    results: list[AttemptResponse] = []
+    results: list[FinishedAttempt] = []
 
     def script() -> None:
         task = start_attempt(sidecar, results)
@@ -193,7 +193,7 @@
 
 @pytest.mark.parametrize("extra", [STALE, b"x", b"HTTP/1.1 100 Continue\r\n\r\n"], ids=["response", "byte", "interim"])
 def test_connection_with_bytes_after_response_is_not_pooled(extra: bytes, sidecar: Sidecar) -> None:
-    results: list[AttemptResponse] = []
+    results: list[FinishedAttempt] = []
 
     def script() -> None:
         start_attempt(sidecar, results)
