--- a/lugtally/upstream/streaming.py
+++ b/lugtally/upstream/streaming.py
@@ -1,4 +1,4 @@
-"""Streaming of long response bodies to the client."""
+"""Streaming of long response bodies from an endpoint to the client."""
 
 from __future__ import annotations
 
@@ -13,29 +13,29 @@
 from lugtally.upstream.errors import AttemptAborted
 
 STREAM_IDLE_TIMEOUT_NS = 5000 * NS_PER_MS
-"""A streamed response is aborted when no byte of it was received for this long."""
+"""A streamed response is aborted if no byte of it is received for this long."""
 
 
 class ResponseSink(Protocol):
-    """The destination of a streamed response: the connection of the client."""
+    """The destination of a streamed response: the connection to the client."""
 
     def send(self, data: bytes | memoryview) -> bool:
-        """Write all bytes, waiting for the client to read; return false if it disconnected or stopped reading."""
+        """Write all bytes, waiting while the client is slow; return false if it disconnected or stopped reading."""
 
     def finish(self) -> bool:
-        """Complete the response after its body was sent; return false as :meth:`send` does."""
+        """Complete the response after its body was sent; return false in the same cases as :meth:`send`."""
 
     @property
     def hold_until_ns(self) -> int | None:
-        """When the response must be complete if it is buffered by the sink; ``None`` if it is not buffered."""
+        """By when the response must be complete while the sink buffers it; ``None`` if the sink does not buffer it."""
 
 
 ClaimStream = Callable[[Message], "ResponseSink | None"]
-"""Returns the sink for a streamed response with this head; ``None`` if the client gets another attempt's response."""
+"""Returns the sink for a response with this head; ``None`` if the client gets the response of another attempt."""
 
 
-class _BodyBeginning(NamedTuple):
-    """The bytes of a body that are buffered before the client receives any of it."""
+class _BodyPrefix(NamedTuple):
+    """The first bytes of a body, which are buffered before the client receives any of it."""
 
     data: bytes
     is_complete: bool
@@ -50,22 +50,22 @@
 ) -> AttemptOutcome:
     """Stream a long body to the client.
 
-    The beginning of the body is buffered; after that, at most one read of it is in memory.
+    The first bytes of the body are buffered.  After that, at most the bytes of one read are in memory.
 
     Raises:
         AttemptAborted: The body was truncated or timed out before any byte of it was sent to the client.
     """
     framing, data = connection.parser.detach_body()
     try:
-        beginning = _buffer_beginning(loop, connection, framing, data, deadline_ns)
-        if beginning.is_complete and framing.until_close:
-            response.body = beginning.data
+        prefix = _buffer_prefix(loop, connection, framing, data, deadline_ns)
+        if prefix.is_complete and framing.until_close:
+            response.body = prefix.data
             response.streamed = False
             return AttemptOutcome.SERVED
         sink = claim_stream(response) if claim_stream is not None else None
-        if sink is None or not sink.send(beginning.data):
+        if sink is None or not sink.send(prefix.data):
             return AttemptOutcome.CANCELLED
-        del beginning, data  # free the memory before the rest is streamed
+        del prefix, data  # free the memory before the rest is streamed
         return _stream_rest(loop, connection, framing, sink)
     except OSError:
         return AttemptOutcome.RESET
@@ -76,7 +76,7 @@
 def _stream_rest(
     loop: EventLoop, connection: UpstreamConnection, framing: BodyFraming, sink: ResponseSink
 ) -> AttemptOutcome:
-    """Stream the body after its beginning.
+    """Stream the rest of the body, after its prefix was sent.
 
     Raises:
         OSError: The connection to the endpoint failed.
@@ -106,12 +106,12 @@
     return AttemptOutcome.SERVED if sink.finish() else AttemptOutcome.CANCELLED
 
 
-def _buffer_beginning(
+def _buffer_prefix(
     loop: EventLoop, connection: UpstreamConnection, framing: BodyFraming, data: bytes, deadline_ns: int
-) -> _BodyBeginning:
-    """Read the beginning of a body, until it exceeds ``MAX_BODY_BYTES`` or is complete.
+) -> _BodyPrefix:
+    """Read the first bytes of a body, until they exceed ``MAX_BODY_BYTES`` or the body is complete.
 
-    The client has received nothing yet: if the connection fails or the deadline passes, the request can still be
+    The client has received nothing yet, so if the connection fails or the deadline passes, the request can still be
     retried at another endpoint or answered as failed.
 
     Raises:
@@ -126,7 +126,7 @@
             continue
         if not data:
             if framing.until_close:
-                return _BodyBeginning(bytes(buffered), is_complete=True)
+                return _BodyPrefix(bytes(buffered), is_complete=True)
             raise AttemptAborted(AttemptOutcome.RESET)
         buffered += data[: framing.feed(data)]
-    return _BodyBeginning(bytes(buffered), framing.done)
+    return _BodyPrefix(bytes(buffered), framing.done)
