--- a/lugtally/upstream/connection.py
+++ b/lugtally/upstream/connection.py
@@ -1,4 +1,4 @@
-"""One connection to an endpoint: its socket, its parser, and the waits on the socket."""
+"""A connection to an endpoint: its socket, its response parser, and the waits on the socket."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from lugtally.upstream.errors import AttemptAborted
 
 READ_CHUNK_BYTES = 64 * 1024
-"""The most bytes that one read returns."""
+"""The largest number of bytes that one read returns."""
 _SIOCOUTQNSD = 0x894B
-"""The Linux ioctl request for the number of bytes in the send queue of a TCP socket that were not sent yet."""
+"""The Linux ioctl request that returns how many bytes in the send queue of a TCP socket have not been sent yet."""
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-"""The value of ``SO_LINGER`` with which a close resets the connection and discards the send queue."""
+"""The value of ``SO_LINGER`` that makes a close reset the connection and discard the send queue."""
 
 
 def open_socket(address: Address) -> socket.socket:
@@ -47,17 +47,17 @@
 class UpstreamConnection:
     """A connection to an endpoint, which carries one request at a time.
 
-    The connection owns its file descriptor and the registration of it with the event loop.
+    The connection owns its file descriptor and the descriptor's registration with the event loop.
 
     Attributes:
         sock: The non-blocking socket.
         fd: The file descriptor; -1 after the connection was closed.
         address: The address that the socket connects to.
-        parser: Parses the responses.
+        parser: The parser of the responses.
         idle_since_ns: When the last response was complete; 0 before the first.
-        carries_request: Whether a request may be in progress.  The connection must not be reused then.
-        is_retired: Whether the pool closed the idle connections to the endpoint while this one was in use.  The
-            connection must not be reused then.
+        carries_request: Whether a request may be in progress.  If so, the connection must not be reused.
+        is_retired: Whether the pool closed the idle connections to the endpoint while an attempt waited to reuse this
+            one.  If so, the connection must not be reused.
     """
 
     __slots__ = ("sock", "fd", "address", "parser", "idle_since_ns", "carries_request", "is_retired", "_watching_loop")
@@ -81,9 +81,9 @@
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         error_number = self.sock.connect_ex(self.address)
         if error_number == errno.EINPROGRESS:
-            limit_ns = loop.now() + timeout_ns
-            if limit_ns < deadline_ns:
-                self.wait_writable(loop, limit_ns, AttemptOutcome.CONNECT_TIMEOUT)
+            connect_deadline_ns = loop.now() + timeout_ns
+            if connect_deadline_ns < deadline_ns:
+                self.wait_writable(loop, connect_deadline_ns, AttemptOutcome.CONNECT_TIMEOUT)
             else:
                 self.wait_writable(loop, deadline_ns, AttemptOutcome.TIMEOUT_BEFORE_SENT)
             error_number = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
@@ -103,8 +103,8 @@
     def _is_connected_to_itself(self) -> bool:
         """Return whether the socket is connected to itself (TCP simultaneous open).
 
-        The kernel may choose the port of a stopped endpoint on the same machine as the local port.  The request would
-        be read as its own response, and the endpoint could not bind its port.
+        If an endpoint on the same machine has stopped, the kernel may choose its port as the local port.  The request
+        would then be read as its own response, and the endpoint could not bind its port.
         """
         host, port = self.sock.getsockname()[:2]
         return bool((host, port) == self.address)
@@ -123,13 +123,13 @@
     def close(self) -> bool:
         """Close the connection; return whether it was open.
 
-        Bytes of a request that were not sent are discarded: its attempt has finished.
+        Unsent bytes of a request are discarded, because its attempt has finished.
         """
         if self.fd < 0:
             return False
-        self.unwatch()  # before the close: a new connection may get the same descriptor
+        self.unwatch()  # before the close, after which a new connection may get the same descriptor
         if self.carries_request and self._has_unsent_bytes():
-            # Otherwise the kernel would still send them before it closes the connection.
+            # Otherwise the kernel would send the remaining bytes before it closes the connection.
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
         self.fd = -1
         self.sock.close()
@@ -139,16 +139,16 @@
         try:
             unsent_count = fcntl.ioctl(self.fd, _SIOCOUTQNSD, bytes(4))
         except OSError:
-            return False  # not supported by this kernel
+            return False  # this kernel does not support the request
         return any(unsent_count)
 
     def wait_writable(
         self, loop: EventLoop, deadline_ns: int, timeout_outcome: AttemptOutcome, *, or_readable: bool = False
     ) -> None:
-        """Wait until bytes can be written, or with ``or_readable`` until bytes can be written or read.
+        """Wait until bytes can be written or, if ``or_readable`` is set, until bytes can be written or read.
 
         Raises:
-            AttemptAborted: The deadline passed (``timeout_outcome``), or the attempt was cancelled.
+            AttemptAborted: The deadline passed (with ``timeout_outcome``), or the attempt was cancelled.
         """
         reason = loop.wait(self.fd, WRITABLE | READABLE if or_readable else WRITABLE, deadline_ns)
         if reason is not WakeReason.READY:
@@ -162,7 +162,7 @@
             AttemptAborted: The deadline passed, even if bytes can be read, or the attempt was cancelled.
         """
         if loop.now() >= deadline_ns:
-            raise AttemptAborted(AttemptOutcome.TIMEOUT)  # with an endless response the socket is always readable
+            raise AttemptAborted(AttemptOutcome.TIMEOUT)  # the socket of an endless response is always readable
         reason = loop.wait(self.fd, READABLE, deadline_ns)
         if reason is not WakeReason.READY:
             timed_out = reason is WakeReason.TIMEOUT
@@ -178,12 +178,15 @@
         return self.sock.recv(READ_CHUNK_BYTES)
 
     def has_bytes(self) -> bool:
-        """Return whether there are bytes to read, even if the endpoint closed the connection after them."""
+        """Return whether there are bytes to read, even if the endpoint has closed the connection after them."""
         try:
             return bool(self.sock.recv(1, socket.MSG_PEEK))
         except OSError:
             return False
 
     def is_reusable_after(self, response: Message) -> bool:
-        """Return whether the connection may carry another request: this response and nothing more was read."""
+        """Return whether the connection may carry another request after this response.
+
+        It may if the response allows it and was read completely, and no byte was read after it.
+        """
         return response.keep_alive and not response.streamed and self.parser.is_idle
