--- a/lugtally/upstream/attempt.py
+++ b/lugtally/upstream/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt over one connection: write the request, read the response, classify the response."""
+"""The steps of one attempt on a connection: write the request, read the response, classify the response."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from lugtally.upstream.errors import AttemptAborted
 
 MayProceed = Callable[[], bool]
-"""Returns whether bytes of a request may be written now.  Called right before each write."""
+"""Returns whether bytes of a request may be written now.  It is called immediately before each write."""
 
 
 class FinishedAttempt(NamedTuple):
-    """The result of an attempt.
+    """How an attempt ended, and its response.
 
     Attributes:
         outcome: How the attempt ended.
-        response: The response if it was complete or streamed, else ``None``.
+        response: The response if it was complete or was streamed, else ``None``.
     """
 
     outcome: AttemptOutcome
@@ -35,12 +35,14 @@
     deadline_ns: int,
     may_proceed: MayProceed,
 ) -> None:
-    """Write a complete request.  Its timeout header states the time left when the header is written.
+    """Write a complete request.  Its timeout header states the time that is left when the header is written.
 
-    The caller has just checked that the request may be written and that no byte was received on the connection.
+    Call this immediately after checking that the request may be written and that no byte was received on the
+    connection.
 
     Raises:
-        AttemptAborted: The request was not sent completely, so it cannot have run; or bytes were received before.
+        AttemptAborted: The request was not sent completely, so it cannot have been processed; or the endpoint sent
+            bytes before the request was complete.
     """
     data = b""
     sent = 0
@@ -49,7 +51,7 @@
         if time_left_ns <= 0:
             raise AttemptAborted(AttemptOutcome.TIMEOUT_BEFORE_SENT)
         if sent <= request.time_left_offset:
-            data = request.write(time_left_ns)  # the bytes already sent stay the same
+            data = request.write(time_left_ns)  # the bytes that were sent already do not change
         try:
             sent += connection.sock.send(memoryview(data)[sent:])
         except BlockingIOError:
@@ -60,17 +62,17 @@
         if sent == len(data):
             return
         connection.wait_writable(loop, deadline_ns, AttemptOutcome.TIMEOUT_BEFORE_SENT, or_readable=True)
-        # During the wait, the endpoint may have started to drain or the client may have disconnected.
+        # During the wait, the endpoint may have started draining, or the client may have disconnected.
         if not may_proceed():
             raise AttemptAborted(AttemptOutcome.CANCELLED_BEFORE_SENT)
         _check_no_response(connection)
 
 
 def _check_no_response(connection: UpstreamConnection) -> None:
-    """Check that no byte was received while the request is being written.
+    """Check that the endpoint has sent nothing while the request is still being written.
 
     A response to an incomplete request is useless or belongs to another request.  It does not prove that this request
-    has not run.
+    was not processed.
 
     Raises:
         AttemptAborted: Bytes were received, or the endpoint closed the connection.
@@ -110,7 +112,7 @@
     if response.status == 200:
         return AttemptOutcome.SERVED
     if response.status in (503, 504) and response.header_map.get("x-unprocessed") == "1":
-        return AttemptOutcome.REJECTED  # without the header, the request may have run
+        return AttemptOutcome.REJECTED  # without the header, the request may have been processed
     if 400 <= response.status < 500 and response.status not in (408, 425, 429):
         return AttemptOutcome.DECLINED
     return AttemptOutcome.ERRORED
