--- a/lugtally/upstream/errors.py
+++ b/lugtally/upstream/errors.py
@@ -1,4 +1,4 @@
-"""The error that aborts an attempt."""
+"""The exception that ends an attempt early."""
 
 from __future__ import annotations
 
--- a/lugtally/upstream/idle_connections.py
+++ b/lugtally/upstream/idle_connections.py
@@ -1,7 +1,8 @@
 """Idle connections to endpoints.
 
-Each idle connection is watched until it is reused or closed.  A task that reuses a connection owns it exclusively.  The
-lists are private to this module, so no task uses one across a wait in which another task may change it.
+Each idle connection is watched until it is reused or closed.  A task that reuses a connection removes it from here and
+owns it exclusively.  The lists of connections are private to this module and none of its methods waits, so no task can
+hold a list while another task changes it.
 """
 
 from __future__ import annotations
@@ -17,13 +18,13 @@
     """Holds the idle connections of one pool, by endpoint."""
 
     def __init__(self, loop: EventLoop, close: Callable[[UpstreamConnection], None]) -> None:
-        """Initialize an empty collection; ``close`` closes a connection that was removed."""
+        """Start without connections; ``close`` closes a connection after it was removed."""
         self._loop = loop
         self._close = close
-        self._by_endpoint: dict[int, list[UpstreamConnection]] = {}  # the most recently used is last
+        self._by_endpoint: dict[int, list[UpstreamConnection]] = {}  # the most recently used one is last
 
     def add(self, endpoint_id: int, connection: UpstreamConnection) -> None:
-        """Add a connection.  It is closed if bytes are received on it or the endpoint closes it."""
+        """Add a connection, which is closed as soon as bytes are received on it or the endpoint closes it."""
         connections = self._by_endpoint.setdefault(endpoint_id, [])
         insort(connections, connection, key=_idle_since)
         connection.watch(self._loop, lambda _: self._remove_and_close(endpoint_id, connection))
@@ -31,7 +32,8 @@
     def pop(self, endpoint_id: int, idle_before_ns: int, *, or_longest_idle: bool) -> UpstreamConnection | None:
         """Remove and return the most recently used connection that has been idle since ``idle_before_ns`` or earlier.
 
-        If there is none, return the longest idle connection if ``or_longest_idle``, else ``None``.
+        If there is none, remove and return the longest idle connection if ``or_longest_idle`` is set, else return
+        ``None``.
         """
         connections = self._by_endpoint.get(endpoint_id)
         if not connections:
@@ -39,7 +41,7 @@
         reusable_count = sum(connection.idle_since_ns <= idle_before_ns for connection in connections)
         if not reusable_count and not or_longest_idle:
             return None
-        connection = connections[max(0, reusable_count - 1)]  # the list is sorted by idle time, the longest first
+        connection = connections[max(0, reusable_count - 1)]  # sorted by idle time, the longest first
         self._remove(endpoint_id, connection)
         return connection
 
@@ -48,10 +50,10 @@
         for connection in self._by_endpoint.pop(endpoint_id, []):
             self._close(connection)
 
-    def close_idle_since(self, before_ns: int) -> None:
-        """Close the connections that have been idle since before ``before_ns``."""
+    def close_idle_since_before(self, idle_before_ns: int) -> None:
+        """Close the connections that became idle before ``idle_before_ns``."""
         for endpoint_id, connections in list(self._by_endpoint.items()):
-            expired = [connection for connection in connections if connection.idle_since_ns < before_ns]
+            expired = [connection for connection in connections if connection.idle_since_ns < idle_before_ns]
             for connection in expired:
                 self._remove_and_close(endpoint_id, connection)
 
--- a/lugtally/upstream/pool.py
+++ b/lugtally/upstream/pool.py
@@ -69,7 +69,7 @@
 
     def close_expired(self) -> None:
         """Close the connections whose idle timeout has expired, before their endpoints do."""
-        self._idle.close_idle_since(self._loop.now() - self._limits.idle_timeout_ns)
+        self._idle.close_idle_since_before(self._loop.now() - self._limits.idle_timeout_ns)
 
     def execute_attempt(
         self,
