--- a/lugtally/upstream/__init__.py
+++ b/lugtally/upstream/__init__.py
@@ -1,6 +1,6 @@
-"""Connections to endpoints, and the attempts that are made over them.
+"""Connections to endpoints, and the attempts that are made on them.
 
-This package owns connecting, connection reuse, writing a request and reading its response.  It must not make balancing
+This package opens and reuses connections, writes requests and reads their responses.  It must not make balancing
 decisions.  It knows the client only as the sink of a streamed response.
 """
 
--- a/lugtally/upstream/load_report.py
+++ b/lugtally/upstream/load_report.py
@@ -12,7 +12,7 @@
 
 
 def parse_load_report(response: Message, fields: tuple[str, ...]) -> tuple[float, ...] | None:
-    """Return the values of these fields; ``None`` if the report is missing or malformed."""
+    """Return the values of ``fields`` in the response's load report; ``None`` if it is missing or malformed."""
     text = response.header_map.get(LOAD_REPORT_HEADER)
     if text is None:
         return None
--- a/lugtally/upstream/pool.py
+++ b/lugtally/upstream/pool.py
@@ -1,7 +1,6 @@
-"""The pool of connections to endpoints: reuse, limits, and the attempts over the connections.
+"""The pool of connections to endpoints: it opens, limits and reuses connections, and makes attempts on them.
 
-A connection carries one request at a time.  It is reused only if the complete response and nothing more was read from
-it.
+A connection carries one request at a time.  It is reused only if the complete response and nothing after it was read.
 """
 
 from __future__ import annotations
@@ -24,8 +23,8 @@
 SETTLE_NS = 8 * NS_PER_MS
 """How long a connection must be idle, without receiving a byte, before it is reused.
 
-An endpoint may send a duplicate response some milliseconds after the first (up to 3.8 ms was measured).  On a reused
-connection it would be read as the response to the next request.
+An endpoint may send a duplicate response some milliseconds after the first (up to 3.8 ms later in measurements).  On a
+reused connection, the duplicate would be read as the response to the next request.
 """
 
 
@@ -34,7 +33,7 @@
 
 
 class UpstreamPool:
-    """Manages all connections of this sidecar to endpoints.
+    """Manages all connections from this sidecar to endpoints.
 
     Attributes:
         open_connections: The number of open connections, including idle ones.
@@ -46,7 +45,7 @@
         self._load_report_fields = load_report_fields
         self._addresses: dict[int, Address] = {}
         self._idle = IdleConnections(loop, self._close)
-        # By endpoint: the connection that an attempt reuses as soon as it has been idle for ``SETTLE_NS``.
+        # By endpoint: the settling connection, which an attempt reuses once it has been idle for ``SETTLE_NS``.
         self._settling: dict[int, UpstreamConnection] = {}
         self.open_connections = 0
 
@@ -79,24 +78,23 @@
         claim_stream: ClaimStream | None = None,
         may_proceed: MayProceed = _always_proceed,
     ) -> FinishedAttempt:
-        """Make one attempt.  Call this in a task of its own; interrupting the task cancels the attempt.
+        """Make one attempt.  Call this in a separate task; interrupting that task cancels the attempt.
 
         A response with status 200 and a long, chunked or unbounded body is streamed to the sink that ``claim_stream``
-        returns.  It is returned without a body and with ``streamed`` set.  Without a sink the attempt is cancelled.
+        returns.  Such a response is returned without a body and with ``streamed`` set.  If there is no sink, the
+        attempt is cancelled.
         """
         try:
             connection = self._acquire(endpoint_id, deadline_ns, may_proceed)
             try:
                 return self._execute_on(connection, request, deadline_ns, claim_stream, may_proceed)
             finally:
-                self._release_after_attempt(
-                    endpoint_id, connection
-                )  # also after an exception, as nothing else closes it
+                self._release_after_attempt(endpoint_id, connection)  # also after an exception, as nothing else would
         except AttemptAborted as aborted:
             return FinishedAttempt(aborted.outcome, None)
 
     def load_report(self, response: Message | None) -> tuple[float, ...] | None:
-        """Return the load report of a response, if the settings say that responses carry one."""
+        """Return the load report of a response; ``None`` if it has none or the settings name no load report fields."""
         if response is None or not self._load_report_fields:
             return None
         return parse_load_report(response, self._load_report_fields)
@@ -109,7 +107,7 @@
         claim_stream: ClaimStream | None,
         may_proceed: MayProceed,
     ) -> FinishedAttempt:
-        """Make one attempt over a connection.
+        """Make one attempt on a connection.
 
         Raises:
             AttemptAborted: The attempt ended without a complete response.
@@ -129,7 +127,7 @@
     # ------------------------------------------------------------ reuse
 
     def _acquire(self, endpoint_id: int, deadline_ns: int, may_proceed: MayProceed) -> UpstreamConnection:
-        """Return a connection to the current address of the endpoint, on which the request may be written now.
+        """Return an idle or new connection to the endpoint's current address, on which the request may be written now.
 
         Raises:
             AttemptAborted: No connection was established in time, or the request may not be written.
@@ -143,19 +141,19 @@
                 self._close(connection)  # the address changed, or the endpoint was removed, while connecting
                 continue
             self._check_may_proceed(endpoint_id, connection, may_proceed)
-            # This check is the last one: bytes received after it are read as the response.
+            # This must be the last check, as bytes that are received after it are read as the response.
             if is_quiet(connection.sock):
                 return connection
             self._close(connection)
             is_new = not connection.idle_since_ns
-            if is_new:  # the endpoint would probably close the next one, too
+            if is_new:  # the endpoint would probably close another new connection, too
                 raise AttemptAborted(AttemptOutcome.RESET_BEFORE_SENT)
 
     def _check_may_proceed(self, endpoint_id: int, connection: UpstreamConnection, may_proceed: MayProceed) -> None:
-        """Check that the request may still be written: while connecting, the endpoint may have started to drain.
+        """Check that the request may still be written: the endpoint may have started draining while connecting.
 
         Raises:
-            AttemptAborted: It may not be written.  The connection was returned to the pool.
+            AttemptAborted: The request may not be written.  The connection was returned to the pool.
         """
         allowed = False
         try:
@@ -167,14 +165,18 @@
             raise AttemptAborted(AttemptOutcome.CANCELLED_BEFORE_SENT)
 
     def _has_current_address(self, endpoint_id: int, connection: UpstreamConnection) -> bool:
-        """Return whether the connection leads to the current address of the endpoint."""
+        """Return whether the connection was made to the current address of the endpoint."""
         return connection.address == self._addresses.get(endpoint_id)
 
     def _reuse(self, endpoint_id: int, deadline_ns: int) -> UpstreamConnection | None:
-        """Return the most recently used idle connection that may be reused, or ``None``."""
+        """Return the most recently used idle connection that may be reused, or ``None``.
+
+        This may wait until a connection has settled.
+        """
         while True:
             idle_before_ns = self._loop.now() - SETTLE_NS
-            # At most one attempt waits: if a second one would have to, the rate of requests needs a new connection.
+            # At most one attempt waits for each endpoint.  If a second one would have to wait, the request rate needs
+            # a new connection.
             may_wait = endpoint_id not in self._settling
             connection = self._idle.pop(endpoint_id, idle_before_ns, or_longest_idle=may_wait)
             if connection is None:
@@ -188,16 +190,16 @@
     def _may_reuse(self, connection: UpstreamConnection) -> bool:
         """Return whether a connection that was idle is neither retired nor expired.
 
-        The endpoint may close an expired connection at any time, which would reset the request.
+        The endpoint may close an expired connection at any time, and a request on it would be reset.
         """
         return not connection.is_retired and (
             connection.idle_since_ns >= self._loop.now() - self._limits.idle_timeout_ns
         )
 
     def _wait_until_settled(self, endpoint_id: int, connection: UpstreamConnection, deadline_ns: int) -> None:
-        """Wait until the connection has been idle for ``SETTLE_NS``, or a byte is received on it.
+        """Wait until the connection has been idle for ``SETTLE_NS`` or a byte is received on it.
 
-        The wait costs less than the work of the endpoint for a new connection.
+        Waiting costs less than the work that a new connection would cause at the endpoint.
 
         Raises:
             AttemptAborted: The attempt was cancelled.
@@ -210,11 +212,11 @@
             if self._may_reuse(connection) and is_quiet(connection.sock):
                 self._release(endpoint_id, connection)
             else:
-                self._close(connection)  # a byte may have been received at the same time
+                self._close(connection)  # a byte may have been received when the task was interrupted
             raise AttemptAborted(AttemptOutcome.CANCELLED_BEFORE_SENT)
 
     def _release_after_attempt(self, endpoint_id: int, connection: UpstreamConnection) -> None:
-        """Return the connection to the pool if it may carry another request, else close it."""
+        """After an attempt, return the connection to the pool if it may carry another request, else close it."""
         if connection.carries_request:
             self._close(connection)
         else:
@@ -225,7 +227,7 @@
         if connection.is_retired or not self._has_current_address(endpoint_id, connection):
             self._close(connection)
             return
-        # A connection that was not used keeps the time since which it is idle.
+        # If no request was written on the connection, the time since which it is idle does not change.
         connection.idle_since_ns = connection.idle_since_ns or self._loop.now()
         self._idle.add(endpoint_id, connection)
 
@@ -233,7 +235,7 @@
 
     def _connect(self, endpoint_id: int, deadline_ns: int) -> UpstreamConnection:
         if self.open_connections >= self._limits.max_connections:
-            self._idle.close_longest_idle()  # to free a descriptor for this attempt
+            self._idle.close_longest_idle()  # frees a descriptor for this attempt
             if self.open_connections >= self._limits.max_connections:
                 raise AttemptAborted(AttemptOutcome.NO_DESCRIPTOR)
         address = self._addresses.get(endpoint_id)
