--- a/tests/discovery/test_watcher.py
+++ b/tests/discovery/test_watcher.py
@@ -12,7 +12,7 @@
 from lugtally.eventloop import EventLoop
 from lugtally.units import NS_PER_MS
 from lugtally.upstream import ConnectionLimits, UpstreamPool
-from tests.dispatch.scripted_balancer import ScriptedBalancer, run_task
+from tests.dispatch.scripted_balancer import TwoAttemptBalancer, run_task
 
 DISCOVERY = Address("127.0.0.1", 9)
 
@@ -23,7 +23,7 @@
 
 
 @pytest.fixture
-def dispatcher(loop: EventLoop, balancer: ScriptedBalancer) -> dispatch.Dispatcher:
+def dispatcher(loop: EventLoop, balancer: TwoAttemptBalancer) -> dispatch.Dispatcher:
     return dispatch.Dispatcher(balancing.Settings(), 1, loop)
 
 
@@ -41,7 +41,7 @@
     loop: EventLoop,
     dispatcher: dispatch.Dispatcher,
     endpoint_watcher: EndpointWatcher,
-    balancer: ScriptedBalancer,
+    balancer: TwoAttemptBalancer,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A step of the wall clock used to look like a restart, after which the endpoint warmed up again."""
@@ -69,7 +69,7 @@
 
 
 def test_state_of_removed_endpoints_is_dropped(
-    endpoint_watcher: EndpointWatcher, upstream: UpstreamPool, balancer: ScriptedBalancer
+    endpoint_watcher: EndpointWatcher, upstream: UpstreamPool, balancer: TwoAttemptBalancer
 ) -> None:
     """Thousands of endpoint ids may be listed in one day, and a new id may have the address of an old one."""
     real_balancer = Balancer(balancing.Settings(), 1)
@@ -90,7 +90,7 @@
     endpoint_watcher: EndpointWatcher,
     dispatcher: dispatch.Dispatcher,
     upstream: UpstreamPool,
-    balancer: ScriptedBalancer,
+    balancer: TwoAttemptBalancer,
 ) -> None:
     endpoint_id = endpoint_id_of("s-1")
     row = {"id": "s-1", "addr": "127.0.0.1:1", "zone": "a", "state": "hibernating", "started_ms": 0}
--- a/tests/dispatch/scripted_balancer.py
+++ b/tests/dispatch/scripted_balancer.py
@@ -12,7 +12,7 @@
 from lugtally.units import NS_PER_MS
 
 
-class ScriptedBalancer:
+class TwoAttemptBalancer:
     """Records each event, and starts two attempts for each request of class 0."""
 
     def __init__(self) -> None:
@@ -31,9 +31,9 @@
 
 
 @pytest.fixture
-def balancer(monkeypatch: pytest.MonkeyPatch) -> ScriptedBalancer:
+def balancer(monkeypatch: pytest.MonkeyPatch) -> TwoAttemptBalancer:
     """Return the scripted balancer that each dispatcher of the test uses."""
-    scripted = ScriptedBalancer()
+    scripted = TwoAttemptBalancer()
     monkeypatch.setattr(dispatcher_module, "Balancer", lambda *_: scripted)
     return scripted
 
--- a/tests/dispatch/test_dispatcher.py
+++ b/tests/dispatch/test_dispatcher.py
@@ -10,7 +10,7 @@
 from lugtally.dispatch.attempt_outcome import ATTEMPT_RESULTS, AttemptOutcome
 from lugtally.eventloop import EventLoop
 from lugtally.units import NS_PER_MS
-from tests.dispatch.scripted_balancer import ScriptedBalancer, run_task
+from tests.dispatch.scripted_balancer import TwoAttemptBalancer, run_task
 
 
 @pytest.fixture
@@ -19,7 +19,7 @@
 
 
 @pytest.fixture
-def dispatcher(loop: EventLoop, balancer: ScriptedBalancer) -> dispatch.Dispatcher:
+def dispatcher(loop: EventLoop, balancer: TwoAttemptBalancer) -> dispatch.Dispatcher:
     return dispatch.Dispatcher(balancing.Settings(), 1, loop)
 
 
@@ -37,7 +37,7 @@
 
 
 def test_first_served_attempt_wins_and_the_other_is_cancelled(
-    loop: EventLoop, dispatcher: dispatch.Dispatcher, balancer: ScriptedBalancer
+    loop: EventLoop, dispatcher: dispatch.Dispatcher, balancer: TwoAttemptBalancer
 ) -> None:
     cancelled: list[int] = []
     closed: list[int] = []
@@ -77,7 +77,7 @@
     stalled: bool,
     loop: EventLoop,
     dispatcher: dispatch.Dispatcher,
-    balancer: ScriptedBalancer,
+    balancer: TwoAttemptBalancer,
 ) -> None:
     """The request gets its final answer despite the fault: a rejection if no attempt was started."""
     decisions: list[dispatch.Decision] = []
@@ -100,7 +100,7 @@
 
 
 def test_request_past_its_deadline_is_rejected_unsent(
-    loop: EventLoop, dispatcher: dispatch.Dispatcher, balancer: ScriptedBalancer
+    loop: EventLoop, dispatcher: dispatch.Dispatcher, balancer: TwoAttemptBalancer
 ) -> None:
     """The deadline passed before the request was submitted."""
     decisions: list[dispatch.Decision] = []
@@ -131,7 +131,7 @@
 
 
 def test_outcomes_after_client_disconnect_change_nothing(
-    loop: EventLoop, dispatcher: dispatch.Dispatcher, balancer: ScriptedBalancer
+    loop: EventLoop, dispatcher: dispatch.Dispatcher, balancer: TwoAttemptBalancer
 ) -> None:
     decisions: list[dispatch.Decision] = []
 
@@ -156,7 +156,7 @@
 
 
 def test_request_finishes_with_its_streaming_attempt(
-    loop: EventLoop, dispatcher: dispatch.Dispatcher, balancer: ScriptedBalancer
+    loop: EventLoop, dispatcher: dispatch.Dispatcher, balancer: TwoAttemptBalancer
 ) -> None:
     """Other attempts and decisions of the balancer are ignored once an attempt streams its response."""
     cancelled: list[int] = []
--- a/tests/downstream/test_server.py
+++ b/tests/downstream/test_server.py
@@ -15,7 +15,7 @@
 from lugtally.eventloop import EventLoop
 from lugtally.units import NS_PER_MS
 from lugtally.upstream import ConnectionLimits, UpstreamPool
-from tests.dispatch.scripted_balancer import ScriptedBalancer
+from tests.dispatch.scripted_balancer import TwoAttemptBalancer
 from tests.sidecar_program import SETTINGS
 from tests.sockets import listener
 
@@ -54,7 +54,7 @@
 
 
 def test_tenant_of_each_request_reaches_balancer(
-    loop: EventLoop, upstream: UpstreamPool, balancer: ScriptedBalancer
+    loop: EventLoop, upstream: UpstreamPool, balancer: TwoAttemptBalancer
 ) -> None:
     """Regression: every request was treated as one of the first tenant."""
     dispatcher = dispatch.Dispatcher(balancing.Settings(), 1, loop)
