--- a/tests/dispatch/conftest.py
+++ b/tests/dispatch/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of this folder."""
+"""Fixtures of the dispatch tests."""
 
 from __future__ import annotations
 
--- a/tests/dispatch/scripted_balancer.py
+++ b/tests/dispatch/scripted_balancer.py
@@ -1,4 +1,4 @@
-"""A balancer with scripted actions, and a runner for one task of a dispatcher."""
+"""A balancer with fixed actions, and a function that runs one task with a dispatcher."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 class TwoAttemptBalancer:
-    """Records each event, and starts two attempts for each request of class 0."""
+    """Records each event, and starts two attempts for each request of class 0.  Other requests get no decision."""
 
     def __init__(self) -> None:
         self.events: list[balancing.Event] = []
 
-    def handle(self, now: int, event: balancing.Event) -> list[balancing.Action]:
-        """Return two attempts for a request of class 0, and no action for any other event."""
+    def handle(self, now_ns: int, event: balancing.Event) -> list[balancing.Action]:
+        """Return two attempts and another action for a request of class 0, and no action for any other event."""
         self.events.append(event)
         if isinstance(event, balancing.Request) and event.class_index == 0:
             return [
@@ -32,25 +32,25 @@
 
 @pytest.fixture
 def balancer(monkeypatch: pytest.MonkeyPatch) -> TwoAttemptBalancer:
-    """Return the scripted balancer that each dispatcher of the test uses."""
-    scripted = TwoAttemptBalancer()
-    monkeypatch.setattr(dispatcher_module, "Balancer", lambda *_: scripted)
-    return scripted
+    """Return the balancer that each dispatcher of the test uses."""
+    replacement = TwoAttemptBalancer()
+    monkeypatch.setattr(dispatcher_module, "Balancer", lambda *_: replacement)
+    return replacement
 
 
 def run_task(loop: EventLoop, dispatcher: dispatch.Dispatcher, work: Callable[[], object]) -> None:
-    """Run ``work`` as a task of ``loop`` until it returns; raise what it raises, including failed assertions."""
-    failed: list[BaseException] = []
+    """Run ``work`` as a task of ``loop`` until it returns; raise what it raises, including errors assertions."""
+    errors: list[BaseException] = []
 
     def body() -> None:
         try:
             work()
         except BaseException as error:
-            failed.append(error)
+            errors.append(error)
         finally:
             loop.stop()
 
     loop.spawn(body)
     loop.run(dispatcher.run_due_timers)
-    if failed:
-        raise failed[0]
+    if errors:
+        raise errors[0]
