--- a/tests/dispatch/scripted_balancer.py
+++ b/tests/dispatch/scripted_balancer.py
@@ -39,7 +39,7 @@
 
 
 def run_task(loop: EventLoop, dispatcher: dispatch.Dispatcher, work: Callable[[], object]) -> None:
-    """Run ``work`` as a task of ``loop`` until it returns; raise what it raises, including errors assertions."""
+    """Run ``work`` as a task of ``loop`` until it returns; raise what it raises, including failed assertions."""
     errors: list[BaseException] = []
 
     def body() -> None:
--- a/tests/dispatch/streaming.py
+++ b/tests/dispatch/streaming.py
@@ -1,4 +1,4 @@
-"""Streamed responses: what an endpoint sends, what a client reads, and requests with two attempts in flight."""
+"""Helpers for tests of streamed responses: endpoints that send them, clients that read them, hedged requests."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 BODY_BYTES = 100_000
 STREAMED_PREFIX_BYTES = 70_000
-"""How much of a body is sent first: more than the sidecar buffers before it streams a response."""
+"""The size of the part of a body that is sent first: more than the sidecar buffers before it streams a response."""
 FRAMINGS = ("length", "chunked", "until close")
-"""How the end of a body is marked."""
+"""The ways in which the end of a body is marked."""
 HEADS = {
     "length": b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % BODY_BYTES,
     "chunked": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -26,19 +26,19 @@
 
 
 def body_of(attempt: int, size: int = BODY_BYTES) -> bytes:
-    """Return the body of one attempt; no other attempt sends these bytes."""
+    """Return the body that an attempt's endpoint sends.  The two attempts of a request have no byte in common."""
     return b"ab"[attempt : attempt + 1] * size
 
 
 @dataclass(slots=True)
 class ReceivedResponse:
-    """What a client read on its connection until it ended."""
+    """What a client has read from its connection, and whether the connection was reset."""
 
     data: bytes
     was_reset: bool
 
     def body(self) -> bytes:
-        """Return the body; fails where the response is truncated or is followed by another."""
+        """Return the body; fail if the response is truncated or is followed by another one."""
         assert not self.was_reset, f"a reset after {len(self.data)} bytes"
         head, _, body = self.data.partition(b"\r\n\r\n")
         assert head.startswith(b"HTTP/1.1 200")
@@ -51,23 +51,23 @@
 
 
 def read_response(client: PeerConnection, min_bytes: int = 0) -> ReceivedResponse:
-    """Read until the connection ends, or until ``min_bytes`` were received where that is not 0."""
+    """Read until the connection ends or, if ``min_bytes`` is not 0, until that many bytes were received."""
     data = b""
     while not min_bytes or len(data) < min_bytes:
         reason = client.loop.wait(client.sock.fileno(), READABLE, client.loop.now() + MAX_WAIT_NS)
         assert reason is WakeReason.READY, "no bytes arrived"
         try:
-            read = client.sock.recv(65536)
+            chunk = client.sock.recv(65536)
         except ConnectionResetError:
             return ReceivedResponse(data, True)
-        if not read:
+        if not chunk:
             return ReceivedResponse(data, False)
-        data += read
+        data += chunk
     return ReceivedResponse(data, False)
 
 
 def read_remaining(client: PeerConnection, received: bytes) -> ReceivedResponse:
-    """Read to the end of the connection; return the response that began with ``received``."""
+    """Read until the connection ends; return the whole response, which begins with ``received``."""
     if BUFFERED_LENGTH_HEADER in received:
         client.sock.shutdown(socket.SHUT_WR)  # a buffered response leaves the connection open
     rest = read_response(client)
@@ -75,7 +75,7 @@
 
 
 def send_unless_closed(connection: PeerConnection, data: bytes) -> None:
-    """Write to the sidecar, which may have closed the connection."""
+    """Write to the sidecar, and ignore the error if it has closed the connection."""
     with suppress(BrokenPipeError, ConnectionResetError):
         connection.send(data)
 
@@ -89,7 +89,7 @@
 
 
 def finish_stream(connection: PeerConnection, attempt: int, framing: str) -> None:
-    """Send the rest of a body that ``start_stream`` began."""
+    """Send the rest of a body that ``start_stream`` has begun."""
     rest = body_of(attempt, BODY_BYTES - STREAMED_PREFIX_BYTES)
     if framing == "chunked":
         rest = b"%x\r\n%b\r\n0\r\n\r\n" % (len(rest), rest)
@@ -100,12 +100,12 @@
 
 
 def truncate_stream(connection: PeerConnection, framing: str) -> None:
-    """End the connection within the body: by a reset where a close would mark the end of the body."""
+    """End the connection within the body: with a reset if a close would mark the end of the body, else with a close."""
     disconnect(connection.sock, "reset" if framing == "until close" else "close")
 
 
 def hedge_each_request(event: balancing.Event) -> list[balancing.Action]:
-    """Start two attempts at once, and fail a request neither of whose attempts was served."""
+    """Start two attempts of each request at once; fail the request if the second one ends and neither was served."""
     if isinstance(event, balancing.Request):
         return [balancing.SendAttempt(event.id, ENDPOINT_A, event.time_left_ns)] * 2
     if isinstance(event, balancing.AttemptFinished) and event.attempt == 1 and not event.request_finished:
@@ -115,7 +115,7 @@
 
 @dataclass(slots=True)
 class HedgedRequest:
-    """A client's request with two attempts in flight, both written to their connections."""
+    """A client's request with two attempts in flight, both of which have been written to their connections."""
 
     sidecar: Sidecar
     client: PeerConnection
@@ -124,12 +124,12 @@
     received: bytes = b""
 
     def start_stream(self, attempt: int) -> None:
-        """Start a stream and wait until the client has received its first part."""
-        self.start_second_stream(attempt)
+        """Start the attempt's stream and wait until the client has received its first part."""
+        self.send_stream_start(attempt)
         self.received = read_response(self.client, STREAMED_PREFIX_BYTES).data
 
-    def start_second_stream(self, attempt: int) -> None:
-        """Start a stream that is not expected to reach the client."""
+    def send_stream_start(self, attempt: int) -> None:
+        """Start the attempt's stream without waiting for the client to receive any of it."""
         start_stream(self.connections[attempt], attempt, self.framing)
 
     def finish_stream(self, attempt: int) -> None:
@@ -137,7 +137,7 @@
         finish_stream(self.connections[attempt], attempt, self.framing)
 
     def truncate_stream(self, attempt: int) -> None:
-        """End a stream within its body."""
+        """End the connection of a stream within the body."""
         truncate_stream(self.connections[attempt], self.framing)
 
     def respond(self, attempt: int, status: str = "200 OK") -> None:
@@ -145,12 +145,12 @@
         head = b"HTTP/1.1 %b\r\n%b\r\n" % (status.encode(), BUFFERED_LENGTH_HEADER)
         send_unless_closed(self.connections[attempt], head + body_of(attempt, 10))
 
-    def wait_for_result(self, count: int = 1) -> None:
+    def wait_for_finished_attempts(self, count: int = 1) -> None:
         """Wait until that many attempts have finished."""
         self.sidecar.wait_until(lambda: len(self.sidecar.balancer.attempt_results()) >= count)
 
     def response(self) -> ReceivedResponse:
-        """Read what the client has not received yet; return the response."""
+        """Read the rest of the response from the client's connection; return the whole response."""
         received = self.received or read_response(self.client, 1).data
         return read_remaining(self.client, received)
 
--- a/tests/dispatch/test_hedged_streams.py
+++ b/tests/dispatch/test_hedged_streams.py
@@ -37,14 +37,14 @@
 def second_responds_during_stream(hedged: HedgedRequest) -> None:
     hedged.start_stream(0)
     hedged.respond(1)
-    hedged.wait_for_result()
+    hedged.wait_for_finished_attempts()
     hedged.finish_stream(0)
 
 
 def first_responds_during_stream(hedged: HedgedRequest) -> None:
     hedged.start_stream(1)
     hedged.respond(0)
-    hedged.wait_for_result()
+    hedged.wait_for_finished_attempts()
     hedged.finish_stream(1)
 
 
@@ -57,29 +57,29 @@
 def second_gets_404_during_stream(hedged: HedgedRequest) -> None:
     hedged.start_stream(0)
     hedged.respond(1, "404 Not Found")
-    hedged.wait_for_result()
+    hedged.wait_for_finished_attempts()
     hedged.finish_stream(0)
 
 
 def second_is_reset_during_stream(hedged: HedgedRequest) -> None:
     hedged.start_stream(0)
     disconnect(hedged.connections[1].sock, "reset")
-    hedged.wait_for_result()
+    hedged.wait_for_finished_attempts()
     hedged.finish_stream(0)
 
 
 def both_stream(hedged: HedgedRequest) -> None:
     hedged.start_stream(1)
-    hedged.start_second_stream(0)
-    hedged.wait_for_result()
+    hedged.send_stream_start(0)
+    hedged.wait_for_finished_attempts()
     hedged.finish_stream(1)
     hedged.finish_stream(0)
 
 
 def stream_starts_after_response(hedged: HedgedRequest) -> None:
     hedged.respond(1)
-    hedged.wait_for_result()
-    hedged.start_second_stream(0)
+    hedged.wait_for_finished_attempts()
+    hedged.send_stream_start(0)
 
 
 def stream_truncated_as_second_responds(hedged: HedgedRequest) -> None:
@@ -91,14 +91,14 @@
 def stream_truncated_after_first_responded(hedged: HedgedRequest) -> None:
     hedged.start_stream(1)
     hedged.respond(0)
-    hedged.wait_for_result()
+    hedged.wait_for_finished_attempts()
     hedged.truncate_stream(1)
 
 
 def stream_reset_within_its_head(hedged: HedgedRequest) -> None:
     send_unless_closed(hedged.connections[0], HEADS[hedged.framing][:-2])
     disconnect(hedged.connections[0].sock, "reset")
-    hedged.wait_for_result()
+    hedged.wait_for_finished_attempts()
     hedged.respond(1)
 
 
@@ -132,7 +132,7 @@
             assert len(set(response.data.partition(b"\r\n\r\n")[2]) & set(b"ab")) == 1, "bytes of two attempts"
         else:
             assert set(response.body()) == set(body_of(served_by))
-        hedged.wait_for_result(2)
+        hedged.wait_for_finished_attempts(2)
         assert not sidecar.dispatcher.in_progress
 
     sidecar.run(script)
@@ -147,10 +147,10 @@
     def script() -> None:
         hedged = start_hedged_request(sidecar, framing)
         hedged.respond(1)
-        hedged.start_second_stream(0)
+        hedged.send_stream_start(0)
         hedged.finish_stream(0)
         assert hedged.response().body() in (body_of(1, 10), body_of(0))
-        hedged.wait_for_result(2)
+        hedged.wait_for_finished_attempts(2)
 
     sidecar.run(script)
     assert sidecar.dispatcher.request_counts()["served"] == 1
@@ -161,7 +161,7 @@
 
     def script() -> None:
         hedged = start_hedged_request(sidecar)
-        hedged.start_second_stream(0)
+        hedged.send_stream_start(0)
         assert hedged.connections[1].read_to_end() == b""
         hedged.finish_stream(0)
         assert read_response(hedged.client).body() == body_of(0)
@@ -236,13 +236,13 @@
     def script() -> None:
         hedged = start_hedged_request(sidecar)
         monkeypatch.setattr(DownstreamConnection, "write", write_partly_and_fail)
-        hedged.start_second_stream(0)
-        hedged.wait_for_result()
+        hedged.send_stream_start(0)
+        hedged.wait_for_finished_attempts()
         hedged.respond(1)
         response = read_response(hedged.client)
         assert response.was_reset
         assert response.data in (b"", b"HTTP/1.1 200 OK\r\nCon")  # a reset may discard what was not read
-        hedged.wait_for_result(2)
+        hedged.wait_for_finished_attempts(2)
 
     sidecar.run(script)
     assert sidecar.dispatcher.request_counts()["failed"] == 1
@@ -258,6 +258,6 @@
         hedged.client.sock.shutdown(socket.SHUT_WR)
         rest = read_response(hedged.client)
         assert rest.was_reset, f"an orderly end after {len(hedged.received) + len(rest.data)} bytes"
-        hedged.wait_for_result(2)
+        hedged.wait_for_finished_attempts(2)
 
     sidecar.run(script)
