--- a/tests/dispatch/test_dispatcher.py
+++ b/tests/dispatch/test_dispatcher.py
@@ -24,8 +24,8 @@
 
 
 def test_outcomes_that_rule_out_processing() -> None:
-    never = {outcome for outcome in AttemptOutcome if ATTEMPT_RESULTS[outcome] in balancing.NOT_PROCESSED}
-    assert never == {
+    not_processed = {outcome for outcome in AttemptOutcome if ATTEMPT_RESULTS[outcome] in balancing.NOT_PROCESSED}
+    assert not_processed == {
         AttemptOutcome.REJECTED,
         AttemptOutcome.CONNECTION_REFUSED,
         AttemptOutcome.CONNECT_TIMEOUT,
@@ -79,11 +79,11 @@
     dispatcher: dispatch.Dispatcher,
     balancer: TwoAttemptBalancer,
 ) -> None:
-    """The request gets its final answer despite the fault: a rejection if no attempt was started."""
+    """The request gets a final answer although the balancer made no decision: a rejection if no attempt was started."""
     decisions: list[dispatch.Decision] = []
 
     def stall() -> None:
-        time.sleep(0.15)  # stalls the process past the deadline and its margin
+        time.sleep(0.15)  # stalls the process until after the deadline and its margin
 
     def work() -> None:
         pending = dispatch.PendingRequest(loop, class_index, loop.now() + 100 * NS_PER_MS, False, lambda _: None)
@@ -115,7 +115,7 @@
 
 
 def test_attempt_deadline_is_limited_by_its_request(loop: EventLoop, dispatcher: dispatch.Dispatcher) -> None:
-    """Otherwise the endpoint would be sent a longer timeout than the client has left."""
+    """Otherwise the timeout that is sent to the endpoint would exceed the time that the client has left."""
 
     def work() -> None:
         pending = dispatch.PendingRequest(loop, 0, loop.now() + 5000 * NS_PER_MS, False, lambda _: None)
@@ -149,8 +149,8 @@
 
     run_task(loop, dispatcher, work)
     assert [type(decision).__name__ for decision in decisions] == ["StartAttempt", "StartAttempt", "Finished"]
-    ends = [event for event in balancer.events if isinstance(event, balancing.AttemptFinished)]
-    assert [end.request_finished for end in ends] == [True, True]
+    finished_events = [event for event in balancer.events if isinstance(event, balancing.AttemptFinished)]
+    assert [finished_event.request_finished for finished_event in finished_events] == [True, True]
     assert dispatcher.request_counts()["left"] == 1
     assert dispatcher.request_counts()["served"] == 0
 
@@ -158,7 +158,7 @@
 def test_request_finishes_with_its_streaming_attempt(
     loop: EventLoop, dispatcher: dispatch.Dispatcher, balancer: TwoAttemptBalancer
 ) -> None:
-    """Other attempts and decisions of the balancer are ignored once an attempt streams its response."""
+    """Once an attempt streams its response, other attempts and decisions of the balancer are ignored."""
     cancelled: list[int] = []
     decisions: list[dispatch.Decision] = []
 
@@ -169,9 +169,9 @@
         assert dispatcher.claim_stream(pending, 1)
         assert not dispatcher.claim_stream(pending, 0)
         assert not dispatcher.claim_stream(pending, 1)
-        dispatcher.attempt_finished(pending, 0, AttemptOutcome.SERVED)  # a complete response, but too late
-        dispatcher._perform(loop.now(), balancing.FailRequest(pending.id))  # too late as well
-        loop.sleep(30 * NS_PER_MS)  # past the deadline and its margin
+        dispatcher.attempt_finished(pending, 0, AttemptOutcome.SERVED)  # complete, but after the stream was claimed
+        dispatcher._perform(loop.now(), balancing.FailRequest(pending.id))  # also after the stream was claimed
+        loop.sleep(30 * NS_PER_MS)  # until after the deadline and its margin
         assert not pending.finished
         dispatcher.attempt_finished(pending, 1, AttemptOutcome.RESET)
         decisions.append(dispatcher.next_decision(pending))
