--- a/tests/dispatch/test_attempts.py
+++ b/tests/dispatch/test_attempts.py
@@ -129,9 +129,8 @@
         sidecar.wait_until(lambda: bool(sidecar.balancer.client_disconnects()))
         for _ in range(20):
             sidecar.loop.sleep(0)
-        if sidecar.loop.is_ready(
-            sidecar.server.sock.fileno(), READABLE
-        ):  # a retry may have connected, but must send nothing
+        if sidecar.loop.is_ready(sidecar.server.sock.fileno(), READABLE):
+            # A retry may have connected, but must send nothing.
             assert sidecar.server.accept().read_to_end() == b""
 
     sidecar.run(script)
