--- a/tests/dispatch/test_balancer_faults.py
+++ b/tests/dispatch/test_balancer_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the balancer: requests are answered at once, and later events are handled correctly."""
+"""Exceptions of the balancer: requests are answered without delay, and later events are handled correctly."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 
 
 class FaultyBalancer:
-    """Records each event; ``decide`` may raise."""
+    """Records each event and returns the actions of ``decide``, which may raise an exception."""
 
     def __init__(self) -> None:
         self.events: list[balancing.Event] = []
         self.decide: Decide = lambda _: []
 
-    def handle(self, now: int, event: balancing.Event) -> list[balancing.Action]:
+    def handle(self, now_ns: int, event: balancing.Event) -> list[balancing.Action]:
         self.events.append(event)
         return self.decide(event)
 
-    def may_start(self, now: int, request_id: str, attempt: int) -> bool:
-        """Fail as the balancer might on an unknown attempt."""
+    def may_start(self, now_ns: int, request_id: str, attempt: int) -> bool:
+        """Raise an exception, as the balancer might for an unknown attempt."""
         raise KeyError(request_id)
 
 
@@ -53,13 +53,13 @@
         return dispatch.PendingRequest(self.loop, 0, deadline_ns, False, self.cancelled.append)
 
     def run(self, work: Callable[[], None]) -> None:
-        """Run ``work``, which must not wait until a request's deadline."""
+        """Run ``work``; fail if it waits until the deadline of a request."""
         started_ns = self.loop.now()
         run_task(self.loop, self.dispatcher, work)
-        assert self.loop.now() - started_ns < TIME_LEFT_NS, "the request was answered at its deadline only"
+        assert self.loop.now() - started_ns < TIME_LEFT_NS, "the request was not answered before its deadline"
 
     def dropped_requests(self) -> list[str]:
-        """Return the ids of the requests that the balancer was notified to drop."""
+        """Return the ids of the requests that the balancer was told to drop."""
         return [event.request_id for event in self.balancer.events if isinstance(event, balancing.ClientDisconnected)]
 
 
@@ -69,7 +69,7 @@
 
 
 def fail_on(kind: type, attempts: int = 1) -> Decide:
-    """Start that many attempts for each request, and fail on events of this kind."""
+    """Return a function that starts ``attempts`` attempts for each request and fails on events of type ``kind``."""
 
     def decide(event: balancing.Event) -> list[balancing.Action]:
         if isinstance(event, kind):
@@ -94,7 +94,7 @@
 
 @pytest.mark.parametrize("fails_on", ["the first attempt", "the retry"])
 def test_balancer_state_is_consistent_after_fault(fails_on: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """An attempt that was recorded but never started used to count as in flight until the process ended."""
+    """Regression: an attempt that was recorded but never started counted as in flight until the process ended."""
     settings = balancing.Settings(max_attempts=4, timer_resolution_ns=NS_PER_MS)
     balancer = Balancer(settings, 1)
     loop = EventLoop()
@@ -128,9 +128,9 @@
         assert not balancer.requests
         assert not balancer.attempts
         assert not any(endpoint.in_flight for endpoint in balancer.endpoints.by_id.values())
-        after = new_request()
-        assert isinstance(dispatcher.next_decision(after), dispatch.StartAttempt), "the next event is handled wrongly"
-        assert dispatcher.attempt_finished(after, 0, AttemptOutcome.SERVED)
+        later = new_request()
+        assert isinstance(dispatcher.next_decision(later), dispatch.StartAttempt), "a later event was handled wrongly"
+        assert dispatcher.attempt_finished(later, 0, AttemptOutcome.SERVED)
 
     run_task(loop, dispatcher, work)
 
@@ -212,7 +212,7 @@
 
 
 def test_timer_fault_answers_only_the_request_in_backoff(harness: FaultHarness) -> None:
-    """The other request still waits for a timer of its own."""
+    """The fault concerns the timer of the first request; the second request waits for another timer."""
 
     def decide(event: balancing.Event) -> list[balancing.Action]:
         if isinstance(event, balancing.Request):
@@ -236,7 +236,7 @@
 
 
 def test_request_is_answered_when_hedge_is_lost_with_timer(harness: FaultHarness) -> None:
-    """The balancer waits for an attempt that never started."""
+    """After the fault, the balancer waits for an attempt that was never started."""
 
     def decide(event: balancing.Event) -> list[balancing.Action]:
         if isinstance(event, balancing.Request):
@@ -262,7 +262,7 @@
 
 
 def test_timer_fires_again_after_fault(harness: FaultHarness, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A timer that sets itself again, such as the poll timer, would otherwise stop."""
+    """Otherwise a periodic timer such as the poll timer, which is set again only when it fires, would stop."""
     monkeypatch.setattr(fault_recovery, "FAULT_RETRY_NS", NS_PER_MS)
     watched: list[int] = []
     harness.dispatcher.set_handlers(lambda _: None, lambda: watched.append(1))
@@ -278,7 +278,7 @@
         harness.dispatcher.update_endpoints(balancing.EndpointUpdateKind.FAILED)
         limit_ns = harness.loop.now() + TIME_LEFT_NS // 2
         while not watched:
-            assert harness.loop.now() < limit_ns, "the timer never fired again"
+            assert harness.loop.now() < limit_ns, "the timer did not fire again"
             harness.loop.sleep(NS_PER_MS)
 
     harness.balancer.decide = decide
@@ -286,7 +286,7 @@
 
 
 def test_full_list_is_sent_again_after_fault_on_update(harness: FaultHarness, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A drain in the update used to be lost until discovery listed the endpoint again."""
+    """Regression: a drain in the update was lost until discovery listed the endpoint again."""
     monkeypatch.setattr(fault_recovery, "FAULT_RETRY_NS", NS_PER_MS)
     watched: list[int] = []
     harness.dispatcher.set_handlers(lambda _: None, lambda: watched.append(1))
@@ -320,7 +320,7 @@
 
 
 def test_failing_action_does_not_prevent_other_actions(harness: FaultHarness) -> None:
-    """A response that was received used to be lost."""
+    """Regression: a response that had been received was lost."""
 
     def close_idle_connections(endpoint_id: int) -> None:
         raise OSError(endpoint_id)
