--- a/tests/dispatch/test_ended_requests.py
+++ b/tests/dispatch/test_ended_requests.py
@@ -1,4 +1,4 @@
-"""No byte of an attempt is sent after its request has ended, by its deadline or by its client."""
+"""No byte of an attempt is sent after its request has ended because its deadline passed or its client disconnected."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 from tests.fakes import ENDPOINT_A, MAX_WAIT_NS, PeerConnection, Sidecar, disconnect, request
 
 EXCESSIVE_TIMEOUT_NS = 9 * NS_PER_S
-"""The timeout that the balancer gives an attempt here: far more than its request has left."""
+"""The timeout that the balancer gives each attempt in these tests, which is much longer than its request has left."""
 NOT_STARTED = [balancing.AttemptResult.NEVER_SENT]
 
 
 def expire_requests(sidecar: Sidecar, ago_ns: int = 0) -> None:
-    """Move the deadline of each request to ``ago_ns`` before now, as after a stall of the process."""
+    """Move the deadline of each request to ``ago_ns`` before now, as if the process had stalled."""
     for pending in sidecar.dispatcher._pending.values():
         pending.deadline_ns = sidecar.loop.now() - ago_ns
 
 
 def send_to_endpoint(event: balancing.Event) -> list[balancing.Action]:
-    """Send each request with an excessive timeout, and reject it if its attempt was not served."""
+    """Send each request to one endpoint with an excessive timeout; reject it if its attempt was not served."""
     if isinstance(event, balancing.Request):
         return [balancing.SendAttempt(event.id, ENDPOINT_A, EXCESSIVE_TIMEOUT_NS)]
     if isinstance(event, balancing.AttemptFinished) and not event.request_finished:
@@ -46,8 +46,10 @@
     monkeypatch.setattr(UpstreamConnection, "connect", connect_late)
 
 
-def test_connection_ready_after_deadline_carries_no_request(monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar) -> None:
-    """The deadline is the request's own, not the longer time that the balancer gave the attempt."""
+def test_connection_established_after_deadline_carries_no_request(
+    monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar
+) -> None:
+    """The deadline of the request applies, not the later one that the balancer gave the attempt."""
     delay_connects(monkeypatch, lambda _: expire_requests(sidecar))
 
     def script() -> None:
@@ -57,14 +59,14 @@
         assert client.read().startswith(b"HTTP/1.1 50")
         sidecar.wait_until(lambda: bool(sidecar.balancer.attempt_results()))
         connection = sidecar.server.accept()  # stays open, as nothing was written on it
-        assert not sidecar.loop.is_ready(connection.sock.fileno(), READABLE), "sent after the deadline"
+        assert not sidecar.loop.is_ready(connection.sock.fileno(), READABLE), "bytes were sent after the deadline"
 
     sidecar.run(script)
     assert sidecar.balancer.attempt_results()[0] in balancing.NOT_PROCESSED
 
 
 def test_attempt_delayed_by_stall_past_deadline_is_not_started(sidecar: Sidecar) -> None:
-    """The process stalls between the decision and the attempt."""
+    """The process stalls after the decision and before the attempt starts."""
 
     def decide(event: balancing.Event) -> list[balancing.Action]:
         if isinstance(event, balancing.Request):
@@ -105,7 +107,7 @@
 
 
 def test_attempt_in_flight_is_aborted_at_request_deadline(sidecar: Sidecar) -> None:
-    """The upstream connection is closed, and the client receives a 503."""
+    """The upstream connection is closed, and the client receives a response with status 503."""
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
@@ -120,7 +122,7 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
-def test_client_leaving_while_connecting_gets_no_request_sent(
+def test_request_is_not_sent_if_client_disconnects_while_connecting(
     how: str, monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar
 ) -> None:
     may_connect = Event(sidecar.loop)
@@ -131,7 +133,7 @@
         client.send(request("read"))
         sidecar.wait_until(lambda: sidecar.upstream.open_connections == 1)
         disconnect(client.sock, how)
-        may_connect.set()  # in one turn of the loop, before it polls the client's end
+        may_connect.set()  # in the same turn of the event loop, before a poll reports the disconnect
         assert sidecar.server.accept().read_to_end() == b""
         sidecar.wait_until(lambda: not sidecar.dispatcher.in_progress)
 
@@ -140,7 +142,7 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
-def test_client_leaving_while_settling_gets_no_request_sent(
+def test_request_is_not_sent_if_client_disconnects_while_settling(
     how: str, monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar
 ) -> None:
     def script() -> None:
@@ -160,15 +162,15 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
-def test_client_leaving_during_backoff_gets_no_retry(how: str, sidecar: Sidecar) -> None:
-    """The retry is due at the moment at which the client leaves, and the balancer sends it."""
+def test_retry_is_not_sent_if_client_disconnects_during_backoff(how: str, sidecar: Sidecar) -> None:
+    """The retry is due at the moment at which the client disconnects, and the balancer decides to send it."""
     clients: list[PeerConnection] = []
 
     def decide(event: balancing.Event) -> list[balancing.Action]:
         if isinstance(event, balancing.AttemptFinished) and event.attempt == 0:
             return [balancing.SetTimer(NS_PER_MS, balancing.RetryTimer(event.request_id))]
         if isinstance(event, balancing.TimerFired) and isinstance(event.timer, balancing.RetryTimer):
-            disconnect(clients[0].sock, how)  # after the loop's last poll
+            disconnect(clients[0].sock, how)  # after the last poll of the event loop
             return [balancing.SendAttempt(event.timer.request_id, ENDPOINT_A, EXCESSIVE_TIMEOUT_NS)]
         return send_to_endpoint(event)
 
@@ -179,7 +181,8 @@
         connection = sidecar.server.accept_request()
         connection.sock.close()
         sidecar.wait_until(lambda: len(sidecar.balancer.attempt_results()) == 2)
-        while sidecar.loop.is_ready(sidecar.server.sock.fileno(), READABLE):  # connected at most
+        while sidecar.loop.is_ready(sidecar.server.sock.fileno(), READABLE):
+            # The retry may have connected, but must send nothing.
             assert sidecar.server.accept().read_to_end() == b""
 
     sidecar.run(script)
@@ -188,10 +191,10 @@
 
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
 @pytest.mark.parametrize("decided_on", [balancing.Request, balancing.ClientDisconnected])
-def test_attempt_decided_as_client_leaves_is_not_started(
+def test_attempt_decided_as_client_disconnects_is_not_started(
     decided_on: type[balancing.Event], how: str, sidecar: Sidecar
 ) -> None:
-    """The decision is queued before the client disconnects, so that its task is started all the same."""
+    """The decision is queued before the client disconnects, so that the task of the attempt starts anyway."""
 
     def decide(event: balancing.Event) -> list[balancing.Action]:
         if not isinstance(event, decided_on):
@@ -219,7 +222,7 @@
 
 
 def test_balancer_exception_gives_503_and_serves_next_request(sidecar: Sidecar) -> None:
-    """The request does not wait for its deadline, and no 502 says that it may have run."""
+    """The request does not wait for its deadline, and gets no 502, which means that it may have been processed."""
 
     def decide(event: balancing.Event) -> list[balancing.Action]:
         if isinstance(event, balancing.Request) and event.id == "1":
@@ -232,14 +235,14 @@
         started_ns = sidecar.loop.now()
         client.send(request("read", time_left_s=5.0))
         assert client.read().startswith(b"HTTP/1.1 503")
-        assert sidecar.loop.now() - started_ns < 4 * NS_PER_S, "it waited for its deadline"
+        assert sidecar.loop.now() - started_ns < 4 * NS_PER_S, "the request waited for its deadline"
         sidecar.serve(client, "r2")
 
     sidecar.run(script)
 
 
 def test_response_after_request_failed_is_not_sent(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The client receives the 502 that the counters have, although the attempt was served."""
+    """The client receives status 502, which the counters have recorded, although the attempt was served."""
     attempt_finished = Dispatcher.attempt_finished
 
     def fail_before_result(self: Dispatcher, pending: PendingRequest, number: int, *arguments: Any) -> bool:
