--- a/tests/dispatch/test_hedged_streams.py
+++ b/tests/dispatch/test_hedged_streams.py
@@ -1,4 +1,4 @@
-"""Two attempts of one request, with streamed responses: the client receives one response, of one attempt."""
+"""Hedged requests with streamed responses: the client receives exactly one response, from one of the attempts."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 )
 from tests.fakes import ENDPOINT_A, MAX_WAIT_NS, Sidecar, disconnect, request
 
-RESET = None
-"""In place of the attempt whose response is expected: the client sees a reset, as the response is truncated."""
+TRUNCATED_BY_RESET = None
+"""Stands for the serving attempt if there is none: the response is truncated, and the client sees a reset."""
 
 Scenario = Callable[[HedgedRequest], None]
 
@@ -113,23 +113,25 @@
         (second_is_reset_during_stream, 0),
         (both_stream, 1),
         (stream_starts_after_response, 1),
-        (stream_truncated_as_second_responds, RESET),
-        (stream_truncated_after_first_responded, RESET),
+        (stream_truncated_as_second_responds, TRUNCATED_BY_RESET),
+        (stream_truncated_after_first_responded, TRUNCATED_BY_RESET),
         (stream_reset_within_its_head, 1),
     ],
 )
 def test_hedged_request_gets_one_complete_response(
     scenario: Scenario, served_by: int | None, framing: str, sidecar: Sidecar
 ) -> None:
-    """The response is complete and of one attempt, or truncated by a reset."""
+    """The response comes from one attempt, and it is either complete or truncated by a reset."""
 
     def script() -> None:
         hedged = start_hedged_request(sidecar, framing)
         scenario(hedged)
         response = hedged.response()
-        if served_by is RESET:
+        if served_by is TRUNCATED_BY_RESET:
             assert response.was_reset, "the truncated body looks complete"
-            assert len(set(response.data.partition(b"\r\n\r\n")[2]) & set(b"ab")) == 1, "bytes of two attempts"
+            assert len(set(response.data.partition(b"\r\n\r\n")[2]) & set(b"ab")) == 1, (
+                "the response has bytes of two attempts"
+            )
         else:
             assert set(response.body()) == set(body_of(served_by))
         hedged.wait_for_finished_attempts(2)
@@ -137,12 +139,12 @@
 
     sidecar.run(script)
     counts = sidecar.dispatcher.request_counts()
-    assert (counts["served"], counts["failed"]) == ((0, 1) if served_by is RESET else (1, 0))
+    assert (counts["served"], counts["failed"]) == ((0, 1) if served_by is TRUNCATED_BY_RESET else (1, 0))
 
 
 @pytest.mark.parametrize("framing", FRAMINGS)
 def test_response_and_stream_in_one_poll_give_one_response(framing: str, sidecar: Sidecar) -> None:
-    """Either attempt may win; the client receives no byte of the other."""
+    """Either attempt may serve the request; the client receives no byte of the other one."""
 
     def script() -> None:
         hedged = start_hedged_request(sidecar, framing)
@@ -157,7 +159,7 @@
 
 
 def test_claimed_stream_cancels_other_attempt(sidecar: Sidecar) -> None:
-    """The endpoint of the other attempt must not work for a response that nobody can receive."""
+    """Otherwise the endpoint of the other attempt would work on a response that no client can receive."""
 
     def script() -> None:
         hedged = start_hedged_request(sidecar)
@@ -171,7 +173,7 @@
 
 
 def test_attempt_connecting_as_stream_is_claimed_is_not_sent(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A hedge whose connection is established after the response started writes no request."""
+    """A hedge whose connection is established after the response has started does not write the request."""
     connect = UpstreamConnection.connect
     may_connect = Event(sidecar.loop)
     connecting: list[UpstreamConnection] = []
@@ -191,7 +193,7 @@
         start_stream(connection, 0, "length")
         received = read_response(client, STREAMED_PREFIX_BYTES).data
         may_connect.set()
-        assert sidecar.server.accept().read_to_end() == b"", "written after the response had started"
+        assert sidecar.server.accept().read_to_end() == b"", "the hedge was written after the response had started"
         finish_stream(connection, 0, "length")
         assert read_remaining(client, received).body() == body_of(0)
 
@@ -201,9 +203,9 @@
 
 
 def test_attempt_decided_as_stream_is_claimed_is_not_started(sidecar: Sidecar) -> None:
-    """No connection is opened for an attempt that is decided on when the response has started."""
+    """No connection is opened for an attempt that the balancer decides on after the response has started."""
 
-    def hedge_the_stream(event: balancing.Event) -> list[balancing.Action]:
+    def hedge_after_response_start(event: balancing.Event) -> list[balancing.Action]:
         if isinstance(event, (balancing.Request, balancing.ResponseStarted)):
             request_id = event.id if isinstance(event, balancing.Request) else event.request_id
             return [balancing.SendAttempt(request_id, ENDPOINT_A, 5_000 * NS_PER_MS)]
@@ -211,7 +213,7 @@
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
-        sidecar.balancer.decide = hedge_the_stream
+        sidecar.balancer.decide = hedge_after_response_start
         client = sidecar.client(address)
         client.send(request("read"))
         connection = sidecar.server.accept_request()
@@ -226,7 +228,7 @@
 
 
 def test_partly_written_stream_head_resets_the_client(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The other attempt's response must not follow, as part of the first head may have been sent."""
+    """The other attempt's response must not follow, because part of the first head may have been sent."""
     write = DownstreamConnection.write
 
     def write_partly_and_fail(self: DownstreamConnection, data: bytes | memoryview) -> bool:
@@ -241,7 +243,7 @@
         hedged.respond(1)
         response = read_response(hedged.client)
         assert response.was_reset
-        assert response.data in (b"", b"HTTP/1.1 200 OK\r\nCon")  # a reset may discard what was not read
+        assert response.data in (b"", b"HTTP/1.1 200 OK\r\nCon")  # a reset may discard bytes that were not read
         hedged.wait_for_finished_attempts(2)
 
     sidecar.run(script)
@@ -250,14 +252,14 @@
 
 @pytest.mark.parametrize("framing", FRAMINGS)
 def test_half_close_during_stream_truncates_by_reset(framing: str, sidecar: Sidecar) -> None:
-    """An orderly close would let a body without a length pass for complete."""
+    """After an orderly close, a truncated body without a length would look complete."""
 
     def script() -> None:
         hedged = start_hedged_request(sidecar, framing)
         hedged.start_stream(0)
         hedged.client.sock.shutdown(socket.SHUT_WR)
         rest = read_response(hedged.client)
-        assert rest.was_reset, f"an orderly end after {len(hedged.received) + len(rest.data)} bytes"
+        assert rest.was_reset, f"the connection was closed after {len(hedged.received) + len(rest.data)} bytes"
         hedged.wait_for_finished_attempts(2)
 
     sidecar.run(script)
