--- a/tests/dispatch/test_service_times.py
+++ b/tests/dispatch/test_service_times.py
@@ -1,4 +1,4 @@
-"""The moving averages of the durations of served attempts."""
+"""Tests of the moving averages of the durations of served attempts."""
 
 from __future__ import annotations
 
--- a/tests/dispatch/test_truncated_streams.py
+++ b/tests/dispatch/test_truncated_streams.py
@@ -1,4 +1,4 @@
-"""Long responses that are truncated, stall or are too long, before the sidecar streams them and at their end."""
+"""Long responses that are truncated or stall before they are streamed, or that are followed by further bytes."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def retry_once(event: balancing.Event) -> list[balancing.Action]:
-    """Send each request, retry it once where that failed, and then fail it."""
+    """Send each request; retry it once if its attempt was not served, and fail it if the retry was not served."""
     if isinstance(event, balancing.Request):
         return [balancing.SendAttempt(event.id, ENDPOINT_A, event.time_left_ns)]
     if isinstance(event, balancing.AttemptFinished) and not event.request_finished:
@@ -32,12 +32,12 @@
 
 @pytest.mark.parametrize(
     ("framing", "how"),
-    # A body without length or chunks that ends by a close looks complete.
+    # A body without a length or chunks that is truncated by a close would look complete.
     [("length", "close"), ("length", "reset"), ("chunked", "close"), ("chunked", "reset"), ("until close", "reset")],
 )
 @pytest.mark.parametrize("body_bytes", [0, 1, 60_000])
 def test_body_truncated_while_buffered_is_retried(body_bytes: int, framing: str, how: str, sidecar: Sidecar) -> None:
-    """Nothing of it has reached the client, so that another attempt can serve the request."""
+    """No byte of the body has been sent to the client, so that another attempt can serve the request."""
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize("framing", FRAMINGS)
 def test_body_stalled_while_buffered_fails_at_deadline(framing: str, sidecar: Sidecar) -> None:
-    """The request's deadline ends the attempt, and the client receives a 502."""
+    """The deadline of the request ends the attempt, and the client receives a response with status 502."""
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
@@ -77,7 +77,7 @@
 
 @pytest.mark.parametrize("framing", ["length", "chunked"])
 def test_bytes_after_streamed_body_are_discarded(framing: str, sidecar: Sidecar) -> None:
-    """Neither this client nor the next request on the upstream connection, which is closed, receives them."""
+    """The client does not receive them, and the upstream connection is closed, so that no other request does."""
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
