--- a/tests/overload/test_admission.py
+++ b/tests/overload/test_admission.py
@@ -1,4 +1,4 @@
-"""The admission controller: shedding order, start and end of shedding, and the measurements."""
+"""Tests of the admission controller: the shedding order, when shedding starts and ends, and the measurements."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from lugtally.overload.shedding_order import SheddingOrder
 from lugtally.units import NS_PER_MS
 
-HYPOTHESIS_SEED = 1  # fixed: by default the examples change whenever the source of a test does
+HYPOTHESIS_SEED = 1  # fixed, because otherwise the examples would change whenever the source of a test does
 
 READ, PLEDGE, RECEIPT = range(3)
 CLASSES = (
@@ -35,17 +35,17 @@
 
 
 class CheckedRequests(NamedTuple):
-    """The result of checking requests for some time."""
+    """When a series of requests ended, and which of them were admitted."""
 
     end_ns: int
     admitted: list[list[bool]]
-    """By class, whether each request was admitted."""
+    """For each class, whether each of its requests was admitted."""
 
 
 def send_requests(
     admission: AdmissionController, start_ns: int, duration_ns: int, delay_ns: int, interval_ns: int = NS_PER_MS
 ) -> CheckedRequests:
-    """Check requests of all classes under a constant delay."""
+    """Check one request of each class per interval, all with the same delay."""
     admitted: list[list[bool]] = [[], [], []]
     now_ns = start_ns
     while now_ns < start_ns + duration_ns:
@@ -56,21 +56,21 @@
 
 
 def test_short_delays_shed_nothing(admission: AdmissionController) -> None:
-    """A burst that the sidecar can process is not an overload."""
+    """A burst that the sidecar can process is no overload, and neither is a single long turn of the event loop."""
     now_ns, admitted = send_requests(admission, 0, 2000 * NS_PER_MS, 4 * NS_PER_MS)
-    for _ in range(20):  # single long turns, such as those with a garbage collection
+    for _ in range(20):  # single long turns of the event loop, such as those with a garbage collection
         admission.check(now_ns, READ, TIME_LEFT_NS, 40 * NS_PER_MS, 0.0)
         now_ns, more = send_requests(admission, now_ns, 100 * NS_PER_MS, 2 * NS_PER_MS)
         admitted = [earlier + later for earlier, later in zip(admitted, more, strict=True)]
-    assert all(all(of_class) for of_class in admitted)
+    assert all(all(class_admitted) for class_admitted in admitted)
     assert not admission.is_shedding
 
 
 def test_standing_delay_sheds_reads_first_and_receipts_last(admission: AdmissionController) -> None:
     normal = send_requests(admission, 0, 100 * NS_PER_MS, 2 * NS_PER_MS)
     delayed = send_requests(admission, normal.end_ns, 600 * NS_PER_MS, 60 * NS_PER_MS)
-    shares = [sum(of_class) / len(of_class) for of_class in delayed.admitted]
-    assert shares[READ] < shares[PLEDGE] < shares[RECEIPT] or shares[READ] < 0.2
+    admitted_shares = [sum(class_admitted) / len(class_admitted) for class_admitted in delayed.admitted]
+    assert admitted_shares[READ] < admitted_shares[PLEDGE] < admitted_shares[RECEIPT] or admitted_shares[READ] < 0.2
     assert admission.is_shedding
     assert admission.shed_counts[ShedReason.DELAY] > 0
     still_delayed = send_requests(admission, delayed.end_ns, 1500 * NS_PER_MS, 60 * NS_PER_MS)
@@ -79,7 +79,7 @@
     # All requests are admitted again within a second after the delay has ended.
     recovering = send_requests(admission, still_delayed.end_ns, 1000 * NS_PER_MS, 0)
     recovered = send_requests(admission, recovering.end_ns, 100 * NS_PER_MS, 0)
-    assert all(all(of_class) for of_class in recovered.admitted)
+    assert all(all(class_admitted) for class_admitted in recovered.admitted)
     assert not admission.is_shedding
 
 
@@ -125,9 +125,9 @@
 @hypothesis_seed(HYPOTHESIS_SEED)
 @settings(max_examples=80, deadline=None, derandomize=True)
 @given(st.lists(st.integers(0, 2), min_size=1, max_size=300), st.floats(0, 1))
-def test_class_shed_fractions_add_up_to_the_shed_fraction(stream: list[int], shed_fraction: float) -> None:
+def test_class_shed_fractions_add_up_to_the_shed_fraction(class_indices: list[int], shed_fraction: float) -> None:
     order = SheddingOrder(CLASSES)
-    for number, class_index in enumerate(stream):
+    for number, class_index in enumerate(class_indices):
         order.record_request(number * 50 * NS_PER_MS, class_index)
     shares = [order._ranges[class_index].high - order._ranges[class_index].low for class_index in range(3)]
     assert sum(shares) == pytest.approx(1.0)
@@ -140,19 +140,19 @@
 
 def test_retry_after_has_jitter_and_grows_with_shed_fraction() -> None:
     admission = AdmissionController(CLASSES, OverloadLimits(max_retry_after_ns=2000 * NS_PER_MS), 1, 0)
-    quiet = [admission.retry_after_ns() for _ in range(200)]
+    unloaded = [admission.retry_after_ns() for _ in range(200)]
     admission.shed_fraction = 0.9
-    busy = [admission.retry_after_ns() for _ in range(200)]
-    assert min(quiet) >= 50 * NS_PER_MS
-    assert max(quiet) <= 150 * NS_PER_MS
-    assert len(set(quiet)) > 150
-    assert min(busy) > 5 * max(quiet)
-    assert max(busy) <= 2000 * NS_PER_MS
+    overloaded = [admission.retry_after_ns() for _ in range(200)]
+    assert min(unloaded) >= 50 * NS_PER_MS
+    assert max(unloaded) <= 150 * NS_PER_MS
+    assert len(set(unloaded)) > 150
+    assert min(overloaded) > 5 * max(unloaded)
+    assert max(overloaded) <= 2000 * NS_PER_MS
     assert AdmissionController(CLASSES, OverloadLimits(), 1, 0).retry_after_ns() == 0, "responses without Retry-After"
 
 
 def test_shed_fraction_decays_while_idle(admission: AdmissionController) -> None:
-    """Regression: each update of an idle controller counted one empty period, so that the next requests were shed."""
+    """Regression: an update of an idle controller counted only one empty period, so that later requests were shed."""
     overload = send_requests(admission, 0, 2500 * NS_PER_MS, 60 * NS_PER_MS)
     assert admission.shed_fraction > 0.9
     for tick in range(1, 11):
