--- a/tests/overload/test_sockets.py
+++ b/tests/overload/test_sockets.py
@@ -1,4 +1,4 @@
-"""Overload protection of a real sidecar: a flood on a starved core, and health checks in a tight loop."""
+"""Tests of a real sidecar under overload: too many requests for a starved core, and health checks in a tight loop."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from lugtally.testbed.verification.records import ClientAttempt, Record, ServerAttempt
 from tests.integration.player import Player
 
-FLOOD = """
+FLOOD_SCENARIO = """
 name = "flood"
 about = "More load than a starved core can process, from clients that retry immediately."
 length_s = 6
@@ -59,7 +59,7 @@
 for_s = 3
 size = 0.75
 """
-OPERATOR_FILE = "[overload]\nenabled = true\n"
+OPERATOR_FILE_TEXT = "[overload]\nenabled = true\n"
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,29 +71,29 @@
 
 
 @pytest.fixture(scope="module")
-def flooded(tmp_path_factory: pytest.TempPathFactory) -> FloodRun:
+def flood_run(tmp_path_factory: pytest.TempPathFactory) -> FloodRun:
     folder = tmp_path_factory.mktemp("flood")
-    (folder / "operator.toml").write_text(OPERATOR_FILE)
+    (folder / "operator.toml").write_text(OPERATOR_FILE_TEXT)
     run = runner.Run(
-        scenario_file.decode(FLOOD, "flood.toml"), 2, folder=folder / "run", operator=folder / "operator.toml"
+        scenario_file.decode(FLOOD_SCENARIO, "flood.toml"), 2, folder=folder / "run", operator=folder / "operator.toml"
     )
     report = run.play()
     return FloodRun(report, event_log.read_records([folder / "run" / name for name in ("load.jsonl", "world.jsonl")]))
 
 
-def test_flood_on_starved_core_violates_no_rule_on_effects(flooded: FloodRun) -> None:
-    """Late responses depend on the machine; requests that run twice do not."""
-    report, records = flooded.report, flooded.records
-    wrong = {violation.name for violation in report.findings.violations if violation.rule != 1}
-    assert not wrong, report.reasons
+def test_flood_on_starved_core_violates_no_rule_on_effects(flood_run: FloodRun) -> None:
+    """Rule 1 (responses) is left out: late responses depend on the machine, requests processed twice do not."""
+    report, records = flood_run.report, flood_run.records
+    violations = {violation.name for violation in report.findings.violations if violation.rule != 1}
+    assert not violations, report.reasons
     assert "sidecar-crashed" not in report.violations_by_name, report.reasons
     receipts = [record for record in records if isinstance(record, ServerAttempt) and record.had_effect]
     assert len(receipts) > 500
     assert len({receipt.request_id for receipt in receipts}) == len(receipts)
 
 
-def test_shed_request_has_one_response_and_was_never_sent(flooded: FloodRun) -> None:
-    report, records = flooded.report, flooded.records
+def test_shed_request_has_one_response_and_was_never_sent(flood_run: FloodRun) -> None:
+    report, records = flood_run.report, flood_run.records
     attempts = [record for record in records if isinstance(record, ClientAttempt)]
     assert not [attempt for attempt in attempts if attempt.duplicate_response or attempt.outcome == "foreign"]
     assert report.verdict != Verdict.BROKEN or set(report.violations_by_name) <= {"late", "dropped"}
@@ -101,7 +101,7 @@
         record.request_id for record in records if isinstance(record, ServerAttempt) and record.outcome != "turned-away"
     }
     shed = [attempt for attempt in attempts if attempt.outcome == "refused"]
-    classes = scenario_file.decode(FLOOD, "flood.toml").classes
+    classes = scenario_file.decode(FLOOD_SCENARIO, "flood.toml").classes
     receipt_index = [request_class.name for request_class in classes].index("receipt-issue")
     assert not [attempt for attempt in shed if attempt.request_id in sent and attempt.class_index == receipt_index]
 
@@ -111,11 +111,11 @@
     counts = [0] * 4
     try:
         player.do_serve()
-        until = time.monotonic() + 1.5
+        end_s = time.monotonic() + 1.5
 
         def check_health(number: int) -> None:
             connection = player.connection(f"h{number}")
-            while time.monotonic() < until:
+            while time.monotonic() < end_s:
                 connection.sendall(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
                 assert connection.recv(4096).startswith(b"HTTP/1.1 200")
                 counts[number] += 1
@@ -127,5 +127,5 @@
             thread.join()
     finally:
         player.end()
-    assert min(counts) >= 10, "each connection must get responses"
-    assert sum(counts) <= 3 * 200 + 4 * 1.5 * 25, "without a limit, 4 connections complete thousands"
+    assert min(counts) >= 10, "a connection got too few responses"
+    assert sum(counts) <= 3 * 200 + 4 * 1.5 * 25, "without a limit, 4 connections would complete thousands"
