--- a/tests/upstream/conftest.py
+++ b/tests/upstream/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of this folder."""
+"""Fixtures of the upstream tests."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @pytest.fixture
 def sidecar() -> Sidecar:
-    """A sidecar whose pool knows the fake server as its one endpoint."""
+    """Return a sidecar whose pool has the fake server as its only endpoint."""
     sidecar = Sidecar()
     sidecar.upstream.set_address(ENDPOINT, sidecar.server.address)
     return sidecar
--- a/tests/upstream/pool_harness.py
+++ b/tests/upstream/pool_harness.py
@@ -1,4 +1,4 @@
-"""Attempts of an upstream pool without a dispatcher, and changes that are forced while an attempt waits."""
+"""Helpers for tests of the upstream pool: attempts without a dispatcher, and changes while an attempt waits."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 def start_attempt(
     sidecar: Sidecar, results: list[FinishedAttempt], message: Message | None = None, **options: Any
 ) -> Task:
-    """Start an attempt as a task; its response is appended to ``results``."""
+    """Start an attempt as a task, which appends the finished attempt to ``results``."""
 
     def run() -> None:
         deadline_ns = sidecar.loop.now() + ATTEMPT_TIMEOUT_NS
@@ -31,8 +31,8 @@
     return sidecar.loop.spawn(run)
 
 
-def idle_peers(sidecar: Sidecar, count: int) -> list[PeerConnection]:
-    """Open idle connections in the pool; return the endpoint's sides, the longest idle first."""
+def open_idle_connections(sidecar: Sidecar, count: int) -> list[PeerConnection]:
+    """Make the pool open connections and leave them idle; return the endpoint's ends, the longest idle first."""
     results: list[FinishedAttempt] = []
     peers = []
     for _ in range(count):
@@ -46,7 +46,7 @@
 
 
 def change_at_wait(sidecar: Sidecar, patch: pytest.MonkeyPatch, is_due: Callable[[int], bool], change: Change) -> None:
-    """Call ``change`` at the start of the first wait for whose poll events ``is_due`` holds."""
+    """Call ``change`` once: at the start of the first wait for which ``is_due`` returns true for its poll events."""
     loop_wait = sidecar.loop.wait
     changed: list[bool] = []
 
@@ -59,29 +59,30 @@
     patch.setattr(sidecar.loop, "wait", wait)
 
 
-def change_as_it_settles(sidecar: Sidecar, patch: pytest.MonkeyPatch, change: Change) -> None:
+def change_while_settling(sidecar: Sidecar, patch: pytest.MonkeyPatch, change: Change) -> None:
     """Call ``change`` when an attempt starts to wait until its connection has settled."""
     change_at_wait(sidecar, patch, lambda _: ENDPOINT in sidecar.upstream._settling, change)
 
 
-def stoppable_clock(sidecar: Sidecar, patch: pytest.MonkeyPatch) -> Callable[[int], None]:
-    """Return a function that advances the clock, as if the process had been stopped for that long."""
+def patch_clock(sidecar: Sidecar, patch: pytest.MonkeyPatch) -> Callable[[int], None]:
+    """Return a function that advances the clock by some nanoseconds, as if the process had been suspended that long."""
     now = sidecar.loop.now
-    stopped_ns: list[int] = []
-    patch.setattr(sidecar.loop, "now", lambda: now() + sum(stopped_ns))
-    return stopped_ns.append
+    advanced_ns: list[int] = []
+    patch.setattr(sidecar.loop, "now", lambda: now() + sum(advanced_ns))
+    return advanced_ns.append
 
 
 def change_during_attempt(
     sidecar: Sidecar, patch: pytest.MonkeyPatch, waits_for: str, change: Change, results: list[FinishedAttempt]
 ) -> PeerConnection:
-    """Start an attempt and call ``change`` while it waits; return the endpoint's side of its first connection.
+    """Start an attempt and call ``change`` while it waits; return the endpoint's end of its first connection.
 
-    ``waits_for`` is "settling", of an idle connection, or "connecting".
+    ``waits_for`` is "settling" (the attempt waits until an idle connection has settled) or "connecting" (it waits until
+    a new connection is established).
     """
     if waits_for == "settling":
-        peer = idle_peers(sidecar, 1)[0]
-        change_as_it_settles(sidecar, patch, change)
+        peer = open_idle_connections(sidecar, 1)[0]
+        change_while_settling(sidecar, patch, change)
         start_attempt(sidecar, results)
         return peer
     change_at_wait(sidecar, patch, lambda poll_events: poll_events != READABLE, change)
--- a/tests/upstream/test_pool_races.py
+++ b/tests/upstream/test_pool_races.py
@@ -20,11 +20,11 @@
 from tests.upstream.pool_harness import (
     ATTEMPT_TIMEOUT_NS,
     ENDPOINT,
-    change_as_it_settles,
     change_during_attempt,
-    idle_peers,
+    change_while_settling,
+    open_idle_connections,
+    patch_clock,
     start_attempt,
-    stoppable_clock,
 )
 
 LONG_SETTLE_NS = 5 * NS_PER_S
@@ -64,7 +64,7 @@
     results: list[FinishedAttempt] = []
 
     def script() -> None:
-        settling, other = idle_peers(sidecar, 2)
+        settling, other = open_idle_connections(sidecar, 2)
         descriptor = pool_descriptor(other)
         start_attempt(sidecar, results)
         sidecar.wait_until(lambda: ENDPOINT in sidecar.upstream._settling)
@@ -94,7 +94,7 @@
     results: list[FinishedAttempt] = []
 
     def script() -> None:
-        peers = idle_peers(sidecar, 3)
+        peers = open_idle_connections(sidecar, 3)
         settling = peers[0]
         start_attempt(sidecar, results)
         sidecar.wait_until(lambda: ENDPOINT in sidecar.upstream._settling)
@@ -206,11 +206,11 @@
 def test_connection_expired_while_settling_is_not_used(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> None:
     """The process is stopped while it waits for the connection, and the endpoint closes it meanwhile."""
     sidecar.limits.idle_timeout_ns = 2 * NS_PER_S
-    stop_for = stoppable_clock(sidecar, monkeypatch)
+    advance_clock = patch_clock(sidecar, monkeypatch)
     results: list[FinishedAttempt] = []
 
     def script() -> None:
-        old = change_during_attempt(sidecar, monkeypatch, "settling", lambda: stop_for(3 * NS_PER_S), results)
+        old = change_during_attempt(sidecar, monkeypatch, "settling", lambda: advance_clock(3 * NS_PER_S), results)
         assert old.read_to_end() == b""
         new = sidecar.server.accept_request()
         new.respond()
@@ -228,7 +228,7 @@
     release = sidecar.upstream._release
 
     def script() -> None:
-        peer = idle_peers(sidecar, 1)[0]
+        peer = open_idle_connections(sidecar, 1)[0]
 
         def send_late_and_interrupt() -> None:
             peer.send(b"late")
@@ -238,7 +238,7 @@
             release(*arguments)
             open_connections.append(sidecar.upstream.open_connections)
 
-        change_as_it_settles(sidecar, monkeypatch, send_late_and_interrupt)
+        change_while_settling(sidecar, monkeypatch, send_late_and_interrupt)
         monkeypatch.setattr(sidecar.upstream, "_release", release_and_count)
         task = start_attempt(sidecar, results)
         sidecar.wait_until(lambda: bool(results))
@@ -253,7 +253,7 @@
     """The peer's end and the pool's own close are handled in one poll, in either order."""
 
     def script() -> None:
-        first, second = idle_peers(sidecar, 2)
+        first, second = open_idle_connections(sidecar, 2)
         first.sock.close()
         second.sock.close()
         sidecar.upstream.close_idle_connections(ENDPOINT)
@@ -298,7 +298,7 @@
         other_outcomes.append(sidecar.upstream.execute_attempt(other_endpoint, request, deadline_ns).outcome.name)
 
     def script() -> None:
-        settling, idle = idle_peers(sidecar, 2)
+        settling, idle = open_idle_connections(sidecar, 2)
         start_attempt(sidecar, results)
         sidecar.wait_until(lambda: ENDPOINT in sidecar.upstream._settling)
         sidecar.loop.spawn(attempt_at_other)
--- a/tests/upstream/test_request_writing.py
+++ b/tests/upstream/test_request_writing.py
@@ -13,8 +13,7 @@
 from lugtally.upstream import FinishedAttempt, attempt
 from lugtally.upstream.connection import UpstreamConnection
 from tests.fakes import PeerConnection, Sidecar
-from tests.upstream.pool_harness import ATTEMPT_TIMEOUT_NS, change_at_wait, start_attempt
-from tests.upstream.pool_harness import stoppable_clock as make_stoppable_clock
+from tests.upstream.pool_harness import ATTEMPT_TIMEOUT_NS, change_at_wait, patch_clock, start_attempt
 
 LONG_HEAD = Message("GET", "/", headers=[("X-Pad", "x" * 200_000)])
 LONG_BODY = Message("POST", "/", body=bytes(200_000))
@@ -50,7 +49,7 @@
     sidecar: Sidecar, started_writes: list[bool], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The wait is within the head, before the header is written."""
-    stop_for = make_stoppable_clock(sidecar, monkeypatch)
+    advance_clock = patch_clock(sidecar, monkeypatch)
     results: list[FinishedAttempt] = []
     time_left_headers: list[str] = []
 
@@ -59,7 +58,7 @@
             sidecar,
             monkeypatch,
             lambda poll_events: bool(poll_events & WRITABLE and started_writes),
-            lambda: stop_for(3 * NS_PER_S),
+            lambda: advance_clock(3 * NS_PER_S),
         )
         start_attempt(sidecar, results, LONG_HEAD)
         peer = sidecar.server.accept()
@@ -81,7 +80,7 @@
     message: Message, sidecar: Sidecar, started_writes: list[bool], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The process is stopped while it waits to write, and the endpoint has read meanwhile."""
-    stop_for = make_stoppable_clock(sidecar, monkeypatch)
+    advance_clock = patch_clock(sidecar, monkeypatch)
     results: list[FinishedAttempt] = []
     peers: list[PeerConnection] = []
     received_in_time: list[bytes] = []
@@ -89,7 +88,7 @@
     def read_and_exceed_deadline() -> None:
         peers.append(PeerConnection(sidecar.loop, sidecar.server.sock.accept()[0]))
         received_in_time.append(read_available(peers[0]))
-        stop_for(ATTEMPT_TIMEOUT_NS)
+        advance_clock(ATTEMPT_TIMEOUT_NS)
 
     def script() -> None:
         change_at_wait(
--- a/tests/upstream/test_unexpected_responses.py
+++ b/tests/upstream/test_unexpected_responses.py
@@ -12,7 +12,7 @@
 from lugtally.units import NS_PER_MS
 from lugtally.upstream import FinishedAttempt
 from tests.fakes import MAX_WAIT_NS, PeerConnection, Sidecar, disconnect
-from tests.upstream.pool_harness import change_at_wait, idle_peers, start_attempt
+from tests.upstream.pool_harness import change_at_wait, open_idle_connections, start_attempt
 
 STALE = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale"
 LONG_REQUEST = Message("POST", "/", body=bytes(64 * 1024 * 1024))
@@ -24,7 +24,7 @@
     results: list[FinishedAttempt] = []
 
     def script() -> None:
-        peer = idle_peers(sidecar, 1)[0]
+        peer = open_idle_connections(sidecar, 1)[0]
         stale_responses = [STALE]
 
         def may_proceed() -> bool:
