--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -1,4 +1,4 @@
-"""The upstream pool: attempts that must not be sent, connections that must not be reused, load reports."""
+"""Tests of the upstream pool: attempts that must not be sent, connections that must not be reused, load reports."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 
 @pytest.fixture
 def server() -> Iterator[socket.socket]:
-    """The listening socket of endpoint 1."""
+    """Return the listening socket of endpoint 1."""
     with listener() as sock:
         yield sock
 
 
 def get_request() -> ForwardedRequest:
-    """A request without a body."""
+    """Return a request without a body."""
     return ForwardedRequest(Message("GET", "/"))
 
 
-def pool_for(loop: EventLoop, server: socket.socket, limits: ConnectionLimits) -> UpstreamPool:
+def pool_with_endpoint(loop: EventLoop, server: socket.socket, limits: ConnectionLimits) -> UpstreamPool:
     """Return a pool in which ``server`` is endpoint 1."""
     upstream = UpstreamPool(loop, limits, ())
     upstream.set_address(1, server.getsockname())
@@ -40,7 +40,7 @@
 
 
 def test_attempt_is_not_written_after_its_deadline(loop: EventLoop, server: socket.socket) -> None:
-    upstream = pool_for(loop, server, ConnectionLimits(1000 * NS_PER_MS, 1000 * NS_PER_MS, 9))
+    upstream = pool_with_endpoint(loop, server, ConnectionLimits(1000 * NS_PER_MS, 1000 * NS_PER_MS, 9))
     outcomes: list[AttemptOutcome] = []
 
     def attempt() -> None:
@@ -65,8 +65,8 @@
 def test_truncated_request_is_not_sent(
     event: str, outcome: AttemptOutcome, loop: EventLoop, server: socket.socket
 ) -> None:
-    """The request exceeds every socket buffer and the endpoint does not read, so the write blocks until the event."""
-    upstream = pool_for(loop, server, ConnectionLimits(60_000 * NS_PER_MS, 60_000 * NS_PER_MS, 1))
+    """The request exceeds all socket buffers and the endpoint does not read, so the write waits until the event."""
+    upstream = pool_with_endpoint(loop, server, ConnectionLimits(60_000 * NS_PER_MS, 60_000 * NS_PER_MS, 1))
     large_request = ForwardedRequest(Message("POST", "/", body=bytes(64 * 1024 * 1024)))
     outcomes: list[AttemptOutcome] = []
 
@@ -75,19 +75,19 @@
         outcomes.append(upstream.execute_attempt(1, large_request, deadline_ns)[0])
         loop.stop()
 
-    def end_the_writing() -> None:
+    def end_write_by_event() -> None:
         peer, _ = server.accept()
         loop.sleep(50 * NS_PER_MS)
         outcomes.append(upstream.execute_attempt(1, large_request, loop.now() + NS_PER_MS)[0])
         if event == "interrupt":
             loop.interrupt(task)
         elif event == "reset":
-            peer.close()  # unread bytes cause a reset
+            peer.close()  # resets the connection, because there are unread bytes
         loop.sleep(60_000 * NS_PER_MS)
         peer.close()
 
     task = loop.spawn(attempt)
-    loop.spawn(end_the_writing)
+    loop.spawn(end_write_by_event)
     loop.run(lambda: None)
     assert outcomes == [AttemptOutcome.NO_DESCRIPTOR, outcome]
     assert upstream.open_connections == 0
@@ -97,8 +97,8 @@
 def test_surplus_bytes_are_not_read_as_the_next_response(
     pause_s: float, loop: EventLoop, server: socket.socket
 ) -> None:
-    """A duplicate response that arrived just after the first used to be served to the next client."""
-    upstream = pool_for(loop, server, ConnectionLimits(1000 * NS_PER_MS, 60_000 * NS_PER_MS, 9))
+    """Regression: a duplicate response that arrived just after the first was sent to the next client."""
+    upstream = pool_with_endpoint(loop, server, ConnectionLimits(1000 * NS_PER_MS, 60_000 * NS_PER_MS, 9))
     bodies: list[bytes] = []
 
     def serve_twice() -> None:
@@ -125,9 +125,12 @@
 
 
 def test_connection_near_its_idle_timeout_is_not_reused(loop: EventLoop, server: socket.socket) -> None:
-    """Expired connections used to be closed only once a second, so that requests met the endpoint's close."""
+    """Regression: expired connections were closed only once a second, so that an endpoint could close them first.
+
+    A request that was sent at that moment was reset.
+    """
     limits = ConnectionLimits(1000 * NS_PER_MS, safe_idle_timeout_ns(50 * NS_PER_MS), 9)
-    upstream = pool_for(loop, server, limits)
+    upstream = pool_with_endpoint(loop, server, limits)
     accepted: list[socket.socket] = []
     outcomes: list[AttemptOutcome] = []
 
