--- a/tests/upstream/test_pool_races.py
+++ b/tests/upstream/test_pool_races.py
@@ -1,4 +1,4 @@
-"""Races of the upstream pool: it changes while an attempt waits for one of its connections."""
+"""Races of the upstream pool: the pool changes while an attempt waits for one of its connections."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def pool_descriptor(peer: PeerConnection) -> int:
-    """Return the descriptor of the pool's end of a connection, found by the address that its peer sees."""
+    """Return the descriptor of the pool's end of a connection, which is found by its local address."""
     for entry in list(Path("/proc/self/fd").iterdir()):
         try:
             with socket.socket(fileno=os.dup(int(entry.name))) as sock:
@@ -47,18 +47,21 @@
     sidecar.upstream.set_address(ENDPOINT, sidecar.second_discovery.address)
 
 
-CLOSES: dict[str, Callable[[Sidecar], None]] = {
+POOL_CHANGES: dict[str, Callable[[Sidecar], None]] = {
     "idle connections closed": lambda sidecar: sidecar.upstream.close_idle_connections(ENDPOINT),
     "endpoint removed": lambda sidecar: sidecar.upstream.remove(ENDPOINT),
     "endpoint moved": move_endpoint,
 }
 
 
-@pytest.mark.parametrize("close", CLOSES.values(), ids=CLOSES)
+@pytest.mark.parametrize("close", POOL_CHANGES.values(), ids=POOL_CHANGES)
 def test_reused_descriptor_keeps_its_new_owner(
     close: Callable[[Sidecar], None], sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The pool closes a settling connection, and its neighbour's descriptor number is reused at once."""
+    """The pool closes an idle connection while another one settles; the closed one's descriptor is reused at once.
+
+    The new owner of the descriptor must still be woken by its events.
+    """
     monkeypatch.setattr(pool, "SETTLE_NS", LONG_SETTLE_NS)
     wake_reasons: list[WakeReason] = []
     results: list[FinishedAttempt] = []
@@ -70,11 +73,11 @@
         sidecar.wait_until(lambda: ENDPOINT in sidecar.upstream._settling)
         new_owner, sender = socket.socketpair()
         close(sidecar)
-        os.dup2(new_owner.fileno(), descriptor)  # as if the next socket had been given this number
+        os.dup2(new_owner.fileno(), descriptor)  # as if the next socket had got this descriptor
         deadline_ns = sidecar.loop.now() + MAX_WAIT_NS
         sidecar.loop.spawn(lambda: wake_reasons.append(sidecar.loop.wait(descriptor, READABLE, deadline_ns)))
         sidecar.loop.sleep(0)
-        settling.send(b"late")  # so that the attempt chooses another connection
+        settling.send(b"late")  # makes the attempt use another connection
         assert settling.read_to_end() == b""
         sender.send(b"for the new owner")
         sidecar.wait_until(lambda: bool(wake_reasons))
@@ -86,7 +89,7 @@
     sidecar.run(script)
 
 
-@pytest.mark.parametrize("close", CLOSES.values(), ids=CLOSES)
+@pytest.mark.parametrize("close", POOL_CHANGES.values(), ids=POOL_CHANGES)
 def test_connection_closed_while_settling_is_counted_once(
     close: Callable[[Sidecar], None], sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -101,7 +104,7 @@
         close(sidecar)
         settling.send(b"late")
         assert settling.read_to_end() == b""
-        if close is not CLOSES["endpoint removed"]:
+        if close is not POOL_CHANGES["endpoint removed"]:
             server = sidecar.second_discovery if close is move_endpoint else sidecar.server
             new = server.accept()
             new.read_head()
@@ -109,7 +112,7 @@
         sidecar.wait_until(lambda: bool(results))
 
     sidecar.run(script)
-    assert sidecar.upstream.open_connections == (0 if close is CLOSES["endpoint removed"] else 1)
+    assert sidecar.upstream.open_connections == (0 if close is POOL_CHANGES["endpoint removed"] else 1)
 
 
 @pytest.mark.parametrize("waits_for", ["settling", "connecting"])
@@ -149,7 +152,7 @@
 
 
 def test_closing_idle_connections_closes_a_settling_one(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The balancer closes idle connections so that the next attempt uses a new one."""
+    """The balancer closes idle connections so that the next attempt uses a new connection."""
     results: list[FinishedAttempt] = []
 
     def script() -> None:
@@ -167,7 +170,7 @@
 
 @pytest.mark.parametrize("failing", ["may_proceed", "claim_stream"])
 def test_exception_in_attempt_callback_leaks_no_connection(failing: str, sidecar: Sidecar) -> None:
-    failed: list[str] = []
+    error_texts: list[str] = []
     results: list[FinishedAttempt] = []
 
     def fail(*_: object) -> Any:
@@ -180,31 +183,33 @@
                 ENDPOINT, ForwardedRequest(Message("GET", "/")), start + ATTEMPT_TIMEOUT_NS, **{failing: fail}
             )
         except RuntimeError as error:
-            failed.append(str(error))
+            error_texts.append(str(error))
 
     def script() -> None:
         sidecar.loop.spawn(run)
         peer = sidecar.server.accept()
         if failing == "claim_stream":
             peer.read_head()
-            peer.send(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + bytes(70_000))  # enough to be streamed
+            peer.send(
+                b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + bytes(70_000)
+            )  # long enough to be streamed
             assert peer.read_to_end() == b""
-        sidecar.wait_until(lambda: bool(failed))
+        sidecar.wait_until(lambda: bool(error_texts))
         assert sidecar.upstream.open_connections == (1 if failing == "may_proceed" else 0)
         start_attempt(sidecar, results)
         if failing == "claim_stream":
             peer = sidecar.server.accept()
-        peer.read_head()  # nothing was written before: the connection is reused
+        peer.read_head()  # a connection on which nothing was written is reused
         peer.respond()
         sidecar.wait_until(lambda: bool(results))
 
     sidecar.run(script)
-    assert failed == [failing]
+    assert error_texts == [failing]
     assert sidecar.upstream.open_connections == 1
 
 
 def test_connection_expired_while_settling_is_not_used(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The process is stopped while it waits for the connection, and the endpoint closes it meanwhile."""
+    """The process is suspended while it waits for the connection, which the endpoint may close in the meantime."""
     sidecar.limits.idle_timeout_ns = 2 * NS_PER_S
     advance_clock = patch_clock(sidecar, monkeypatch)
     results: list[FinishedAttempt] = []
@@ -250,7 +255,7 @@
 
 
 def test_idle_connection_ended_by_both_sides_is_closed_once(sidecar: Sidecar) -> None:
-    """The peer's end and the pool's own close are handled in one poll, in either order."""
+    """The peer and the pool close the connection in the same poll of the event loop, in either order."""
 
     def script() -> None:
         first, second = open_idle_connections(sidecar, 2)
@@ -263,7 +268,7 @@
     assert sidecar.upstream.open_connections == 0
 
 
-@pytest.mark.parametrize("change", [move_endpoint, CLOSES["endpoint removed"]], ids=["moved", "removed"])
+@pytest.mark.parametrize("change", [move_endpoint, POOL_CHANGES["endpoint removed"]], ids=["moved", "removed"])
 def test_response_from_old_address_counts_but_is_not_pooled(
     change: Callable[[Sidecar], None], sidecar: Sidecar
 ) -> None:
@@ -284,18 +289,18 @@
 
 
 def test_settling_connection_is_not_evicted_at_pool_limit(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The longest idle connection is evicted instead; without one the attempt gets no descriptor."""
+    """The longest idle connection is closed instead; if there is none, the attempt gets no descriptor."""
     monkeypatch.setattr(pool, "SETTLE_NS", LONG_SETTLE_NS)
     sidecar.limits.max_connections = 2
     other_endpoint = ENDPOINT + 1
     sidecar.upstream.set_address(other_endpoint, sidecar.second_discovery.address)
     results: list[FinishedAttempt] = []
-    other_outcomes: list[str] = []
+    outcomes_at_other: list[str] = []
 
     def attempt_at_other() -> None:
         deadline_ns = sidecar.loop.now() + ATTEMPT_TIMEOUT_NS
         request = ForwardedRequest(Message("GET", "/"))
-        other_outcomes.append(sidecar.upstream.execute_attempt(other_endpoint, request, deadline_ns).outcome.name)
+        outcomes_at_other.append(sidecar.upstream.execute_attempt(other_endpoint, request, deadline_ns).outcome.name)
 
     def script() -> None:
         settling, idle = open_idle_connections(sidecar, 2)
@@ -305,22 +310,22 @@
         peer = sidecar.second_discovery.accept_request()
         assert idle.read_to_end() == b""
         sidecar.loop.spawn(attempt_at_other)
-        sidecar.wait_until(lambda: other_outcomes == ["NO_DESCRIPTOR"])
+        sidecar.wait_until(lambda: outcomes_at_other == ["NO_DESCRIPTOR"])
         assert sidecar.upstream.open_connections == 2
         assert not sidecar.loop.is_ready(settling.sock.fileno(), READABLE)
         peer.respond()
-        sidecar.wait_until(lambda: other_outcomes == ["NO_DESCRIPTOR", "SERVED"])
+        sidecar.wait_until(lambda: outcomes_at_other == ["NO_DESCRIPTOR", "SERVED"])
 
     sidecar.run(script)
 
 
 def test_self_connection_counts_as_refused(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> None:
-    """With no listener and an equal local port, the kernel connects a socket to itself."""
+    """If no socket listens on the address and the local port is the same, the kernel connects the socket to itself."""
     address = sidecar.server.address
     results: list[FinishedAttempt] = []
 
-    def open_at_the_same_port(to: Address) -> socket.socket:
-        sock = open_socket(to)
+    def open_at_the_same_port(target: Address) -> socket.socket:
+        sock = open_socket(target)
         sock.bind(address)
         return sock
 
