--- a/tests/upstream/test_request_writing.py
+++ b/tests/upstream/test_request_writing.py
@@ -1,4 +1,4 @@
-"""Races while a request is written in parts, because its endpoint reads slowly."""
+"""Races while a request is written in several parts because its endpoint reads slowly."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def started_writes(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> list[bool]:
-    """Shrink the socket buffers; the list gets an element when a request starts to be written."""
+    """Shrink the socket buffers; return a list that gets an element whenever a request starts to be written."""
     write_request = attempt.write_request
     written: list[bool] = []
     sidecar.server.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -36,7 +36,7 @@
 
 
 def read_available(peer: PeerConnection) -> bytes:
-    """Read the bytes received so far, so that more can be written."""
+    """Read all bytes that have arrived, so that the sidecar can write more."""
     received = b""
     while True:
         try:
@@ -48,7 +48,7 @@
 def test_forwarded_time_left_is_that_at_the_write(
     sidecar: Sidecar, started_writes: list[bool], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The wait is within the head, before the header is written."""
+    """The write waits for 3 s within the head, before the header with the time left is written."""
     advance_clock = patch_clock(sidecar, monkeypatch)
     results: list[FinishedAttempt] = []
     time_left_headers: list[str] = []
@@ -79,13 +79,13 @@
 def test_write_stops_at_deadline(
     message: Message, sidecar: Sidecar, started_writes: list[bool], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The process is stopped while it waits to write, and the endpoint has read meanwhile."""
+    """The process is suspended until after the deadline while it waits to write, and the endpoint reads meanwhile."""
     advance_clock = patch_clock(sidecar, monkeypatch)
     results: list[FinishedAttempt] = []
     peers: list[PeerConnection] = []
     received_in_time: list[bytes] = []
 
-    def read_and_exceed_deadline() -> None:
+    def read_and_pass_deadline() -> None:
         peers.append(PeerConnection(sidecar.loop, sidecar.server.sock.accept()[0]))
         received_in_time.append(read_available(peers[0]))
         advance_clock(ATTEMPT_TIMEOUT_NS)
@@ -95,7 +95,7 @@
             sidecar,
             monkeypatch,
             lambda poll_events: bool(poll_events & WRITABLE and started_writes),
-            read_and_exceed_deadline,
+            read_and_pass_deadline,
         )
         start_attempt(sidecar, results, message)
         sidecar.wait_until(lambda: bool(results))
@@ -110,7 +110,7 @@
 def test_cancelled_attempt_discards_its_send_buffer(
     buffer_bytes: int, sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The kernel must not deliver the request to an endpoint that reads later."""
+    """The kernel must not deliver the rest of the request to an endpoint that reads it later."""
     write_request = attempt.write_request
     connections: list[UpstreamConnection] = []
     written: list[bool] = []
