--- a/tests/upstream/test_unexpected_responses.py
+++ b/tests/upstream/test_unexpected_responses.py
@@ -1,4 +1,4 @@
-"""Bytes that an endpoint sends too early, too late, truncated or without an end are no response to any request."""
+"""Bytes that an endpoint sends too early or too late, truncated or endless, must not count as a response."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 from tests.fakes import MAX_WAIT_NS, PeerConnection, Sidecar, disconnect
 from tests.upstream.pool_harness import change_at_wait, open_idle_connections, start_attempt
 
-STALE = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale"
+STALE_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale"
 LONG_REQUEST = Message("POST", "/", body=bytes(64 * 1024 * 1024))
-"""Longer than the socket buffers, so that its write waits until the endpoint reads."""
+"""A request that exceeds the socket buffers, so that writing it waits until the endpoint reads."""
 
 
 def test_bytes_before_first_write_are_not_the_response(sidecar: Sidecar) -> None:
-    """They arrive as ``may_proceed`` is called for the last time."""
+    """The bytes arrive when ``may_proceed`` is called, immediately before the last check of the connection."""
     results: list[FinishedAttempt] = []
 
     def script() -> None:
         peer = open_idle_connections(sidecar, 1)[0]
-        stale_responses = [STALE]
+        stale_responses = [STALE_RESPONSE]
 
         def may_proceed() -> bool:
             if stale_responses:
@@ -47,7 +47,7 @@
 
 
 EARLY_EVENTS: dict[str, Callable[[PeerConnection], None]] = {
-    "response": lambda peer: peer.send(STALE),
+    "response": lambda peer: peer.send(STALE_RESPONSE),
     "end": lambda peer: peer.sock.shutdown(socket.SHUT_WR),
     "reset": lambda peer: disconnect(peer.sock, "reset"),
 }
@@ -57,7 +57,7 @@
 def test_new_connection_with_bytes_or_end_is_not_used(
     send_early: Callable[[PeerConnection], None], sidecar: Sidecar
 ) -> None:
-    """The attempt ends as not sent, so that a request that must not run twice may be retried."""
+    """The attempt counts as not sent, so that even a request that must not be processed twice may be retried."""
     results: list[FinishedAttempt] = []
     peers: list[PeerConnection] = []
 
@@ -80,15 +80,15 @@
 def test_response_before_end_of_request_is_malformed(
     ending: str, sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The attempt may have run, and does not wait for its deadline."""
+    """The attempt counts as possibly processed, and it does not wait for its deadline."""
     results: list[FinishedAttempt] = []
     peers: list[PeerConnection] = []
 
     def respond() -> None:
         peers.append(PeerConnection(sidecar.loop, sidecar.server.sock.accept()[0]))
-        peers[0].send(STALE)
+        peers[0].send(STALE_RESPONSE)
         if ending == "closes":
-            peers[0].sock.close()  # with unread bytes, so that the kernel sends a reset
+            peers[0].sock.close()  # there are unread bytes, so that the kernel sends a reset
         elif ending == "half-closes":
             peers[0].sock.shutdown(socket.SHUT_WR)
 
@@ -109,7 +109,7 @@
 
 
 def test_endless_response_is_aborted_at_deadline(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Bytes are always readable, so that no wait ever times out."""
+    """The socket is always readable, so that no wait times out."""
     monkeypatch.setattr("tests.upstream.pool_harness.ATTEMPT_TIMEOUT_NS", 200 * NS_PER_MS)
     results: list[FinishedAttempt] = []
 
@@ -152,7 +152,7 @@
             sidecar.wait_until(lambda: len(results) == count + 1)  # noqa: B023
 
     sidecar.run(script)
-    assert {attempt_end.outcome.name for attempt_end in results} == {"RESET"}
+    assert {result.outcome.name for result in results} == {"RESET"}
     assert sidecar.upstream.open_connections == 0
 
 
@@ -176,13 +176,13 @@
 
 
 def test_connection_of_cancelled_attempt_is_not_pooled(sidecar: Sidecar) -> None:
-    """Its response has arrived and would pass for that of the next request."""
+    """The response of the attempt has arrived and would be read as the response to the next request."""
     results: list[FinishedAttempt] = []
 
     def script() -> None:
         task = start_attempt(sidecar, results)
         peer = sidecar.server.accept_request()
-        peer.send(STALE)  # readable in the same turn of the loop as the cancellation
+        peer.send(STALE_RESPONSE)  # readable in the same turn of the loop as the cancellation
         sidecar.loop.interrupt(task)
         sidecar.wait_until(lambda: bool(results))
 
@@ -191,14 +191,16 @@
     assert sidecar.upstream.open_connections == 0
 
 
-@pytest.mark.parametrize("extra", [STALE, b"x", b"HTTP/1.1 100 Continue\r\n\r\n"], ids=["response", "byte", "interim"])
+@pytest.mark.parametrize(
+    "extra", [STALE_RESPONSE, b"x", b"HTTP/1.1 100 Continue\r\n\r\n"], ids=["response", "byte", "interim"]
+)
 def test_connection_with_bytes_after_response_is_not_pooled(extra: bytes, sidecar: Sidecar) -> None:
     results: list[FinishedAttempt] = []
 
     def script() -> None:
         start_attempt(sidecar, results)
         peer = sidecar.server.accept_request()
-        peer.send(STALE + extra)
+        peer.send(STALE_RESPONSE + extra)
         assert peer.read_to_end() == b""
         sidecar.wait_until(lambda: bool(results))
 
