--- a/lugtally/dispatch/endpoint_registry.py
+++ b/lugtally/dispatch/endpoint_registry.py
@@ -36,7 +36,10 @@
 
 
 class EndpointRegistry:
-    """Holds the listed endpoints and the endpoints that operators drain."""
+    """Holds the listed endpoints and the endpoints that operators drain.
+
+    The balancer receives effective endpoints, which combine an entry of the endpoint list with the operators' drains.
+    """
 
     def __init__(self) -> None:
         self._listed: dict[int, ListedEndpoint] = {}
@@ -48,7 +51,7 @@
         return len(self._listed)
 
     def update(self, kind: EndpointUpdateKind, endpoints: Iterable[ListedEndpoint]) -> list[Endpoint]:
-        """Apply an update of the list; return the updated endpoints in the form for the balancer."""
+        """Apply an update of the list; return the effective endpoints that it updates."""
         updated = list(endpoints)
         for endpoint in updated:
             if endpoint.state is ListedState.REMOVED:
@@ -62,7 +65,7 @@
         return [self._effective_endpoint(endpoint) for endpoint in updated]
 
     def all(self) -> list[Endpoint]:
-        """Return all listed endpoints in the form for the balancer."""
+        """Return the effective endpoints of the whole list."""
         return [self._effective_endpoint(endpoint) for endpoint in self._listed.values()]
 
     def was_listed(self, endpoint_id: int) -> bool:
@@ -74,14 +77,17 @@
         return len(self._drained & self._listed.keys())
 
     def start_drain(self, endpoint_id: int) -> Endpoint | None:
-        """Drain the endpoint; return it in the form for the balancer, or ``None`` if nothing changes for it."""
+        """Drain the endpoint; return the effective endpoint, or ``None`` if it is not listed or already drained."""
         if endpoint_id in self._drained:
             return None
         self._drained.add(endpoint_id)
         return self._effective_endpoint_by_id(endpoint_id)
 
     def end_drain(self, endpoint_id: int, now_ns: int) -> Endpoint | None:
-        """End the drain of the endpoint, which then warms up; return the same as :meth:`start_drain`."""
+        """End the drain of the endpoint, which then warms up.
+
+        Return the effective endpoint, or ``None`` if it is not listed or was not drained.
+        """
         if endpoint_id not in self._drained:
             return None
         self._drained.discard(endpoint_id)
@@ -98,7 +104,7 @@
         return None if endpoint is None else self._effective_endpoint(endpoint)
 
     def _effective_endpoint(self, endpoint: ListedEndpoint) -> Endpoint:
-        """Return the endpoint for the balancer: ``DRAINING`` while an operator drains it, unless it was removed."""
+        """Return the effective endpoint: ``DRAINING`` while an operator drains it, unless it was removed."""
         state = _BALANCER_STATES[endpoint.state]
         if endpoint.id in self._drained and endpoint.state is not ListedState.REMOVED:
             state = EndpointState.DRAINING
