--- a/lugtally/dispatch/pending_request.py
+++ b/lugtally/dispatch/pending_request.py
@@ -107,13 +107,13 @@
 
     @property
     def is_stuck(self) -> bool:
-        """Whether the request is unfinished but has neither an attempt in flight nor a timer to wait for."""
+        """Whether the request is unfinished, but waits for no attempt, timer or stream that could finish it."""
         return not (self.finished or self.is_streaming or self.in_flight or self.awaited_timer is not None)
 
     def allows_attempt(self, number: int, now_ns: int) -> bool:
-        """Return whether bytes of the attempt may be written at ``now_ns``.
+        """Return whether the attempt may start, or its writing may continue, at ``now_ns``.
 
-        They may not if the request has finished, another attempt streams its response, the attempt is no longer in
+        It may not if the request has finished, another attempt streams its response, the attempt is no longer in
         flight, or the deadline has passed.
         """
         if self.finished or number not in self.in_flight or now_ns >= self.deadline_ns:
--- a/tests/dispatch/test_balancer_faults.py
+++ b/tests/dispatch/test_balancer_faults.py
@@ -53,7 +53,7 @@
         return dispatch.PendingRequest(self.loop, 0, deadline_ns, False, self.cancelled.append)
 
     def run(self, work: Callable[[], None]) -> None:
-        """Run ``work``; fail if it waits until the deadline of a request."""
+        """Run ``work``, which must not wait until the deadline of its requests."""
         started_ns = self.loop.now()
         run_task(self.loop, self.dispatcher, work)
         assert self.loop.now() - started_ns < TIME_LEFT_NS, "the request was not answered before its deadline"
