--- a/lugtally/upstream/pool.py
+++ b/lugtally/upstream/pool.py
@@ -150,7 +150,9 @@
                 raise AttemptAborted(AttemptOutcome.RESET_BEFORE_SENT)
 
     def _check_may_proceed(self, endpoint_id: int, connection: UpstreamConnection, may_proceed: MayProceed) -> None:
-        """Check that the request may still be written: the endpoint may have started draining while connecting.
+        """Check that the request may still be written.
+
+        While the connection was being established, the endpoint may have started draining.
 
         Raises:
             AttemptAborted: The request may not be written.  The connection was returned to the pool.
@@ -227,7 +229,7 @@
         if connection.is_retired or not self._has_current_address(endpoint_id, connection):
             self._close(connection)
             return
-        # If no request was written on the connection, the time since which it is idle does not change.
+        # A connection on which no request was written keeps its ``idle_since_ns``.
         connection.idle_since_ns = connection.idle_since_ns or self._loop.now()
         self._idle.add(endpoint_id, connection)
 
