--- a/lugtally/overload/admission.py
+++ b/lugtally/overload/admission.py
@@ -34,7 +34,7 @@
 MAX_IDLE_PERIODS = 200
 """Largest number of periods without requests that are processed at once; the shed fraction is 0 after these."""
 DECAY_FACTOR = 0.98
-"""Factor by which the shed fraction decays in each period whose standing delay is below half of the target."""
+"""Factor on the shed fraction in a period whose standing delay, like the one before, is below half of the target."""
 MIN_SHED_FRACTION = 0.001
 """A shed fraction that decays below this becomes 0."""
 
