--- a/lugtally/dispatch/endpoint_registry.py
+++ b/lugtally/dispatch/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The listed endpoints and the operators' drains, which take precedence over the listed state."""
+"""The listed endpoints, and the drains that operators started, which take precedence over the listed state."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
     """An endpoint as the endpoint list describes it.
 
     Attributes:
-        id: Derived from the id in the list.
-        zone: The number of its zone.
-        cell: The number of the cell that shares its deduplication records.
-        state: The listed state.
-        started_ns: When it started, on the event loop's clock; 0 if that is long ago.
+        id: A number derived from the endpoint's id in the list.
+        zone: The number of the endpoint's zone.
+        cell: The number of the endpoint's cell, whose endpoints share their deduplication records.
+        state: The state in the list.
+        started_ns: When the endpoint started, on the event loop's clock; 0 if it started long ago.
     """
 
     id: int
@@ -36,19 +36,22 @@
 
 
 class EndpointRegistry:
-    """Holds the listed endpoints and the endpoints that operators drain."""
+    """Holds the listed endpoints and the endpoints that operators drain.
+
+    The balancer receives effective endpoints, which combine an entry of the endpoint list with the operators' drains.
+    """
 
     def __init__(self) -> None:
         self._listed: dict[int, ListedEndpoint] = {}
         self._ever_listed: set[int] = set()
         self._drained: set[int] = set()
-        self._restarted_ns: dict[int, int] = {}  # when an operator's drain ended: slow start begins again
+        self._drain_ended_ns: dict[int, int] = {}  # by endpoint: slow start begins again when a drain ends
 
     def __len__(self) -> int:
         return len(self._listed)
 
     def update(self, kind: EndpointUpdateKind, endpoints: Iterable[ListedEndpoint]) -> list[Endpoint]:
-        """Apply an update of the list; return the updated endpoints as the balancer receives them."""
+        """Apply an update of the list; return the effective endpoints that it updates."""
         updated = list(endpoints)
         for endpoint in updated:
             if endpoint.state is ListedState.REMOVED:
@@ -59,11 +62,11 @@
         if kind is EndpointUpdateKind.FULL:
             for endpoint_id in self._listed.keys() - {endpoint.id for endpoint in updated}:
                 self._remove(endpoint_id)
-        return [self._effective(endpoint) for endpoint in updated]
+        return [self._effective_endpoint(endpoint) for endpoint in updated]
 
     def all(self) -> list[Endpoint]:
-        """Return all listed endpoints as the balancer receives them."""
-        return [self._effective(endpoint) for endpoint in self._listed.values()]
+        """Return the effective endpoints of the whole list."""
+        return [self._effective_endpoint(endpoint) for endpoint in self._listed.values()]
 
     def was_listed(self, endpoint_id: int) -> bool:
         """Return whether the endpoint was listed at any time since the start."""
@@ -74,33 +77,36 @@
         return len(self._drained & self._listed.keys())
 
     def start_drain(self, endpoint_id: int) -> Endpoint | None:
-        """Drain the endpoint; return it as the balancer receives it, or ``None`` if nothing changes."""
+        """Drain the endpoint; return the effective endpoint, or ``None`` if it is not listed or already drained."""
         if endpoint_id in self._drained:
             return None
         self._drained.add(endpoint_id)
-        return self._effective_of(endpoint_id)
+        return self._effective_endpoint_by_id(endpoint_id)
 
     def end_drain(self, endpoint_id: int, now_ns: int) -> Endpoint | None:
-        """End the drain of the endpoint, which warms up again; return it as :meth:`start_drain` does."""
+        """End the drain of the endpoint, which then warms up.
+
+        Return the effective endpoint, or ``None`` if it is not listed or was not drained.
+        """
         if endpoint_id not in self._drained:
             return None
         self._drained.discard(endpoint_id)
         if endpoint_id in self._listed:
-            self._restarted_ns[endpoint_id] = now_ns
-        return self._effective_of(endpoint_id)
+            self._drain_ended_ns[endpoint_id] = now_ns
+        return self._effective_endpoint_by_id(endpoint_id)
 
     def _remove(self, endpoint_id: int) -> None:
         self._listed.pop(endpoint_id, None)
-        self._restarted_ns.pop(endpoint_id, None)
+        self._drain_ended_ns.pop(endpoint_id, None)
 
-    def _effective_of(self, endpoint_id: int) -> Endpoint | None:
+    def _effective_endpoint_by_id(self, endpoint_id: int) -> Endpoint | None:
         endpoint = self._listed.get(endpoint_id)
-        return None if endpoint is None else self._effective(endpoint)
+        return None if endpoint is None else self._effective_endpoint(endpoint)
 
-    def _effective(self, endpoint: ListedEndpoint) -> Endpoint:
-        """Return the endpoint as the balancer receives it: one that operators drain is draining until it is removed."""
+    def _effective_endpoint(self, endpoint: ListedEndpoint) -> Endpoint:
+        """Return the effective endpoint: ``DRAINING`` while an operator drains it, unless it was removed."""
         state = _BALANCER_STATES[endpoint.state]
         if endpoint.id in self._drained and endpoint.state is not ListedState.REMOVED:
             state = EndpointState.DRAINING
-        started_ns = max(endpoint.started_ns, self._restarted_ns.get(endpoint.id, 0))
+        started_ns = max(endpoint.started_ns, self._drain_ended_ns.get(endpoint.id, 0))
         return Endpoint(endpoint.id, endpoint.zone, endpoint.cell, state, started_ns)
--- a/lugtally/upstream/__init__.py
+++ b/lugtally/upstream/__init__.py
@@ -1,10 +1,10 @@
-"""Connections to endpoints, and the attempts that are made over them.
+"""Connections to endpoints, and the attempts that are made on them.
 
-This package owns connecting, connection reuse, writing a request and reading its response.  It must not make balancing
+This package opens and reuses connections, writes requests and reads their responses.  It must not make balancing
 decisions.  It knows the client only as the sink of a streamed response.
 """
 
-from lugtally.upstream.attempt import AttemptResponse, MayProceed
+from lugtally.upstream.attempt import FinishedAttempt, MayProceed
 from lugtally.upstream.errors import AttemptAborted
 from lugtally.upstream.limits import (
     ConnectionLimits,
@@ -18,9 +18,9 @@
 __all__ = [
     "SETTLE_NS",
     "AttemptAborted",
-    "AttemptResponse",
     "ClaimStream",
     "ConnectionLimits",
+    "FinishedAttempt",
     "MayProceed",
     "ResponseSink",
     "UpstreamPool",
--- a/tests/upstream/test_request_writing.py
+++ b/tests/upstream/test_request_writing.py
@@ -1,4 +1,4 @@
-"""Races while a request is written in parts, because its endpoint reads slowly."""
+"""Races while a request is written in several parts because its endpoint reads slowly."""
 
 from __future__ import annotations
 
@@ -10,11 +10,10 @@
 from lugtally.eventloop import WRITABLE, EventLoop
 from lugtally.http1 import Message
 from lugtally.units import NS_PER_S
-from lugtally.upstream import AttemptResponse, attempt
+from lugtally.upstream import FinishedAttempt, attempt
 from lugtally.upstream.connection import UpstreamConnection
 from tests.fakes import PeerConnection, Sidecar
-from tests.upstream.pool_harness import ATTEMPT_TIMEOUT_NS, change_at_wait, start_attempt
-from tests.upstream.pool_harness import stoppable_clock as make_stoppable_clock
+from tests.upstream.pool_harness import ATTEMPT_TIMEOUT_NS, change_at_wait, patch_clock, start_attempt
 
 LONG_HEAD = Message("GET", "/", headers=[("X-Pad", "x" * 200_000)])
 LONG_BODY = Message("POST", "/", body=bytes(200_000))
@@ -22,7 +21,7 @@
 
 @pytest.fixture
 def started_writes(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> list[bool]:
-    """Shrink the socket buffers; the list gets an element when a request starts to be written."""
+    """Shrink the socket buffers; return a list that gets an element whenever a request starts to be written."""
     write_request = attempt.write_request
     written: list[bool] = []
     sidecar.server.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -37,7 +36,7 @@
 
 
 def read_available(peer: PeerConnection) -> bytes:
-    """Read the bytes received so far, so that more can be written."""
+    """Read all bytes that have arrived, so that the sidecar can write more."""
     received = b""
     while True:
         try:
@@ -49,9 +48,9 @@
 def test_forwarded_time_left_is_that_at_the_write(
     sidecar: Sidecar, started_writes: list[bool], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The wait is within the head, before the header is written."""
-    stop_for = make_stoppable_clock(sidecar, monkeypatch)
-    results: list[AttemptResponse] = []
+    """The write waits for 3 s within the head, before the header with the time left is written."""
+    advance_clock = patch_clock(sidecar, monkeypatch)
+    results: list[FinishedAttempt] = []
     time_left_headers: list[str] = []
 
     def script() -> None:
@@ -59,7 +58,7 @@
             sidecar,
             monkeypatch,
             lambda poll_events: bool(poll_events & WRITABLE and started_writes),
-            lambda: stop_for(3 * NS_PER_S),
+            lambda: advance_clock(3 * NS_PER_S),
         )
         start_attempt(sidecar, results, LONG_HEAD)
         peer = sidecar.server.accept()
@@ -80,23 +79,23 @@
 def test_write_stops_at_deadline(
     message: Message, sidecar: Sidecar, started_writes: list[bool], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The process is stopped while it waits to write, and the endpoint has read meanwhile."""
-    stop_for = make_stoppable_clock(sidecar, monkeypatch)
-    results: list[AttemptResponse] = []
+    """The process is suspended until after the deadline while it waits to write, and the endpoint reads meanwhile."""
+    advance_clock = patch_clock(sidecar, monkeypatch)
+    results: list[FinishedAttempt] = []
     peers: list[PeerConnection] = []
     received_in_time: list[bytes] = []
 
-    def read_and_exceed_deadline() -> None:
+    def read_and_pass_deadline() -> None:
         peers.append(PeerConnection(sidecar.loop, sidecar.server.sock.accept()[0]))
         received_in_time.append(read_available(peers[0]))
-        stop_for(ATTEMPT_TIMEOUT_NS)
+        advance_clock(ATTEMPT_TIMEOUT_NS)
 
     def script() -> None:
         change_at_wait(
             sidecar,
             monkeypatch,
             lambda poll_events: bool(poll_events & WRITABLE and started_writes),
-            read_and_exceed_deadline,
+            read_and_pass_deadline,
         )
         start_attempt(sidecar, results, message)
         sidecar.wait_until(lambda: bool(results))
@@ -111,11 +110,11 @@
 def test_cancelled_attempt_discards_its_send_buffer(
     buffer_bytes: int, sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The kernel must not deliver the request to an endpoint that reads later."""
+    """The kernel must not deliver the rest of the request to an endpoint that reads it later."""
     write_request = attempt.write_request
     connections: list[UpstreamConnection] = []
     written: list[bool] = []
-    results: list[AttemptResponse] = []
+    results: list[FinishedAttempt] = []
     sidecar.server.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
 
     def set_buffer_and_write(loop: EventLoop, connection: UpstreamConnection, *arguments: Any) -> None:
