--- a/lugtally/daemon/sidecar.py
+++ b/lugtally/daemon/sidecar.py
@@ -145,7 +145,7 @@
             "ready": self.downstream.ready,
             "draining": self.downstream.draining,
             "up_s": (self.loop.now() - self._started_ns) / NS_PER_S,
-            "front_sockets": self.downstream.open,
+            "front_sockets": self.downstream.open_connections,
             "connections": self.upstream.open_connections,
             "destinations": self.endpoint_watcher.ready_count,
             "requests": self.dispatcher.request_counts(),
@@ -160,7 +160,7 @@
                 memory_bytes=config.memory_limit_mb * BYTES_PER_MB,
                 descriptors=config.descriptor_limit,
             ),
-            lambda: self.downstream.open + self.upstream.open_connections,
+            lambda: self.downstream.open_connections + self.upstream.open_connections,
         )
 
     def _open_admin_server(self, drains: OperatorDrains) -> AdminServer | None:
--- a/lugtally/downstream/server.py
+++ b/lugtally/downstream/server.py
@@ -103,7 +103,7 @@
         return self._acceptor.listener
 
     @property
-    def open(self) -> int:
+    def open_connections(self) -> int:
         """The number of open connections."""
         return len(self._open)
 
--- a/tests/dispatch/test_attempts.py
+++ b/tests/dispatch/test_attempts.py
@@ -85,7 +85,7 @@
         leaving.sendall(request("read"))
         disconnect(leaving, how)
         sidecar.loop.sleep(NS_PER_MS)  # the next poll reports the backlog
-        sidecar.wait_until(lambda: sidecar.downstream.open == (1 if pooled else 0))
+        sidecar.wait_until(lambda: sidecar.downstream.open_connections == (1 if pooled else 0))
         assert how == "reset" or sidecar.balancer.client_disconnects()
         next_client = sidecar.client(address)
         next_client.send(request("read", "r2"))
--- a/tests/downstream/test_closing.py
+++ b/tests/downstream/test_closing.py
@@ -36,7 +36,7 @@
         received = client.read_to_end()
         assert received.partition(b"\r\n\r\n")[2] == b"x" * body_bytes
         client.sock.close()
-        sidecar.wait_until(lambda: sidecar.downstream.open == 0)
+        sidecar.wait_until(lambda: sidecar.downstream.open_connections == 0)
 
     def stop_when_finished() -> None:
         sidecar.loop._stopped = sidecar.loop._stopped or sidecar.stopped
@@ -140,7 +140,7 @@
         assert client.read_to_end().startswith(b"HTTP/1.1 200")
         client.send(request("once", "r2", method="POST", headers="Content-Length: 0\r\n"))
         client.sock.close()
-        sidecar.wait_until(lambda: sidecar.downstream.open == 0)
+        sidecar.wait_until(lambda: sidecar.downstream.open_connections == 0)
         assert sidecar.server.is_idle()
         assert not sidecar.loop.is_ready(connection.sock.fileno(), READABLE)
 
@@ -167,13 +167,13 @@
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         client.send(data)
         assert client.read().startswith(b"HTTP/1.1 4")
-        while sidecar.downstream.open:
+        while sidecar.downstream.open_connections:
             try:
                 client.send(b"x")
             except OSError:
                 break
             sidecar.loop.sleep(NS_PER_MS)
-        sidecar.wait_until(lambda: not sidecar.downstream.open)
+        sidecar.wait_until(lambda: not sidecar.downstream.open_connections)
 
     sidecar.run(script)
 
--- a/tests/downstream/test_connection_limit.py
+++ b/tests/downstream/test_connection_limit.py
@@ -94,7 +94,7 @@
         for client in served:
             assert client.read().startswith(b"HTTP/1.1 200")
         unused = connect(sidecar, address, 24 - len(served))
-        sidecar.wait_until(lambda: sidecar.downstream.open >= 23)
+        sidecar.wait_until(lambda: sidecar.downstream.open_connections >= 23)
         sidecar.loop.sleep(2 * NEW_CONNECTION_GRACE_NS)
         assert_new_clients_are_served(sidecar, address, 20, within_ns=MAX_EVICTION_DELAY_NS)
         for client in [*served, *unused]:
@@ -109,7 +109,7 @@
 
     def script() -> None:
         idle = connect(sidecar, sidecar.listen_with_one_endpoint(), 4)
-        sidecar.wait_until(lambda: sidecar.downstream.open == 4)
+        sidecar.wait_until(lambda: sidecar.downstream.open_connections == 4)
         sidecar.loop.sleep(5 * NEW_CONNECTION_GRACE_NS)
         evicted = sum(has_input(sidecar, client) for client in idle)
         assert evicted == 0, f"{evicted} of 4 were evicted"
@@ -154,7 +154,7 @@
         incomplete = connect(sidecar, address, incomplete_count)
         for client in incomplete:
             client.send(INCOMPLETE_REQUEST)
-        sidecar.wait_until(lambda: sidecar.downstream.open == max_clients)
+        sidecar.wait_until(lambda: sidecar.downstream.open_connections == max_clients)
         assert_new_clients_are_served(sidecar, address, 1, within_ns=2 * NS_PER_S, time_left_s=2.0)
         evicted = [client for client in incomplete if has_input(sidecar, client)]
         assert evicted, "no incomplete request was evicted"
@@ -174,7 +174,7 @@
         upstream_connections = start_requests(sidecar, busy)
         first_request_ns = sidecar.loop.now() + NEW_CONNECTION_GRACE_NS * 8 // 10
         new = sidecar.client(address)
-        sidecar.wait_until(lambda: sidecar.downstream.open == 3)
+        sidecar.wait_until(lambda: sidecar.downstream.open_connections == 3)
         sidecar.loop.sleep(NS_PER_MS)  # its task has found nothing to read
         last = sidecar.client(address)  # occupies the last place
         waiting = connect(sidecar, address, 8)
@@ -233,9 +233,9 @@
         address = sidecar.listen_with_one_endpoint()
         respond_to_all(sidecar)
         idle = connect(sidecar, address, 4)
-        sidecar.wait_until(lambda: sidecar.downstream.open == 4)
+        sidecar.wait_until(lambda: sidecar.downstream.open_connections == 4)
         sidecar.loop.sleep(2 * NEW_CONNECTION_GRACE_NS)
-        failures = fail_accepts(monkeypatch, sidecar, lambda: sidecar.downstream.open >= 4)
+        failures = fail_accepts(monkeypatch, sidecar, lambda: sidecar.downstream.open_connections >= 4)
         assert_new_clients_are_served(sidecar, address, 1, within_ns=MAX_EVICTION_DELAY_NS)
         assert failures
         for client in idle:
@@ -256,7 +256,7 @@
         for client in incomplete:
             client.send(INCOMPLETE_REQUEST)
         unused = connect(sidecar, address, 4)
-        sidecar.wait_until(lambda: sidecar.downstream.open == 12)
+        sidecar.wait_until(lambda: sidecar.downstream.open_connections == 12)
         sidecar.loop.sleep(2 * NEW_CONNECTION_GRACE_NS)
         respond_to_all(sidecar)
         assert_new_clients_are_served(sidecar, address, 20, within_ns=2 * NS_PER_S, time_left_s=2.0)
--- a/tests/downstream/test_descriptor_limits.py
+++ b/tests/downstream/test_descriptor_limits.py
@@ -36,12 +36,12 @@
         connection.send_endpoint_list(1, False)
         connection.read_head()
         idle_clients = [sidecar.client(address) for _ in range(max_clients + 20)]
-        sidecar.wait_until(lambda: sidecar.downstream.open >= max_clients - 1)
+        sidecar.wait_until(lambda: sidecar.downstream.open_connections >= max_clients - 1)
         descriptors = open_descriptors()
         connection.sock.close()
         reconnected = sidecar.discovery.accept()
         assert "from=1&" in reconnected.read_head()
-        assert sidecar.downstream.open <= max_clients
+        assert sidecar.downstream.open_connections <= max_clients
         assert open_descriptors() <= descriptors + 2
         late_client = sidecar.client(address)  # is served: an idle connection is evicted
         late_client.send(request("read"))
--- a/tests/downstream/test_guards.py
+++ b/tests/downstream/test_guards.py
@@ -28,7 +28,7 @@
         assert b"200 OK" in first.read()
         sidecar.loop.sleep(20 * NS_PER_MS)  # the upstream connection may be reused without a wait
         disconnecting = sidecar.client(address)
-        sidecar.wait_until(lambda: sidecar.downstream.open == 2)
+        sidecar.wait_until(lambda: sidecar.downstream.open_connections == 2)
         accepted = next(
             candidate
             for candidate in sidecar.downstream._open
@@ -63,7 +63,7 @@
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
         idle = [sidecar.client(address) for _ in range(2)]
-        sidecar.wait_until(lambda: sidecar.downstream.open == 2)
+        sidecar.wait_until(lambda: sidecar.downstream.open_connections == 2)
         waiting = sidecar.client(address)
         waiting.send(request("read"))
         connection = sidecar.server.accept()
@@ -82,7 +82,7 @@
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
-        sidecar.wait_until(lambda: sidecar.downstream.open == 1)
+        sidecar.wait_until(lambda: sidecar.downstream.open_connections == 1)
         sidecar.downstream.drain()
         sidecar.wait_until(sidecar.has_closed_listener)
         sidecar.loop.sleep(NS_PER_MS)  # the task of each connection has been notified and has run
@@ -108,7 +108,7 @@
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         client.send(b"GET /read HTTP/1.1\r\n")
         assert client.read_to_end().startswith(b"HTTP/1.1 408")
-        sidecar.wait_until(lambda: sidecar.downstream.open == 0)  # the client itself does not close
+        sidecar.wait_until(lambda: sidecar.downstream.open_connections == 0)  # the client itself does not close
 
     sidecar.run(script)
 
--- a/tests/downstream/test_half_close.py
+++ b/tests/downstream/test_half_close.py
@@ -55,7 +55,7 @@
         connection.respond()
         assert client.read().startswith(b"HTTP/1.1 200")
         client.sock.close()
-    sidecar.wait_until(lambda: sidecar.downstream.open == 0)
+    sidecar.wait_until(lambda: sidecar.downstream.open_connections == 0)
     sidecar.loop.sleep(SETTLED_NS)
     return connections
 
@@ -104,7 +104,7 @@
         address = sidecar.listen_with_one_endpoint()
         connections = open_idle_connections(sidecar, address, 1)
         client = sidecar.client(address)
-        sidecar.wait_until(lambda: sidecar.downstream.open == 1)
+        sidecar.wait_until(lambda: sidecar.downstream.open_connections == 1)
         accepted = next(iter(sidecar.downstream._open))
 
         def half_close_and_send(event: balancing.Event) -> list[balancing.Action]:
@@ -153,7 +153,7 @@
         assert_is_last_response(read_to_close(client), 502)
         assert forwarded_paths(sidecar, []) == []
         client.sock.close()
-        sidecar.wait_until(lambda: sidecar.downstream.open == 0)
+        sidecar.wait_until(lambda: sidecar.downstream.open_connections == 0)
 
     sidecar.run(script)
     assert sidecar.balancer.attempt_results()[idle_count:] == [balancing.AttemptResult.CANCELLED]
@@ -185,7 +185,7 @@
 
         monkeypatch.setattr(DownstreamConnection, "write", write_and_disconnect)
         connection.respond()
-        sidecar.wait_until(lambda: bool(received) and sidecar.downstream.open == 0)
+        sidecar.wait_until(lambda: bool(received) and sidecar.downstream.open_connections == 0)
         assert forwarded_paths(sidecar, connections) == []
 
     sidecar.run(script)
@@ -203,7 +203,7 @@
         assert connection.read_head().startswith("GET /read/one ")
         disconnect(client.sock, how)
         assert connection.read_to_end() == b"", "the first attempt went on"
-        sidecar.wait_until(lambda: sidecar.downstream.open == 0)
+        sidecar.wait_until(lambda: sidecar.downstream.open_connections == 0)
         assert forwarded_paths(sidecar, [connections[0]]) == []
 
     sidecar.run(script)
--- a/tests/downstream/test_pipelines.py
+++ b/tests/downstream/test_pipelines.py
@@ -41,11 +41,11 @@
         address = sidecar.listen_with_one_endpoint()
         client = sidecar.client(address)
         if reason == "draining":
-            sidecar.wait_until(lambda: sidecar.downstream.open == 1)
+            sidecar.wait_until(lambda: sidecar.downstream.open_connections == 1)
             sidecar.downstream.drain()
         else:
             other = sidecar.client(address)
-            sidecar.wait_until(lambda: sidecar.downstream.open == 2 and other.sock.fileno() >= 0)
+            sidecar.wait_until(lambda: sidecar.downstream.open_connections == 2 and other.sock.fileno() >= 0)
         client.send(b"".join(request(f"read/{number}", f"r{number}") for number in range(count)))
         respond_to(sidecar, None, count)
         received = client.read_to_end()
@@ -62,7 +62,7 @@
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
-        sidecar.wait_until(lambda: sidecar.downstream.open == 1)
+        sidecar.wait_until(lambda: sidecar.downstream.open_connections == 1)
         sidecar.downstream.drain()
         second = request("read/2", "r2")
         client.send(request("read/1", "r1") + second[:20])
@@ -271,7 +271,7 @@
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
-        sidecar.wait_until(lambda: sidecar.downstream.open == 1)
+        sidecar.wait_until(lambda: sidecar.downstream.open_connections == 1)
         (connection,) = sidecar.downstream._open
         counting = CountingSocket(connection.sock)
         connection.sock = counting  # type: ignore[assignment]
@@ -286,7 +286,7 @@
         client.send(request("read", "r2"))
         sidecar.loop.sleep(20 * NS_PER_MS)
         client.sock.close()
-        sidecar.wait_until(lambda: sidecar.downstream.open == 0)
+        sidecar.wait_until(lambda: sidecar.downstream.open_connections == 0)
         assert counting.received == len(first)
 
     sidecar.run(script)
--- a/tests/downstream/test_shutdown.py
+++ b/tests/downstream/test_shutdown.py
@@ -306,7 +306,7 @@
         for name, data in CLIENT_DATA.items():
             clients[name] = sidecar.slow_client(address)
             clients[name].send(data)
-        sidecar.wait_until(lambda: sidecar.downstream.open == 5)
+        sidecar.wait_until(lambda: sidecar.downstream.open_connections == 5)
         while sidecar.ended_ns is None and sidecar.since_drain_ns() < MAX_SHUTDOWN_NS:
             send_if_possible(upstream_connection, bytes(65536))
             send_if_possible(clients["sends a request slowly"], b"x")
@@ -330,7 +330,7 @@
         client = sidecar.client(address)
         data = request("read", time_left_s=10.0)
         client.send(data[:20])
-        sidecar.wait_until(lambda: sidecar.downstream.open == 1)
+        sidecar.wait_until(lambda: sidecar.downstream.open_connections == 1)
         sidecar.sleep_until(ACCEPTING_NS + 450 * NS_PER_MS)
         client.send(data[20:])
         upstream_connection = sidecar.server.accept_request()
