--- a/lugtally/downstream/server.py
+++ b/lugtally/downstream/server.py
@@ -52,22 +52,22 @@
     ) -> None:
         self._loop = loop
         self._dispatcher = dispatcher
-        self._open: set[DownstreamConnection] = set()
+        self._connections: set[DownstreamConnection] = set()
         self._ids_in_progress: set[str] = set()
         """The correlation IDs of the requests in progress."""
         self._validator = RequestValidator(classes, tenants, self._ids_in_progress)
         self._health_checks = HealthCheckRateLimiter(loop)
         self._connection_closed = Event(loop)
         state = ShutdownState()
-        self._reuse_policy = ReusePolicy(state, self._open, max_connections)
+        self._reuse_policy = ReusePolicy(state, self._connections, max_connections)
         deadlines = RequestDeadlines(self._validator, state)
         self._services = ExchangeServices(loop, dispatcher, upstream, deadlines, self._reuse_policy)
         self._acceptor = ConnectionAcceptor(
-            loop, self._open, self._connection_closed, max_connections, state, self._handle_connection
+            loop, self._connections, self._connection_closed, max_connections, state, self._handle_connection
         )
         longest_deadline_ns = max((request_class.deadline_ns for request_class in classes), default=0)
         self._shutdown = GracefulShutdown(
-            loop, self._open, self._connection_closed, self._acceptor, state, longest_deadline_ns
+            loop, self._connections, self._connection_closed, self._acceptor, state, longest_deadline_ns
         )
         self.ready = False
         """Whether requests can be sent to an endpoint, as health checks report it; set by the owner."""
@@ -105,7 +105,7 @@
     @property
     def open_connections(self) -> int:
         """The number of open connections."""
-        return len(self._open)
+        return len(self._connections)
 
     # ------------------------------------------------------------ connections
 
@@ -125,7 +125,7 @@
             )
         finally:
             connection.close()
-            self._open.discard(connection)
+            self._connections.discard(connection)
             self._connection_closed.set()
 
     def _handle_request(self, reader: RequestReader, request: ReceivedRequest) -> bool:
--- a/tests/downstream/test_closing.py
+++ b/tests/downstream/test_closing.py
@@ -59,7 +59,7 @@
             if (
                 reason is WakeReason.TIMEOUT
                 and not sent
-                and any(self is one.wake_up for one in sidecar.downstream._open)
+                and any(self is one.wake_up for one in sidecar.downstream._connections)
             ):
                 sent.append(1)
                 monkeypatch.setattr(request_reader, "CLIENT_IDLE_TIMEOUT_NS", 5_000 * NS_PER_MS)
--- a/tests/downstream/test_guards.py
+++ b/tests/downstream/test_guards.py
@@ -31,7 +31,7 @@
         sidecar.wait_until(lambda: sidecar.downstream.open_connections == 2)
         accepted = next(
             candidate
-            for candidate in sidecar.downstream._open
+            for candidate in sidecar.downstream._connections
             if candidate.sock.getpeername() == disconnecting.sock.getsockname()
         )
 
--- a/tests/downstream/test_half_close.py
+++ b/tests/downstream/test_half_close.py
@@ -105,7 +105,7 @@
         connections = open_idle_connections(sidecar, address, 1)
         client = sidecar.client(address)
         sidecar.wait_until(lambda: sidecar.downstream.open_connections == 1)
-        accepted = next(iter(sidecar.downstream._open))
+        accepted = next(iter(sidecar.downstream._connections))
 
         def half_close_and_send(event: balancing.Event) -> list[balancing.Action]:
             if not isinstance(event, balancing.Request):
--- a/tests/downstream/test_pipelines.py
+++ b/tests/downstream/test_pipelines.py
@@ -272,7 +272,7 @@
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         sidecar.wait_until(lambda: sidecar.downstream.open_connections == 1)
-        (connection,) = sidecar.downstream._open
+        (connection,) = sidecar.downstream._connections
         counting = CountingSocket(connection.sock)
         connection.sock = counting  # type: ignore[assignment]
         first = request("read" if reason == "draining" else "nothing")
--- a/tests/downstream/test_shutdown.py
+++ b/tests/downstream/test_shutdown.py
@@ -217,7 +217,7 @@
             if (
                 not sent
                 and sidecar.has_stopped_accepting()
-                and event in [connection.wake_up for connection in sidecar.downstream._open]
+                and event in [connection.wake_up for connection in sidecar.downstream._connections]
             ):
                 sent.append(1)
                 client.send(request("read", "late"))
@@ -246,7 +246,7 @@
         address = sidecar.listen_with_one_endpoint()
         sidecar.respond_to_all()
         client = sidecar.idle_client(address)
-        accepted = next(iter(sidecar.downstream._open)).sock
+        accepted = next(iter(sidecar.downstream._connections)).sock
 
         def recv(sock: socket.socket, *arguments: int) -> bytes:
             try:
@@ -288,7 +288,7 @@
 
 def open_clients(sidecar: Sidecar, clients: dict[str, PeerConnection]) -> list[str]:
     """Return the names of the clients whose connections the sidecar has open."""
-    open_addresses = {connection.sock.getpeername() for connection in sidecar.downstream._open}
+    open_addresses = {connection.sock.getpeername() for connection in sidecar.downstream._connections}
     return [name for name, client in clients.items() if client.sock.getsockname() in open_addresses]
 
 
