--- a/lugtally/discovery/client.py
+++ b/lugtally/discovery/client.py
@@ -11,7 +11,7 @@
 from lugtally.config.endpoint_list import EndpointList, parse_endpoint_list
 from lugtally.discovery import timing
 from lugtally.eventloop import READABLE, WRITABLE, Event, EventLoop, WakeReason
-from lugtally.eventloop.tcp_socket import create_tcp_socket, is_quiet
+from lugtally.eventloop.tcp_socket import create_tcp_socket, is_open_without_input
 from lugtally.http1 import Message, MessageParser, serialize_get
 from lugtally.units import NS_PER_MS
 
@@ -90,7 +90,7 @@
         A reused connection may have been closed between two calls.  A call without a response has probably lost its
         connection.  Neither means that discovery has failed, and a backoff would exceed the timing budget.
         """
-        if self._sock is not None and not is_quiet(self._sock):
+        if self._sock is not None and not is_open_without_input(self._sock):
             self.close()  # closed by discovery, or bytes that belong to no call
         is_reused = self._sock is not None
         try:
--- a/lugtally/eventloop/tcp_socket.py
+++ b/lugtally/eventloop/tcp_socket.py
@@ -15,7 +15,7 @@
     return socket.socket(family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
 
 
-def is_quiet(sock: socket.socket) -> bool:
+def is_open_without_input(sock: socket.socket) -> bool:
     """Return whether the connection is open and there is nothing to read."""
     try:
         sock.recv(1, socket.MSG_PEEK)
--- a/lugtally/upstream/attempt.py
+++ b/lugtally/upstream/attempt.py
@@ -7,7 +7,7 @@
 
 from lugtally.dispatch.attempt_outcome import AttemptOutcome
 from lugtally.eventloop import EventLoop
-from lugtally.eventloop.tcp_socket import is_quiet
+from lugtally.eventloop.tcp_socket import is_open_without_input
 from lugtally.http1 import ForwardedRequest, Message, ProtocolError
 from lugtally.upstream.connection import UpstreamConnection
 from lugtally.upstream.errors import AttemptAborted
@@ -77,7 +77,7 @@
     """
     if connection.has_bytes():
         raise AttemptAborted(AttemptOutcome.MALFORMED_RESPONSE)
-    if not is_quiet(connection.sock):
+    if not is_open_without_input(connection.sock):
         raise AttemptAborted(AttemptOutcome.RESET_BEFORE_SENT)
 
 
--- a/lugtally/upstream/pool.py
+++ b/lugtally/upstream/pool.py
@@ -9,7 +9,7 @@
 from lugtally.address import Address
 from lugtally.dispatch.attempt_outcome import AttemptOutcome
 from lugtally.eventloop import READABLE, EventLoop, WakeReason
-from lugtally.eventloop.tcp_socket import is_quiet
+from lugtally.eventloop.tcp_socket import is_open_without_input
 from lugtally.http1 import ForwardedRequest, Message
 from lugtally.units import NS_PER_MS
 from lugtally.upstream import attempt
@@ -142,7 +142,7 @@
                 continue
             self._check_may_proceed(endpoint_id, connection, may_proceed)
             # This check is the last one: bytes received after it are read as the response.
-            if is_quiet(connection.sock):
+            if is_open_without_input(connection.sock):
                 return connection
             self._close(connection)
             is_new = not connection.idle_since_ns
@@ -205,7 +205,7 @@
         reason = self._loop.wait(connection.fd, READABLE, min(deadline_ns, settled_ns))
         del self._settling[endpoint_id]
         if reason is WakeReason.INTERRUPTED:
-            if self._may_reuse(connection) and is_quiet(connection.sock):
+            if self._may_reuse(connection) and is_open_without_input(connection.sock):
                 self._release(endpoint_id, connection)
             else:
                 self._close(connection)  # a byte may have been received at the same time
--- a/tests/eventloop/test_tcp_socket.py
+++ b/tests/eventloop/test_tcp_socket.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from lugtally.eventloop.tcp_socket import create_tcp_socket, is_quiet
+from lugtally.eventloop.tcp_socket import create_tcp_socket, is_open_without_input
 
 
 class Connection(NamedTuple):
@@ -49,27 +49,27 @@
 
 def test_open_connection_without_bytes_is_quiet(connection: Connection) -> None:
     sock, _ = connection
-    assert is_quiet(sock)
+    assert is_open_without_input(sock)
 
 
 def test_connection_with_unread_bytes_is_not_quiet(connection: Connection) -> None:
     sock, peer = connection
     peer.sendall(b"x")
     wait_readable(sock)
-    assert not is_quiet(sock)
+    assert not is_open_without_input(sock)
     assert sock.recv(2) == b"x", "the check must not consume bytes"
-    assert is_quiet(sock)
+    assert is_open_without_input(sock)
 
 
 def test_closed_connection_is_not_quiet(connection: Connection) -> None:
     sock, peer = connection
     peer.close()
     wait_readable(sock)
-    assert not is_quiet(sock)
+    assert not is_open_without_input(sock)
 
 
 def test_reset_connection_is_not_quiet(connection: Connection) -> None:
     sock, peer = connection
     peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     peer.close()
-    assert not is_quiet(sock)
+    assert not is_open_without_input(sock)
