--- a/lugtally/http1/serializer.py
+++ b/lugtally/http1/serializer.py
@@ -58,7 +58,7 @@
         self._body = message.body
         self.time_left_offset = len(self._head)
 
-    def write(self, time_left_ns: int) -> bytes:
+    def serialize(self, time_left_ns: int) -> bytes:
         """Return the bytes of an attempt that starts with ``time_left_ns`` until the deadline of the request."""
         return b"%s%.3f\r\n\r\n%s" % (self._head, max(0, time_left_ns) / NS_PER_S, self._body)
 
--- a/lugtally/upstream/attempt.py
+++ b/lugtally/upstream/attempt.py
@@ -49,7 +49,7 @@
         if time_left_ns <= 0:
             raise AttemptAborted(AttemptOutcome.TIMEOUT_BEFORE_SENT)
         if sent <= request.time_left_offset:
-            data = request.write(time_left_ns)  # the bytes already sent stay the same
+            data = request.serialize(time_left_ns)  # the bytes already sent stay the same
         try:
             sent += connection.sock.send(memoryview(data)[sent:])
         except BlockingIOError:
