--- a/lugtally/downstream/closing.py
+++ b/lugtally/downstream/closing.py
@@ -29,16 +29,16 @@
     The caller closes the socket afterwards.  Further input is not read: a client whose request is not read learns from
     the shutdown that it was not processed.
     """
-    connection.since_ns = connection.loop.now()
+    connection.waiting_since_ns = connection.loop.now()
     connection.transition(TransitionCause.LAST_RESPONSE_COMPLETE)
     try:
         connection.sock.shutdown(socket.SHUT_WR)
-        has_closed = _wait_for_client_close(connection, connection.since_ns + SHORT_LINGER_NS)
+        has_closed = _wait_for_client_close(connection, connection.waiting_since_ns + SHORT_LINGER_NS)
         if not _has_unread_input(connection):
             return
         connection.transition(TransitionCause.UNREAD_INPUT_FOUND)
         if not has_closed:
-            has_closed = _wait_for_client_close(connection, connection.since_ns + MAX_LINGER_NS)
+            has_closed = _wait_for_client_close(connection, connection.waiting_since_ns + MAX_LINGER_NS)
         if has_closed:  # the client sends nothing more, but may still read
             connection.loop.sleep(SHORT_LINGER_NS)
     except OSError as error:
--- a/lugtally/downstream/connection.py
+++ b/lugtally/downstream/connection.py
@@ -44,7 +44,7 @@
         "loop",
         "response_truncated",
         "shutdown",
-        "since_ns",
+        "waiting_since_ns",
         "sock",
         "state",
         "wake_up",
@@ -65,7 +65,7 @@
         self.sock = sock
         self.fd = sock.fileno()
         self.state = ConnectionState.ACCEPTED
-        self.since_ns = loop.now()
+        self.waiting_since_ns = loop.now()
         """When the connection became idle, its present request started, or the lingering close started."""
         self.client_status = ClientStatus.ACTIVE
         self.close_requested_in: ConnectionState | None = None
--- a/lugtally/downstream/connection_policy.py
+++ b/lugtally/downstream/connection_policy.py
@@ -44,7 +44,7 @@
     min_time_ns = _MIN_TIME_IN_STATE_NS.get(connection.state)
     if min_time_ns is None or connection.close_requested:
         return False
-    return now_ns - connection.since_ns >= min_time_ns
+    return now_ns - connection.waiting_since_ns >= min_time_ns
 
 
 def select_for_eviction(connections: Collection[DownstreamConnection], now_ns: int) -> DownstreamConnection | None:
@@ -52,7 +52,7 @@
     evictable = [connection for connection in connections if may_evict(connection, now_ns)]
     return min(
         evictable,
-        key=lambda connection: (_EVICTION_ORDER[connection.state], connection.since_ns),
+        key=lambda connection: (_EVICTION_ORDER[connection.state], connection.waiting_since_ns),
         default=None,
     )
 
--- a/lugtally/downstream/request_reader.py
+++ b/lugtally/downstream/request_reader.py
@@ -85,7 +85,7 @@
         if connection.state is ConnectionState.ACCEPTED:
             connection.transition(TransitionCause.READING_STARTED)
             return None
-        connection.since_ns = connection.loop.now()
+        connection.waiting_since_ns = connection.loop.now()
         request = self.queue.pop()
         if request is not None:
             connection.transition(TransitionCause.RESPONSE_COMPLETE_REQUEST_BUFFERED)
@@ -170,17 +170,17 @@
         """
         connection, shutdown = self.connection, self.connection.shutdown
         is_reading = connection.state is ConnectionState.READING_REQUEST
-        deadline_ns = connection.since_ns + (REQUEST_TIMEOUT_NS if is_reading else CLIENT_IDLE_TIMEOUT_NS)
+        deadline_ns = connection.waiting_since_ns + (REQUEST_TIMEOUT_NS if is_reading else CLIENT_IDLE_TIMEOUT_NS)
         return min(deadline_ns, shutdown.last_request_ns) if shutdown.closing else deadline_ns
 
     def _start_request_time(self) -> None:
         """Start the time of a request at its first bytes; that of the first request started with the connection."""
         connection = self.connection
         if connection.state is ConnectionState.IDLE:
-            connection.since_ns = connection.loop.now()
+            connection.waiting_since_ns = connection.loop.now()
         connection.transition(TransitionCause.FIRST_BYTES_RECEIVED)
 
     def _check_request_time(self) -> None:
         """Raise :class:`RequestTimeoutError` if the bytes just read were received after the request timed out."""
-        if self.arrival.received_after_ns > self.connection.since_ns + REQUEST_TIMEOUT_NS:
+        if self.arrival.received_after_ns > self.connection.waiting_since_ns + REQUEST_TIMEOUT_NS:
             raise RequestTimeoutError
--- a/tests/downstream/test_connection_policy.py
+++ b/tests/downstream/test_connection_policy.py
@@ -24,10 +24,10 @@
         yield local
 
 
-def connection_in(state: ConnectionState, sock: socket.socket, since_ns: int = 0) -> DownstreamConnection:
+def connection_in(state: ConnectionState, sock: socket.socket, waiting_since_ns: int = 0) -> DownstreamConnection:
     connection = DownstreamConnection(sock, EventLoop())
     connection.state = state
-    connection.since_ns = since_ns
+    connection.waiting_since_ns = waiting_since_ns
     return connection
 
 
@@ -75,10 +75,10 @@
 
 
 def test_selection_prefers_state_then_age(sock: socket.socket) -> None:
-    reading = connection_in(ConnectionState.READING_REQUEST, sock, since_ns=1)
-    idle = connection_in(ConnectionState.IDLE, sock, since_ns=3)
-    older_new = connection_in(ConnectionState.AWAITING_FIRST_REQUEST, sock, since_ns=2)
-    lingering = connection_in(ConnectionState.LINGERING, sock, since_ns=4)
+    reading = connection_in(ConnectionState.READING_REQUEST, sock, waiting_since_ns=1)
+    idle = connection_in(ConnectionState.IDLE, sock, waiting_since_ns=3)
+    older_new = connection_in(ConnectionState.AWAITING_FIRST_REQUEST, sock, waiting_since_ns=2)
+    lingering = connection_in(ConnectionState.LINGERING, sock, waiting_since_ns=4)
     connections = [reading, idle, older_new, lingering]
     for expected in (lingering, older_new, idle, reading):
         assert select_for_eviction(connections, LONG_WAIT_NS) is expected
