--- a/lugtally/downstream/arrival.py
+++ b/lugtally/downstream/arrival.py
@@ -12,14 +12,14 @@
 class ArrivalBound:
     """The bound for one connection."""
 
-    __slots__ = ("_drained_ns", "_loop", "received_after_ns")
+    __slots__ = ("_drained_ns", "_loop", "arrived_after_ns")
 
     def __init__(self, loop: EventLoop, drained_ns: int) -> None:
         """``drained_ns`` is a time at which no byte had arrived."""
         self._loop = loop
         self._drained_ns = drained_ns
         """The last time at which no byte was known to be unread."""
-        self.received_after_ns = drained_ns
+        self.arrived_after_ns = drained_ns
         """A time before which the bytes of the last read had not arrived."""
 
     def note_empty(self, called_ns: int) -> None:
@@ -28,7 +28,7 @@
 
     def note_received(self, called_ns: int, is_drained: bool) -> None:
         """Record that a read at ``called_ns`` returned bytes; ``is_drained`` means all that were available."""
-        self.received_after_ns = self._drained_ns
+        self.arrived_after_ns = self._drained_ns
         if is_drained:
             self._drained_ns = called_ns
 
--- a/lugtally/downstream/deadlines.py
+++ b/lugtally/downstream/deadlines.py
@@ -24,8 +24,8 @@
         The time left counts from the arrival of the request's last byte.  The requests in ``queue`` were received
         after it and are answered after it, so their deadlines limit its own.
         """
-        deadline_ns = request.arrived_ns + request.time_left_ns
+        deadline_ns = request.arrived_after_ns + request.time_left_ns
         for queued in queue:
             if (time_left_ns := self._validator.time_left_ns(queued.message)) is not None:
-                deadline_ns = min(deadline_ns, queued.arrived_ns + time_left_ns + PIPELINE_SLACK_NS)
+                deadline_ns = min(deadline_ns, queued.arrived_after_ns + time_left_ns + PIPELINE_SLACK_NS)
         return min(deadline_ns, self._shutdown.last_response_ns) if self._shutdown.closing else deadline_ns
--- a/lugtally/downstream/request_queue.py
+++ b/lugtally/downstream/request_queue.py
@@ -15,7 +15,7 @@
     """A complete request."""
 
     message: Message
-    arrived_ns: int
+    arrived_after_ns: int
     """A time before which its last byte had not arrived; its time left counts from here."""
 
 
@@ -52,14 +52,14 @@
         """Iterate over the queued requests."""
         return iter(self._requests)
 
-    def feed(self, data: bytes, arrived_ns: int) -> None:
-        """Parse bytes that had not arrived before ``arrived_ns``."""
+    def feed(self, data: bytes, arrived_after_ns: int) -> None:
+        """Parse bytes that had not arrived before ``arrived_after_ns``."""
         if self._parse_error is not None:
             return
         try:
             message = self.parser.feed(data)
             while message is not None:
-                self._requests.append(ReceivedRequest(message, arrived_ns))
+                self._requests.append(ReceivedRequest(message, arrived_after_ns))
                 message = None if self.parser.is_idle else self.parser.feed(b"")
         except ProtocolError as error:
             self._parse_error = error
--- a/lugtally/downstream/request_reader.py
+++ b/lugtally/downstream/request_reader.py
@@ -73,7 +73,7 @@
             return False  # the event loop reports the client's close
         if not data:
             return data is None
-        self.queue.feed(data, self.arrival.received_after_ns)
+        self.queue.feed(data, self.arrival.arrived_after_ns)
         return len(data) < RECEIVE_BYTES
 
     def _next_buffered_request(self) -> ReceivedRequest | None:
@@ -119,7 +119,7 @@
                 self._check_request_time()
             else:
                 self._start_request_time()
-            self.queue.feed(data, self.arrival.received_after_ns)
+            self.queue.feed(data, self.arrival.arrived_after_ns)
             request = self.queue.pop()
         connection.transition(TransitionCause.REQUEST_COMPLETE)
         return request
@@ -182,5 +182,5 @@
 
     def _check_request_time(self) -> None:
         """Raise :class:`RequestTimeoutError` if the bytes just read were received after the request timed out."""
-        if self.arrival.received_after_ns > self.connection.waiting_since_ns + REQUEST_TIMEOUT_NS:
+        if self.arrival.arrived_after_ns > self.connection.waiting_since_ns + REQUEST_TIMEOUT_NS:
             raise RequestTimeoutError
--- a/lugtally/downstream/validation.py
+++ b/lugtally/downstream/validation.py
@@ -18,7 +18,7 @@
     """A valid request and what its headers say."""
 
     message: Message
-    arrived_ns: int
+    arrived_after_ns: int
     """A time before which its last byte had not arrived; its time left counts from here."""
     time_left_ns: int
     class_index: int
@@ -58,7 +58,7 @@
             raise ProtocolError(400, "Idempotency-Key is missing")  # endpoints could not drop duplicates
         return ValidatedRequest(
             message,
-            request.arrived_ns,
+            request.arrived_after_ns,
             _time_left_ns(message, settings.deadline_ns),
             request_class.class_index,
             self._tenant_indexes.get(message.header_map.get("x-account", ""), UNKNOWN_TENANT),
