--- a/lugtally/downstream/acceptor.py
+++ b/lugtally/downstream/acceptor.py
@@ -33,7 +33,7 @@
         connections: set[DownstreamConnection],
         connection_closed: Event,
         max_connections: int,
-        shutdown: ShutdownState,
+        shutdown_state: ShutdownState,
         handle_connection: Callable[[DownstreamConnection], None],
     ) -> None:
         """Create an acceptor without a listener.
@@ -45,7 +45,7 @@
         self._connections = connections
         self._connection_closed = connection_closed
         self._max_connections = max_connections
-        self._shutdown = shutdown
+        self._shutdown_state = shutdown_state
         self._handle_connection = handle_connection
         self._backlog_empty_ns = loop.now()
         """The last time at which the backlog was known to be empty."""
@@ -117,7 +117,7 @@
 
     def _open_connection(self, sock: socket.socket) -> None:
         sock.setblocking(False)
-        connection = DownstreamConnection(sock, self._loop, self._shutdown, self._backlog_empty_ns)
+        connection = DownstreamConnection(sock, self._loop, self._shutdown_state, self._backlog_empty_ns)
         self._connections.add(connection)
         self._loop.spawn(self._handle_connection, connection)
 
--- a/lugtally/downstream/connection.py
+++ b/lugtally/downstream/connection.py
@@ -43,7 +43,7 @@
         "fd",
         "loop",
         "response_truncated",
-        "shutdown",
+        "shutdown_state",
         "waiting_since_ns",
         "sock",
         "state",
@@ -55,12 +55,12 @@
         self,
         sock: socket.socket,
         loop: EventLoop,
-        shutdown: ShutdownState | None = None,
+        shutdown_state: ShutdownState | None = None,
         connected_after_ns: int | None = None,
     ) -> None:
         """``connected_after_ns`` is a time before which the client had not connected; the default is now."""
         self.loop = loop
-        self.shutdown = shutdown or ShutdownState()
+        self.shutdown_state = shutdown_state or ShutdownState()
         self.connected_after_ns = loop.now() if connected_after_ns is None else connected_after_ns
         self.sock = sock
         self.fd = sock.fileno()
@@ -139,9 +139,9 @@
 
     def client_deadline_ns(self, deadline_ns: int) -> int:
         """Return until when to wait for the client, which a graceful shutdown limits."""
-        if not self.shutdown.draining:
+        if not self.shutdown_state.draining:
             return deadline_ns
-        return min(deadline_ns, max(self.loop.now(), self.shutdown.last_response_ns) + SHUTDOWN_CLIENT_TIMEOUT_NS)
+        return min(deadline_ns, max(self.loop.now(), self.shutdown_state.last_response_ns) + SHUTDOWN_CLIENT_TIMEOUT_NS)
 
     def close(self) -> None:
         """Close the socket immediately."""
--- a/lugtally/downstream/connection_policy.py
+++ b/lugtally/downstream/connection_policy.py
@@ -61,10 +61,10 @@
     """Decides whether a connection carries further requests after the one in progress."""
 
     def __init__(
-        self, shutdown: ShutdownState, connections: Collection[DownstreamConnection], max_connections: int
+        self, shutdown_state: ShutdownState, connections: Collection[DownstreamConnection], max_connections: int
     ) -> None:
         """``connections`` are the server's open connections; the server updates them."""
-        self._shutdown = shutdown
+        self._shutdown_state = shutdown_state
         self._connections = connections
         self._max_connections = max_connections
 
@@ -85,7 +85,7 @@
     def may_read_ahead(self, connection: DownstreamConnection, request: Message) -> bool:
         """Return whether further requests may be read before this one is answered."""
         is_at_fault = connection.client_status is ClientStatus.AT_FAULT
-        return request.keep_alive and not is_at_fault and not self._shutdown.draining
+        return request.keep_alive and not is_at_fault and not self._shutdown_state.draining
 
     def _may_keep_alive(self) -> bool:
         """Return whether a connection without further input may stay open.
@@ -93,4 +93,4 @@
         When clients use more than half of the connections, each response closes its connection: idle connections
         would keep new clients in the backlog.
         """
-        return not self._shutdown.draining and len(self._connections) <= self._max_connections // 2
+        return not self._shutdown_state.draining and len(self._connections) <= self._max_connections // 2
--- a/lugtally/downstream/deadlines.py
+++ b/lugtally/downstream/deadlines.py
@@ -14,9 +14,9 @@
 class RequestDeadlines:
     """Computes deadlines; one instance serves all requests."""
 
-    def __init__(self, validator: RequestValidator, shutdown: ShutdownState) -> None:
+    def __init__(self, validator: RequestValidator, shutdown_state: ShutdownState) -> None:
         self._validator = validator
-        self._shutdown = shutdown
+        self._shutdown_state = shutdown_state
 
     def deadline_ns(self, request: ValidatedRequest, queue: RequestQueue) -> int:
         """Return when the response to a request is due.
@@ -28,4 +28,4 @@
         for queued in queue:
             if (time_left_ns := self._validator.time_left_ns(queued.message)) is not None:
                 deadline_ns = min(deadline_ns, queued.arrived_after_ns + time_left_ns + PIPELINE_SLACK_NS)
-        return min(deadline_ns, self._shutdown.last_response_ns) if self._shutdown.closing else deadline_ns
+        return min(deadline_ns, self._shutdown_state.last_response_ns) if self._shutdown_state.closing else deadline_ns
--- a/lugtally/downstream/request_reader.py
+++ b/lugtally/downstream/request_reader.py
@@ -168,10 +168,10 @@
 
         The limit of a request counts from its first byte, so that a client cannot extend it by sending slowly.
         """
-        connection, shutdown = self.connection, self.connection.shutdown
+        connection, shutdown_state = self.connection, self.connection.shutdown_state
         is_reading = connection.state is ConnectionState.READING_REQUEST
         deadline_ns = connection.waiting_since_ns + (REQUEST_TIMEOUT_NS if is_reading else CLIENT_IDLE_TIMEOUT_NS)
-        return min(deadline_ns, shutdown.last_request_ns) if shutdown.closing else deadline_ns
+        return min(deadline_ns, shutdown_state.last_request_ns) if shutdown_state.closing else deadline_ns
 
     def _start_request_time(self) -> None:
         """Start the time of a request at its first bytes; that of the first request started with the connection."""
--- a/lugtally/downstream/server.py
+++ b/lugtally/downstream/server.py
@@ -58,16 +58,16 @@
         self._validator = RequestValidator(classes, tenants, self._ids_in_progress)
         self._health_checks = HealthCheckRateLimiter(loop)
         self._connection_closed = Event(loop)
-        state = ShutdownState()
-        self._reuse_policy = ReusePolicy(state, self._connections, max_connections)
-        deadlines = RequestDeadlines(self._validator, state)
+        shutdown_state = ShutdownState()
+        self._reuse_policy = ReusePolicy(shutdown_state, self._connections, max_connections)
+        deadlines = RequestDeadlines(self._validator, shutdown_state)
         self._services = ExchangeServices(loop, dispatcher, upstream, deadlines, self._reuse_policy)
         self._acceptor = ConnectionAcceptor(
-            loop, self._connections, self._connection_closed, max_connections, state, self._handle_connection
+            loop, self._connections, self._connection_closed, max_connections, shutdown_state, self._handle_connection
         )
         longest_deadline_ns = max((request_class.deadline_ns for request_class in classes), default=0)
         self._shutdown = GracefulShutdown(
-            loop, self._connections, self._connection_closed, self._acceptor, state, longest_deadline_ns
+            loop, self._connections, self._connection_closed, self._acceptor, shutdown_state, longest_deadline_ns
         )
         self.ready = False
         """Whether requests can be sent to an endpoint, as health checks report it; set by the owner."""
