--- a/lugtally/downstream/closing.py
+++ b/lugtally/downstream/closing.py
@@ -45,16 +45,16 @@
         _log_disconnect(error)
 
 
-def discard_input(connection: DownstreamConnection, was_slow: bool) -> None:
+def discard_input(connection: DownstreamConnection, timed_out: bool) -> None:
     """Shut down the sending side and discard input until the client sends nothing more or closes.
 
     After a malformed request the boundaries of further requests are unknown.  A client may read its error response
-    only after it has sent all of its input.  ``was_slow`` shortens the wait after a request that timed out.
+    only after it has sent all of its input.  ``timed_out`` shortens the wait after a request that timed out.
     """
     if connection.evicted:
         return  # another client waits for a connection
-    silence_ns = SHORT_LINGER_NS if was_slow else LINGER_SILENCE_TIMEOUT_NS
-    linger_ns = SHORT_LINGER_NS if was_slow else MAX_LINGER_NS
+    silence_ns = SHORT_LINGER_NS if timed_out else LINGER_SILENCE_TIMEOUT_NS
+    linger_ns = SHORT_LINGER_NS if timed_out else MAX_LINGER_NS
     loop = connection.loop
     deadline_ns = connection.client_deadline_ns(loop.now() + linger_ns)
     try:
--- a/lugtally/downstream/server.py
+++ b/lugtally/downstream/server.py
@@ -159,7 +159,7 @@
         """Send the error response to a request that cannot be read; it is the connection's last response."""
         connection.start_discarding()
         if connection.write(serialize_response(*protocol_error_response(error), close=True)):
-            discard_input(connection, was_slow=isinstance(error, RequestTimeoutError))
+            discard_input(connection, timed_out=isinstance(error, RequestTimeoutError))
 
     # ------------------------------------------------------------ requests
 
