--- a/lugtally/downstream/exchange.py
+++ b/lugtally/downstream/exchange.py
@@ -147,7 +147,7 @@
     def _final_response(self, decision: Decision) -> FinalResponse | None:
         connection = self._connection
         if self._stream is not None and self._stream.started:
-            return None if connection.response_truncated else StreamedResponse(self._stream.closes)
+            return None if connection.response_truncated else StreamedResponse(self._stream.closes_connection)
         if self._client_closed:
             connection.client_status = ClientStatus.HALF_CLOSED
             return self._response_to_half_closed()
@@ -228,7 +228,7 @@
             self._connection,
             self._request.message,
             head,
-            closes=self._services.reuse_policy.closes_after(self._reader, self._request.message),
+            closes_connection=self._services.reuse_policy.closes_after(self._reader, self._request.message),
             hold_until_ns=self._pending.deadline_ns if self._reader.queue.has_request else None,
         )
         if self._client_closed or not self._services.dispatcher.claim_stream(self._pending, attempt.number):
--- a/lugtally/downstream/response_stream.py
+++ b/lugtally/downstream/response_stream.py
@@ -29,7 +29,7 @@
         request: Message,
         head: Message,
         *,
-        closes: bool,
+        closes_connection: bool,
         hold_until_ns: int | None,
     ) -> None:
         """Create the stream without sending anything.
@@ -38,16 +38,18 @@
             connection: the connection of the client.
             request: the request that is answered.
             head: the head of the endpoint's response.
-            closes: whether the connection closes after the response.
+            closes_connection: whether the connection closes after the response.
             hold_until_ns: until when the response may be buffered; ``None`` to send it immediately.
         """
         self._has_length = "content-length" in head.header_map
         has_framing = self._has_length or "transfer-encoding" in head.header_map
         self._chunked = not has_framing and request.minor_version > 0
         self._connection = connection
-        self._buffer = bytearray(serialize_streamed_head(head, forwarded_headers(head), self._chunked, closes))
+        self._buffer = bytearray(
+            serialize_streamed_head(head, forwarded_headers(head), self._chunked, closes_connection)
+        )
         self._writable = True
-        self.closes = closes
+        self.closes_connection = closes_connection
         """Whether the connection closes after the response."""
         self.hold_until_ns = hold_until_ns
         """Until when the response is buffered; ``None`` once it is being sent."""
--- a/lugtally/downstream/responses.py
+++ b/lugtally/downstream/responses.py
@@ -36,7 +36,7 @@
 class StreamedResponse(NamedTuple):
     """A final response that was streamed to the client completely."""
 
-    closes: bool
+    closes_connection: bool
     """Whether it announced the close of its connection."""
 
 
--- a/lugtally/downstream/server.py
+++ b/lugtally/downstream/server.py
@@ -140,19 +140,19 @@
         if response is None:
             return False
         if isinstance(response, StreamedResponse):
-            closes = response.closes
+            closes_connection = response.closes_connection
         else:
             if 400 <= response.status < 500 and connection.client_status is ClientStatus.ACTIVE:
                 connection.client_status = ClientStatus.AT_FAULT
-            closes = self._reuse_policy.closes_after(reader, request.message)
-            data = serialize_response(*response, close=closes)
+            closes_connection = self._reuse_policy.closes_after(reader, request.message)
+            data = serialize_response(*response, close=closes_connection)
             response = None  # while a slow client reads, only the serialized response stays in memory
             connection.transition(TransitionCause.RESPONSE_STARTED)
             if not connection.write(data):
                 return False
-        if closes:
+        if closes_connection:
             lingering_close(connection)
-        return not closes
+        return not closes_connection
 
     @staticmethod
     def _reject_malformed(connection: DownstreamConnection, error: ProtocolError) -> None:
