--- a/lugtally/downstream/acceptor.py
+++ b/lugtally/downstream/acceptor.py
@@ -1,4 +1,4 @@
-"""Accepting client connections up to a limit, and evicting connections when more clients wait in the backlog."""
+"""Accepts client connections up to a limit, and evicts connections while further clients wait in the backlog."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 EVICTION_INTERVAL_NS = 20 * NS_PER_MS
 """How often to select a connection for eviction while the limit is reached and clients wait in the backlog."""
 ACCEPT_ERROR_BACKOFF_NS = 20 * NS_PER_MS
-"""How long to wait after a failed ``accept``, unless a connection closes earlier."""
-DRAIN_CAPACITY_DIVISOR = 8
-"""While the backlog is drained for a shutdown, this part of the connection limit is allowed on top of it."""
+"""How long to wait after a failed ``accept`` before the next one, unless a connection closes earlier."""
+DRAIN_EXTRA_CONNECTIONS_DIVISOR = 8
+"""While a shutdown accepts the backlog, the connection limit is raised by the limit divided by this."""
 
 
 class ConnectionAcceptor:
-    """Accepts connections from one listener and evicts connections for waiting clients."""
+    """Accepts connections from one listener, and evicts connections to make room for waiting clients."""
 
     def __init__(
         self,
@@ -38,8 +38,9 @@
     ) -> None:
         """Create an acceptor without a listener.
 
-        Accepted connections are added to ``connections``, the server's own set.  ``connection_closed`` is set when one
-        of them has closed.  ``handle_connection`` runs in a task for each connection.
+        Accepted connections are added to ``connections``, the server's set of open connections.  The server sets
+        ``connection_closed`` when one of them has closed.  ``handle_connection`` runs in a separate task for each
+        connection.
         """
         self._loop = loop
         self._connections = connections
@@ -47,28 +48,29 @@
         self._max_connections = max_connections
         self._shutdown_state = shutdown_state
         self._handle_connection = handle_connection
-        self._backlog_empty_ns = loop.now()
-        """The last time at which the backlog was known to be empty."""
-        self._backlog_is_drained = True
-        """Whether the last accept emptied the backlog.  Otherwise a client may have waited since before it."""
+        self._backlog_last_empty_ns = loop.now()
+        """The last time at which the backlog is known to have been empty."""
+        self._backlog_was_emptied = True
+        """Whether accepting last emptied the backlog.  If not, a client in it may have connected before that."""
         self._task: Task | None = None
         self.listener: socket.socket | None = None
         self._listener_is_shared = False
 
     def start(self, listener: socket.socket, is_shared: bool) -> None:
-        """Accept from this listener; the backlog of a shared one is left to the successor process."""
+        """Accept from this listener.  At the shutdown the backlog of a shared one is left to the successor process."""
         self.listener = listener
         self._listener_is_shared = is_shared
         self._task = self._loop.spawn(self._accept_connections, listener)
 
     def stop(self, deadline_ns: int) -> None:
-        """Accept the clients in the backlog, as capacity allows until the deadline, and close the listener."""
+        """Accept the clients in the backlog, as the connection limit allows until the deadline; close the listener."""
         if self._task is not None:
-            # Race: the task may wait for a connection to close and consume the event that the shutdown needs.
+            # Race: the accepting task may be waiting for a connection to close; it would consume the event that the
+            # shutdown waits for.
             self._loop.interrupt(self._task)
         if self.listener is not None:
-            # Closing the listener resets the connections in its backlog.  Closing a shared one does not: the
-            # successor process has it open too.
+            # Closing the listener resets the connections in its backlog, unless it is shared: the successor process
+            # has it open too.
             if not self._listener_is_shared:
                 self._drain_backlog(self.listener, deadline_ns)
             self.listener.close()
@@ -82,48 +84,50 @@
             if len(self._connections) < self._max_connections:
                 self._accept_batch(listener, self._max_connections, MAX_ACCEPTS_PER_TURN)
             else:
-                self._backlog_is_drained = False
+                self._backlog_was_emptied = False
                 reason = self._evict_and_wait(self._loop.now() + EVICTION_INTERVAL_NS)
 
     def _wait_for_clients(self, listener: socket.socket) -> WakeReason:
         watched_since_ns = self._loop.now()
         reason = self._loop.wait(listener.fileno(), READABLE)
-        if reason is WakeReason.READY and self._backlog_is_drained:
-            empty_ns = self._loop.not_ready_before_ns(watched_since_ns)
-            self._backlog_empty_ns = max(self._backlog_empty_ns, empty_ns)
+        if reason is WakeReason.READY and self._backlog_was_emptied:
+            last_empty_ns = self._loop.not_ready_before_ns(watched_since_ns)
+            self._backlog_last_empty_ns = max(self._backlog_last_empty_ns, last_empty_ns)
         return reason
 
     def _accept_batch(self, listener: socket.socket, max_connections: int, max_accepts: int) -> None:
-        """Accept the clients in the backlog, within these limits."""
-        self._backlog_is_drained = False
+        """Accept clients until the backlog is empty or one of the limits is reached."""
+        self._backlog_was_emptied = False
         while listener.fileno() >= 0 and len(self._connections) < max_connections and max_accepts > 0:
             max_accepts -= 1
-            called_ns = self._loop.now()
+            accept_called_ns = self._loop.now()
             try:
                 sock, _ = listener.accept()
             except BlockingIOError:
-                self._backlog_empty_ns = called_ns
-                self._backlog_is_drained = True
+                self._backlog_last_empty_ns = accept_called_ns
+                self._backlog_was_emptied = True
                 return
             except ConnectionAbortedError:
-                continue  # the client disconnected while it waited
+                continue  # the client disconnected while it waited in the backlog
             except OSError as error:
-                # Usually no descriptor is free.  The backlog stays readable, so retrying immediately would use all of
-                # the CPU.  An exception would end the accepting task.
-                logger.warning("cannot accept: {reason}", event="downstream.accept_failed", reason=error.strerror)
+                # Usually no descriptor is free.  The listener stays readable, so that retrying immediately would use
+                # all of the CPU.  An uncaught exception would end the accepting task.
+                logger.warning(
+                    "cannot accept a connection: {reason}", event="downstream.accept_failed", reason=error.strerror
+                )
                 self._evict_and_wait(self._loop.now() + ACCEPT_ERROR_BACKOFF_NS)
                 return
             self._open_connection(sock)
 
     def _open_connection(self, sock: socket.socket) -> None:
         sock.setblocking(False)
-        connection = DownstreamConnection(sock, self._loop, self._shutdown_state, self._backlog_empty_ns)
+        connection = DownstreamConnection(sock, self._loop, self._shutdown_state, self._backlog_last_empty_ns)
         self._connections.add(connection)
         self._loop.spawn(self._handle_connection, connection)
 
     def _drain_backlog(self, listener: socket.socket, deadline_ns: int) -> None:
-        """Accept all clients in the backlog, as connections close, until the deadline."""
-        max_connections = self._max_connections + self._max_connections // DRAIN_CAPACITY_DIVISOR
+        """Accept all clients in the backlog, each as soon as the limit allows it, until the deadline."""
+        max_connections = self._max_connections + self._max_connections // DRAIN_EXTRA_CONNECTIONS_DIVISOR
         while self._loop.is_ready(listener.fileno(), READABLE) and self._loop.now() < deadline_ns:
             if len(self._connections) >= max_connections:
                 self._evict_and_wait(min(deadline_ns, self._loop.now() + EVICTION_INTERVAL_NS))
@@ -131,7 +135,7 @@
                 self._accept_batch(listener, max_connections, LISTEN_BACKLOG)
 
     def _evict_and_wait(self, deadline_ns: int) -> WakeReason:
-        """Evict a connection, if any may be, and wait until one has closed or the deadline passed."""
+        """Evict a connection if one may be evicted; then wait until any connection closes or the deadline passes."""
         connection = select_for_eviction(self._connections, self._loop.now())
         if connection is not None:
             connection.evict()
