--- a/lugtally/downstream/request_reader.py
+++ b/lugtally/downstream/request_reader.py
@@ -145,7 +145,7 @@
         except BlockingIOError:
             self.arrival.note_empty(called_ns)
             return None
-        self.arrival.note_received(called_ns, is_drained=len(data) < RECEIVE_BYTES)
+        self.arrival.note_received(called_ns, is_emptied=len(data) < RECEIVE_BYTES)
         return data
 
     def _wait_for_bytes(self) -> None:
