--- a/lugtally/downstream/closing.py
+++ b/lugtally/downstream/closing.py
@@ -1,7 +1,8 @@
-"""Closing a connection after its last response, without losing the response to a reset.
+"""Closes a connection after its last response, without losing the response to a reset.
 
-Closing a socket with unread bytes, or one to which the client still sends, resets the connection.  The reset discards
-what the client has not read of its response.  The sending side is therefore shut down first.
+Closing a socket that has unread bytes, or to which the client still sends, resets the connection.  A reset discards
+the part of the response that the client has not read.  Therefore only the sending side is shut down at first, and the
+socket is closed later.
 """
 
 from __future__ import annotations
@@ -16,18 +17,18 @@
 from lugtally.units import NS_PER_MS
 
 LINGER_SILENCE_TIMEOUT_NS = 1_000 * NS_PER_MS
-"""How long a client whose input is discarded may send nothing before the close."""
+"""While input is discarded, the socket is closed when the client has sent nothing for this long."""
 MAX_LINGER_NS = 2_500 * NS_PER_MS
-"""How long the close waits in all for a client that has sent, or still sends, further input."""
+"""How long in total to wait before the close for a client that has sent, or still sends, further input."""
 SHORT_LINGER_NS = 300 * NS_PER_MS
-"""How long the close waits for a client that sends nothing, or whose request timed out."""
+"""How long to wait before the close for a client that sends nothing, or whose request timed out."""
 
 
 def lingering_close(connection: DownstreamConnection) -> None:
-    """Shut down the sending side and wait until the client has read the response.
+    """Shut down the sending side and give the client time to read the response.
 
-    The caller closes the socket afterwards.  Further input is not read: a client whose request is not read learns from
-    the shutdown that it was not processed.
+    The caller closes the socket afterwards.  Further input is not read: if it is a request, the end of the stream tells
+    the client that the request was not processed.
     """
     connection.waiting_since_ns = connection.loop.now()
     connection.transition(TransitionCause.LAST_RESPONSE_COMPLETE)
@@ -39,28 +40,29 @@
         connection.transition(TransitionCause.UNREAD_INPUT_FOUND)
         if not has_closed:
             has_closed = _wait_for_client_close(connection, connection.waiting_since_ns + MAX_LINGER_NS)
-        if has_closed:  # the client sends nothing more, but may still read
+        if has_closed:  # the client sends nothing more, but may still be reading the response
             connection.loop.sleep(SHORT_LINGER_NS)
     except OSError as error:
         _log_disconnect(error)
 
 
 def discard_input(connection: DownstreamConnection, timed_out: bool) -> None:
-    """Shut down the sending side and discard input until the client sends nothing more or closes.
+    """Shut down the sending side and discard input until the client stops sending or closes.
 
-    After a malformed request the boundaries of further requests are unknown.  A client may read its error response
-    only after it has sent all of its input.  ``timed_out`` shortens the wait after a request that timed out.
+    After a malformed request the boundaries of further requests are unknown.  Input is still received, because a client
+    may read its error response only after it has sent everything.  ``timed_out`` says that the request timed out; the
+    wait is shorter then.
     """
     if connection.evicted:
-        return  # another client waits for a connection
-    silence_ns = SHORT_LINGER_NS if timed_out else LINGER_SILENCE_TIMEOUT_NS
-    linger_ns = SHORT_LINGER_NS if timed_out else MAX_LINGER_NS
+        return  # another client waits for this connection to be closed
+    silence_timeout_ns = SHORT_LINGER_NS if timed_out else LINGER_SILENCE_TIMEOUT_NS
+    max_linger_ns = SHORT_LINGER_NS if timed_out else MAX_LINGER_NS
     loop = connection.loop
-    deadline_ns = connection.client_deadline_ns(loop.now() + linger_ns)
+    deadline_ns = connection.client_deadline_ns(loop.now() + max_linger_ns)
     try:
         connection.sock.shutdown(socket.SHUT_WR)
         while (
-            loop.wait(connection.fd, READABLE, min(deadline_ns, loop.now() + silence_ns)) is WakeReason.READY
+            loop.wait(connection.fd, READABLE, min(deadline_ns, loop.now() + silence_timeout_ns)) is WakeReason.READY
             and loop.now() < deadline_ns
             and connection.sock.recv(RECEIVE_BYTES)
         ):
@@ -76,7 +78,7 @@
     deadline_ns = connection.client_deadline_ns(deadline_ns)
     has_closed, reason = False, WakeReason.READY
     while reason is WakeReason.READY and not has_closed and not connection.evicted:
-        reason = connection.wake_up.wait(deadline_ns)  # the event may still be set for an earlier reason
+        reason = connection.wake_up.wait(deadline_ns)  # may return at once, if the event was set earlier
         has_closed = loop.is_ready(connection.fd, PEER_CLOSED)
     loop.unregister(connection.fd)
     return has_closed
