--- a/lugtally/downstream/connection.py
+++ b/lugtally/downstream/connection.py
@@ -1,4 +1,4 @@
-"""One client connection: its socket, its state and writing to it."""
+"""One client connection: its socket, its state, and the writes to it."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
 from lugtally.units import NS_PER_MS
 
 RECEIVE_BYTES = 16 * 1024
-"""Size of one read; small, as each connection may buffer that much unparsed input."""
+"""Most bytes returned by one read; small, because each connection may buffer that much unparsed input."""
 WRITE_STALL_TIMEOUT_NS = 5_000 * NS_PER_MS
-"""How long a client may read nothing of a response."""
+"""How long a write waits for a client that does not read."""
 SHUTDOWN_CLIENT_TIMEOUT_NS = 50 * NS_PER_MS
-"""How long to wait for a client, to read or to close, after the last response of a graceful shutdown is due."""
+"""How long a graceful shutdown waits, after its last response is due, for a client to read or to close."""
 
-_RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # as SO_LINGER: the close resets the connection
+_RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # value of SO_LINGER (on, 0 s): the close resets the connection
 
 
 class ClientStatus(enum.Enum):
-    """The most severe condition that the client of a connection has shown."""
+    """What the client of a connection has done; of several values the last one applies."""
 
     ACTIVE = enum.auto()
     AT_FAULT = enum.auto()
     """One of its requests was rejected with a 4xx.  No further input is read, and the connection closes after the
-    requests that were already received are answered."""
+    requests that were already received have been answered."""
     HALF_CLOSED = enum.auto()
     """It shut down its sending side, so it may have disconnected.  None of its further requests is processed."""
 
 
 class DownstreamConnection:
-    """One client socket and its state; :mod:`~lugtally.downstream.connection_state` has the transitions."""
+    """One client socket and its state; :mod:`~lugtally.downstream.connection_state` defines the transitions."""
 
     __slots__ = (
         "client_status",
@@ -58,7 +58,7 @@
         shutdown_state: ShutdownState | None = None,
         connected_after_ns: int | None = None,
     ) -> None:
-        """``connected_after_ns`` is a time before which the client had not connected; the default is now."""
+        """``connected_after_ns`` is a lower bound of the time at which the client connected; the default is now."""
         self.loop = loop
         self.shutdown_state = shutdown_state or ShutdownState()
         self.connected_after_ns = loop.now() if connected_after_ns is None else connected_after_ns
@@ -66,43 +66,49 @@
         self.fd = sock.fileno()
         self.state = ConnectionState.ACCEPTED
         self.waiting_since_ns = loop.now()
-        """When the connection became idle, its present request started, or the lingering close started."""
+        """When the connection became idle, the client started its current request, or the lingering close started.
+
+        The time limits for the client count from here.
+        """
         self.client_status = ClientStatus.ACTIVE
         self.close_requested_in: ConnectionState | None = None
-        """The state in which the connection closes unless input is received first."""
+        """The connection closes in this state, unless input is received first."""
         self.evicted = False
-        """Whether the connection was evicted after its last complete request."""
+        """Whether the connection has been selected for eviction since its last complete request."""
         self.wake_up = Event(loop)
-        """Wakes the task that waits for the client: input is available, or the close was requested."""
+        """Set when input is available or the close was requested; wakes the task that waits for the client."""
         self.write_stalled = False
-        """Whether a write had to wait for the client since the last request was read."""
+        """Whether a write has had to wait for the client since the last request was read."""
         self.response_truncated = False
-        """Whether a streamed response was started and not completed: the close resets the connection."""
+        """Whether a streamed response was started and not completed; if so, the close resets the connection."""
 
     def transition(self, cause: TransitionCause) -> None:
         """Move to the next state.
 
         Raises:
-            InvalidTransitionError: the present state has no transition for this cause.
+            InvalidTransitionError: the current state has no transition for this cause.
         """
         self.state = next_state(self.state, cause)
 
     @property
     def close_requested(self) -> bool:
-        """Whether the connection closes in its present state unless input is received first."""
+        """Whether the connection closes in its current state, unless input is received first."""
         return self.close_requested_in is self.state
 
     def evict(self) -> None:
-        """Request the close to free capacity for another client.
+        """Request the close to make room for another client.
 
-        A request that is already complete is still processed, and a response is never truncated by a reset.
+        A request that is already complete is still processed, and its response is not truncated.
         """
         self.evicted = True
         self.close_requested_in = self.state
         self.wake_up.set()
 
     def close_when_idle(self) -> None:
-        """Request the close at the time when no request is in progress and no further input is available."""
+        """Request the close as soon as no request is in progress and no further input is available.
+
+        A connection that waits for its first request, or reads a request, is not closed.
+        """
         match self.state:
             case ConnectionState.AWAITING_FIRST_REQUEST:
                 # Race: the first request of a new connection may be on its way.
@@ -114,7 +120,7 @@
     def start_discarding(self) -> None:
         """Enter ``DISCARDING`` after an invalid request.
 
-        The connection may still be evicted if it was evictable as ``READING_REQUEST``.
+        The connection remains evictable if it was evictable in ``READING_REQUEST``.
         """
         may_be_evicted = self.state is ConnectionState.READING_REQUEST and not self.close_requested
         self.transition(TransitionCause.REQUEST_INVALID)
@@ -134,11 +140,11 @@
                     if self.loop.wait(self.fd, WRITABLE, deadline_ns) is not WakeReason.READY:
                         return False
         except OSError:
-            return False  # a client that closes while its response is written affects only its own connection
+            return False  # the client disconnected while its response was written: other connections are not affected
         return True
 
     def client_deadline_ns(self, deadline_ns: int) -> int:
-        """Return until when to wait for the client, which a graceful shutdown limits."""
+        """Return the earlier of this deadline and the one that a graceful shutdown sets for waiting for the client."""
         if not self.shutdown_state.draining:
             return deadline_ns
         return min(deadline_ns, max(self.loop.now(), self.shutdown_state.last_response_ns) + SHUTDOWN_CLIENT_TIMEOUT_NS)
@@ -148,6 +154,6 @@
         self.transition(TransitionCause.SOCKET_CLOSED)
         self.loop.unregister(self.fd)
         if self.response_truncated:
-            # The end of a connection may delimit a body: only a reset marks this one as incomplete.
+            # The regular end of a connection can mark the end of a body: only a reset shows that this one is truncated.
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
         self.sock.close()
