--- a/lugtally/downstream/connection_policy.py
+++ b/lugtally/downstream/connection_policy.py
@@ -1,6 +1,6 @@
-"""Which connections may be evicted, and which may carry a further request.
+"""Decides which connections may be evicted, and which may carry a further request.
 
-Eviction depends only on the state of a connection and the time for which it has waited for its client.
+Eviction depends only on the state of a connection and on how long it has waited for its client.
 """
 
 from __future__ import annotations
@@ -15,20 +15,23 @@
 from lugtally.units import NS_PER_MS
 
 MIN_LINGER_BEFORE_EVICTION_NS = 20 * NS_PER_MS
-"""How long a client has to read its last response and to close before its connection may be evicted."""
-MIN_IDLE_BEFORE_EVICTION_NS = 100 * NS_PER_MS
-"""How long a new client has to send its first byte before its connection may be evicted."""
+"""How long a client has to read its last response and to close, before its connection may be evicted."""
+MIN_NEW_CONNECTION_AGE_BEFORE_EVICTION_NS = 100 * NS_PER_MS
+"""How long a new client has to send its first byte, before its connection may be evicted."""
 MIN_REQUEST_TIME_BEFORE_EVICTION_NS = 500 * NS_PER_MS
-"""How long a client has to complete a request before its connection may be evicted."""
+"""How long a client has to complete a request, before its connection may be evicted."""
 
-_MIN_TIME_IN_STATE_NS = {
+_MIN_WAIT_BEFORE_EVICTION_NS = {
     ConnectionState.LINGERING: MIN_LINGER_BEFORE_EVICTION_NS,
     ConnectionState.IDLE: 0,
-    ConnectionState.AWAITING_FIRST_REQUEST: MIN_IDLE_BEFORE_EVICTION_NS,
+    ConnectionState.AWAITING_FIRST_REQUEST: MIN_NEW_CONNECTION_AGE_BEFORE_EVICTION_NS,
     ConnectionState.READING_REQUEST: MIN_REQUEST_TIME_BEFORE_EVICTION_NS,
     ConnectionState.DISCARDING: MIN_REQUEST_TIME_BEFORE_EVICTION_NS,
 }
-"""When a connection may be evicted, by its state.  In every other state it is never evicted."""
+"""How long a connection must have waited for its client before it may be evicted, by its state.
+
+In every other state it is never evicted.
+"""
 _EVICTION_ORDER = {
     ConnectionState.LINGERING: 0,
     ConnectionState.IDLE: 1,
@@ -36,19 +39,22 @@
     ConnectionState.READING_REQUEST: 2,
     ConnectionState.DISCARDING: 2,
 }
-"""Connections in a state with a lower number are evicted first."""
+"""Rank of each state: connections whose state has a lower rank are evicted first."""
 
 
 def may_evict(connection: DownstreamConnection, now_ns: int) -> bool:
-    """Return whether a connection may be closed to free capacity; never while a request is processed."""
-    min_time_ns = _MIN_TIME_IN_STATE_NS.get(connection.state)
-    if min_time_ns is None or connection.close_requested:
+    """Return whether a connection may be closed to make room for another; never while a request is processed."""
+    min_wait_ns = _MIN_WAIT_BEFORE_EVICTION_NS.get(connection.state)
+    if min_wait_ns is None or connection.close_requested:
         return False
-    return now_ns - connection.waiting_since_ns >= min_time_ns
+    return now_ns - connection.waiting_since_ns >= min_wait_ns
 
 
 def select_for_eviction(connections: Collection[DownstreamConnection], now_ns: int) -> DownstreamConnection | None:
-    """Return the connection to evict next: by its state, then the oldest; ``None`` if none may be evicted."""
+    """Return the connection to evict next, or ``None`` if none may be evicted.
+
+    Connections are ordered by their state; within a state, the one that has waited longest is the next.
+    """
     evictable = [connection for connection in connections if may_evict(connection, now_ns)]
     return min(
         evictable,
@@ -58,12 +64,12 @@
 
 
 class ReusePolicy:
-    """Decides whether a connection carries further requests after the one in progress."""
+    """Decides whether a connection may carry further requests after the one in progress."""
 
     def __init__(
         self, shutdown_state: ShutdownState, connections: Collection[DownstreamConnection], max_connections: int
     ) -> None:
-        """``connections`` are the server's open connections; the server updates them."""
+        """``connections`` are the server's open connections; the server adds and removes them."""
         self._shutdown_state = shutdown_state
         self._connections = connections
         self._max_connections = max_connections
@@ -71,8 +77,8 @@
     def closes_after(self, reader: RequestReader, request: Message) -> bool:
         """Return whether the connection closes after the response to this request.
 
-        Requests that were already received are answered first.  The rest of a partly received request is read too,
-        unless the client is at fault: it may send any number of further invalid requests.
+        Requests that were already received are answered first.  A partly received request is also read to its end,
+        unless the client is at fault, because it may go on sending invalid requests.
         """
         if not request.keep_alive:
             return True
@@ -90,7 +96,7 @@
     def _may_keep_alive(self) -> bool:
         """Return whether a connection without further input may stay open.
 
-        When clients use more than half of the connections, each response closes its connection: idle connections
+        While more than half of the allowed connections are open, each response closes its connection: idle connections
         would keep new clients in the backlog.
         """
         return not self._shutdown_state.draining and len(self._connections) <= self._max_connections // 2
