--- a/lugtally/downstream/connection.py
+++ b/lugtally/downstream/connection.py
@@ -22,7 +22,7 @@
 
 
 class ClientStatus(enum.Enum):
-    """What the client of a connection has done; of several values the last one applies."""
+    """What the client of a connection has done; if several of these apply, the last of them counts."""
 
     ACTIVE = enum.auto()
     AT_FAULT = enum.auto()
@@ -107,7 +107,7 @@
     def close_when_idle(self) -> None:
         """Request the close as soon as no request is in progress and no further input is available.
 
-        A connection that waits for its first request, or reads a request, is not closed.
+        A new connection may still send its first request.  A request that is being received is not affected.
         """
         match self.state:
             case ConnectionState.AWAITING_FIRST_REQUEST:
--- a/lugtally/downstream/connection_policy.py
+++ b/lugtally/downstream/connection_policy.py
@@ -53,7 +53,7 @@
 def select_for_eviction(connections: Collection[DownstreamConnection], now_ns: int) -> DownstreamConnection | None:
     """Return the connection to evict next, or ``None`` if none may be evicted.
 
-    Connections are ordered by their state; within a state, the one that has waited longest is the next.
+    Connections are ordered by the rank of their state; of equal rank, the one that has waited longest is next.
     """
     evictable = [connection for connection in connections if may_evict(connection, now_ns)]
     return min(
