--- a/lugtally/downstream/connection_state.py
+++ b/lugtally/downstream/connection_state.py
@@ -11,11 +11,12 @@
 class ConnectionState(enum.IntEnum):
     """What a connection is doing.
 
-    An ``IntEnum``, as are the causes: its members are hashed in C, and each request looks up several transitions.
+    This and :class:`TransitionCause` are ``IntEnum`` because members of that are hashed in C: each request looks up
+    several transitions.
     """
 
     ACCEPTED = enum.auto()
-    """Accepted; its task has not started to read."""
+    """Accepted; the connection's task has not started to read."""
     AWAITING_FIRST_REQUEST = enum.auto()
     """No byte has been received yet."""
     IDLE = enum.auto()
@@ -29,9 +30,9 @@
     LINGERING = enum.auto()
     """The last response has been sent, and the sending side is shut down; waits for the client to close."""
     LINGERING_WITH_UNREAD_INPUT = enum.auto()
-    """The same with unread bytes in the socket: closing now would reset the connection."""
+    """As ``LINGERING``, but with unread bytes in the socket: closing now would reset the connection."""
     DISCARDING = enum.auto()
-    """An invalid or late request gets its error response, and all further input is discarded."""
+    """An invalid or incomplete request gets its error response, and all further input is discarded."""
     CLOSED = enum.auto()
     """The socket is closed."""
 
@@ -50,13 +51,13 @@
     RESPONSE_STARTED = enum.auto()
     """The first byte of a response is about to be sent."""
     RESPONSE_COMPLETE = enum.auto()
-    """A response has been sent, and nothing of a further request was read meanwhile."""
+    """A response has been sent, and no byte of a further request has been read."""
     RESPONSE_COMPLETE_INPUT_BUFFERED = enum.auto()
-    """A response has been sent, and part of a further request was read meanwhile."""
+    """A response has been sent, and part of a further request has already been read."""
     RESPONSE_COMPLETE_REQUEST_BUFFERED = enum.auto()
-    """A response has been sent, and a further request was read meanwhile."""
+    """A response has been sent, and a further request has already been read completely."""
     LAST_RESPONSE_COMPLETE = enum.auto()
-    """A response that announced the end of the connection has been sent."""
+    """A response that announced the close of the connection has been sent."""
     UNREAD_INPUT_FOUND = enum.auto()
     """The client sent bytes after the last request."""
     SOCKET_CLOSED = enum.auto()
@@ -86,7 +87,7 @@
         TransitionCause.SOCKET_CLOSED: ConnectionState.CLOSED,
     },
     ConnectionState.WRITING_RESPONSE: {
-        # A fault of the sidecar during a streamed response: its error response follows on the same connection.
+        # A bug in the sidecar fails a response while it is streamed: an error response follows on the same connection.
         TransitionCause.RESPONSE_STARTED: ConnectionState.WRITING_RESPONSE,
         TransitionCause.RESPONSE_COMPLETE: ConnectionState.IDLE,
         TransitionCause.RESPONSE_COMPLETE_INPUT_BUFFERED: ConnectionState.READING_REQUEST,
@@ -107,7 +108,7 @@
 
 
 class InvalidTransitionError(Exception):
-    """A connection was moved in a way that :data:`TRANSITIONS` does not allow: a fault of the sidecar."""
+    """A connection was moved in a way that :data:`TRANSITIONS` does not allow, which is a bug in the sidecar."""
 
     def __init__(self, state: ConnectionState, cause: TransitionCause) -> None:
         super().__init__(f"no transition from {state.name} by {cause.name}")
