--- a/lugtally/downstream/deadlines.py
+++ b/lugtally/downstream/deadlines.py
@@ -1,4 +1,4 @@
-"""The deadline of a request, from its own time left, the requests behind it and the graceful shutdown."""
+"""The deadline of a request: set by its time left, the requests pipelined behind it and the graceful shutdown."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from lugtally.units import NS_PER_MS
 
 PIPELINE_SLACK_NS = 300 * NS_PER_MS
-"""How long after its deadline a pipelined request may be answered, as the response before it is sent first."""
+"""How long after its own deadline a pipelined request may be answered, because earlier responses are sent first."""
 
 
 class RequestDeadlines:
@@ -22,7 +22,7 @@
         """Return when the response to a request is due.
 
         The time left counts from the arrival of the request's last byte.  The requests in ``queue`` were received
-        after it and are answered after it, so their deadlines limit its own.
+        after this one and are answered after it, so their deadlines limit the deadline of this one.
         """
         deadline_ns = request.arrived_after_ns + request.time_left_ns
         for queued in queue:
