--- a/lugtally/downstream/exchange.py
+++ b/lugtally/downstream/exchange.py
@@ -1,4 +1,4 @@
-"""One request from its validation to its response: its attempts as tasks, and their cancellation."""
+"""One request from its validation to its response: runs its attempts as tasks, and cancels them."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ExchangeServices:
-    """What every exchange uses; one instance is shared, so that each request holds one reference."""
+    """The objects that all exchanges share, grouped so that each request holds a single reference."""
 
     loop: EventLoop
     dispatcher: Dispatcher
@@ -38,7 +38,7 @@
 
 
 class Exchange:
-    """One request and its attempts."""
+    """One request of a client, its attempts and its response."""
 
     __slots__ = (
         "_client_closed",
@@ -53,27 +53,27 @@
         "_tasks",
         "_watched_since_ns",
         "_watches_input",
-        "_writing_started",
+        "_forwarding_started",
     )
 
     def __init__(self, services: ExchangeServices, reader: RequestReader, request: ValidatedRequest) -> None:
-        """``reader`` is that of the request's connection."""
+        """``reader`` is the one that has read the request."""
         self._services = services
         self._reader = reader
         self._connection = reader.connection
         self._request = request
         self._stream: ResponseStream | None = None
-        """The streamed response, once an attempt has claimed the request."""
+        """The streamed response, once an attempt has been chosen to stream it."""
         self._forwarded = ForwardedRequest(request.message)
         self._tasks: dict[int, Task] = {}
-        """The tasks of the attempts by the attempt's number."""
+        """The task of each attempt, by the number of the attempt."""
         self._served: Message | None = None
-        """The complete response that is the answer."""
+        """The endpoint's response to be forwarded, if it is complete instead of streamed."""
         self._client_closed = False
         self._watched_since_ns = 0
         self._watches_input = False
-        """Whether the event loop reports the client's next bytes."""
-        self._writing_started = False
+        """Whether the event loop reports further input of the client."""
+        self._forwarding_started = False
         """Whether bytes of the request may have been sent to an endpoint."""
         self._pending = PendingRequest(
             services.loop,
@@ -85,7 +85,7 @@
         )
 
     def run(self) -> FinalResponse | None:
-        """Block until the request is finished and return its response; ``None`` if a streamed one was truncated."""
+        """Block until the request has finished and return its response; ``None`` if a streamed one was truncated."""
         loop, dispatcher = self._services.loop, self._services.dispatcher
         self._watch_client()
         decision = dispatcher.next_decision(self._pending)
@@ -99,7 +99,7 @@
     # ------------------------------------------------------------ the client
 
     def _watch_client(self) -> None:
-        """Have the event loop report the client's close and its next bytes."""
+        """Have the event loop report the client's close and its further input."""
         self._watched_since_ns = self._services.loop.now()
         self._watches_input = True
         self._services.loop.register(self._connection.fd, PEER_CLOSED | READABLE, self._handle_input)
@@ -116,7 +116,7 @@
     def _read_ahead(self) -> bool:
         """Read further requests if that is allowed; return whether to watch for more input.
 
-        Their responses follow this one, so their deadlines may shorten its own.
+        They are answered after this request, so their deadlines may shorten the deadline of this one.
         """
         reader, reuse_policy = self._reader, self._services.reuse_policy
         if self._stream is not None or reader.queue.is_full:
@@ -134,7 +134,7 @@
 
     def _stop_watching_client(self) -> None:
         self._services.loop.unregister(self._connection.fd)
-        if self._watches_input and self._stream is None:  # writing a stream replaces the registration
+        if self._watches_input and self._stream is None:  # a stream that waits to write replaces the registration
             self._reader.arrival.note_unreadable(self._watched_since_ns)
 
     def _client_disconnected(self) -> None:
@@ -156,14 +156,14 @@
         return failed_response() if self._served is None else served_response(self._served)
 
     def _response_to_half_closed(self) -> Response:
-        """Return the response to a client that shut down its sending side and may still read."""
-        return failed_response() if self._writing_started else rejected_response(Rejected(0))
+        """Return the response to a client that shut down its sending side, but may still read."""
+        return failed_response() if self._forwarding_started else rejected_response(Rejected(0))
 
     def _release(self) -> None:
         """Break the reference cycle between the exchange, its pending request and its tasks.
 
-        No decision follows and all attempts are cancelled.  Otherwise each request would leave 13 objects to the
-        garbage collector, and its pauses would grow with the request rate.
+        By now no decision follows, and all other attempts are cancelled.  With the cycle each request would leave 13
+        objects to the garbage collector, and the collector's pauses would grow with the request rate.
         """
         self._tasks.clear()
         self._pending.cancel_attempt = _cancel_nothing
@@ -171,7 +171,7 @@
     # ------------------------------------------------------------ attempts
 
     def _cancel_attempt(self, number: int) -> None:
-        """Interrupt an attempt, which still reports its outcome."""
+        """Interrupt an attempt; it still reports its outcome."""
         if (task := self._tasks.get(number)) is not None:
             self._services.loop.interrupt(task)
 
@@ -187,12 +187,12 @@
                     lambda: self._may_proceed(attempt),
                 )
             except Exception:
-                # Every attempt must report an outcome: the balancer waits for it.
+                # Every attempt must report an outcome, because the balancer waits for it.
                 logger.exception("an attempt failed", event="attempt.failed")
                 outcome = AttemptOutcome.RESET
         is_answer = self._report_outcome(attempt, outcome, response)
         if is_answer and self._stream is None:
-            self._served = response  # the report made the request's task runnable; it runs after this task
+            self._served = response  # in time: the report made the request's task runnable, but this task runs first
 
     def _report_outcome(self, attempt: StartAttempt, outcome: AttemptOutcome, response: Message | None) -> bool:
         """Report the outcome of an attempt; return whether its response is the answer."""
@@ -207,23 +207,23 @@
         return self._services.dispatcher.attempt_finished(self._pending, attempt.number, outcome, load_report)
 
     def _may_proceed(self, attempt: StartAttempt) -> bool:
-        """Return whether bytes of the request may be sent now.
+        """Return whether the attempt may now send bytes of the request to its endpoint.
 
-        Race: the client may have disconnected after the event loop's last poll, or before its request was read.  No
-        attempt is started for it.
+        Race: the client may have disconnected after the event loop's last poll, or before its request was read.  Then
+        nothing must be sent.
         """
         if self._client_closed or self._pending.finished:
-            return False  # another connection may have the same descriptor by now
+            return False  # the descriptor must not be polled: by now it may belong to another connection
         if self._services.loop.is_ready(self._connection.fd, PEER_CLOSED):
             self._client_disconnected()
         if self._client_closed or not self._services.dispatcher.may_start(self._pending, attempt.number):
             return False
-        self._writing_started = True
+        self._forwarding_started = True
         return True
 
     def _claim_stream(self, attempt: StartAttempt, head: Message) -> ResponseSink | None:
         """Return the sink for a long response; ``None`` if the attempt may not stream it."""
-        # The stream is created before the claim: an exception here fails only the attempt.
+        # Created before the attempt claims the request, so that an exception here fails only the attempt.
         stream = ResponseStream(
             self._connection,
             self._request.message,
@@ -238,4 +238,4 @@
 
 
 def _cancel_nothing(_: int) -> None:
-    """Replace the cancellation of attempts after a request has finished."""
+    """Stand in for the cancellation of attempts after a request has finished."""
