--- a/lugtally/downstream/connection_state.py
+++ b/lugtally/downstream/connection_state.py
@@ -11,8 +11,8 @@
 class ConnectionState(enum.IntEnum):
     """What a connection is doing.
 
-    This and :class:`TransitionCause` are ``IntEnum`` because members of that are hashed in C: each request looks up
-    several transitions.
+    Like :class:`TransitionCause` an ``IntEnum``, because its members are hashed in C and each request looks up several
+    transitions.
     """
 
     ACCEPTED = enum.auto()
--- a/lugtally/downstream/exchange.py
+++ b/lugtally/downstream/exchange.py
@@ -162,8 +162,8 @@
     def _release(self) -> None:
         """Break the reference cycle between the exchange, its pending request and its tasks.
 
-        By now no decision follows, and all other attempts are cancelled.  With the cycle each request would leave 13
-        objects to the garbage collector, and the collector's pauses would grow with the request rate.
+        By now no decision follows, and all attempts are cancelled.  With the cycle each request would leave 13 objects
+        to the garbage collector, and the collector's pauses would grow with the request rate.
         """
         self._tasks.clear()
         self._pending.cancel_attempt = _cancel_nothing
--- a/lugtally/downstream/graceful_shutdown.py
+++ b/lugtally/downstream/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: accept for a limited time, answer all received requests, close, stop the event loop."""
+"""Graceful shutdown: accepts connections for a limited time, answers all received requests, stops the event loop."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         state: ShutdownState,
         longest_deadline_ns: int,
     ) -> None:
-        """``connections`` are the server's open connections; ``connection_closed`` is set when one has closed."""
+        """``connections`` are the server's open connections; the server sets ``connection_closed`` when one closes."""
         self._loop = loop
         self._connections = connections
         self._connection_closed = connection_closed
@@ -33,7 +33,7 @@
         self.state = state
 
     def start(self) -> None:
-        """Start draining; do nothing if it has already started."""
+        """Start the shutdown, unless it has already started."""
         if not self.state.draining:
             self.state.start_draining(self._loop.now(), self._longest_deadline_ns)
             logger.info("graceful shutdown started: draining", event="sidecar.draining")
--- a/lugtally/downstream/health.py
+++ b/lugtally/downstream/health.py
@@ -1,4 +1,4 @@
-"""Rate limit of health checks."""
+"""Rate limiting of health checks."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 
 HEALTH_PATH = "/_health"
 MAX_HEALTH_CHECKS_PER_S = 200
-"""Health checks answered without delay, on all connections together."""
+"""How many health checks a second are answered without delay, on all connections together."""
 HEALTH_CHECK_DELAY_NS = 50 * NS_PER_MS
 """Delay of each health check beyond that rate, so that a client in a tight loop cannot use all of the CPU."""
 
 
 class HealthCheckRateLimiter:
-    """Counts health checks and delays those beyond a rate; none is rejected."""
+    """Counts health checks and delays those that exceed the rate; none is rejected."""
 
     def __init__(self, loop: EventLoop) -> None:
         self._loop = loop
         self._second_started_ns = 0
-        self._checks = 0
+        self._checks_in_second = 0
 
     def acquire(self) -> None:
-        """Count a health check, and block for the delay if the rate is exceeded."""
+        """Count a health check, and block for ``HEALTH_CHECK_DELAY_NS`` if the rate is exceeded."""
         now_ns = self._loop.now()
         if now_ns - self._second_started_ns >= NS_PER_S:
             self._second_started_ns = now_ns
-            self._checks = 0
-        self._checks += 1
-        if self._checks > MAX_HEALTH_CHECKS_PER_S:
+            self._checks_in_second = 0
+        self._checks_in_second += 1
+        if self._checks_in_second > MAX_HEALTH_CHECKS_PER_S:
             self._loop.sleep(HEALTH_CHECK_DELAY_NS)
