--- a/lugtally/downstream/listener.py
+++ b/lugtally/downstream/listener.py
@@ -7,7 +7,7 @@
 from lugtally.address import Address
 
 LISTEN_BACKLOG = 1024
-"""Clients that may wait to be accepted; the kernel may limit it further."""
+"""How many clients may wait to be accepted; the kernel may set a lower limit."""
 
 
 def bind_listener(address: Address) -> socket.socket:
@@ -28,7 +28,7 @@
     """Return the listening socket of an inherited descriptor.
 
     Raises:
-        ValueError: the descriptor cannot be used; the message is one line.  The descriptor stays open.
+        ValueError: the descriptor is not usable; the message is one line.  The descriptor stays open.
     """
     try:
         listener = socket.socket(fileno=fd)
@@ -36,12 +36,12 @@
         raise ValueError(f"PROXY_SOCKET_FD: {fd}: {error.strerror}") from None
     try:
         listening = listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
-        kind = listener.getsockopt(socket.SOL_SOCKET, socket.SO_TYPE)
+        socket_type = listener.getsockopt(socket.SOL_SOCKET, socket.SO_TYPE)
     except OSError as error:
         listener.detach()
         raise ValueError(f"PROXY_SOCKET_FD: {fd}: {error.strerror}") from None
-    if listener.family not in (socket.AF_INET, socket.AF_INET6) or kind != socket.SOCK_STREAM or not listening:
+    if listener.family not in (socket.AF_INET, socket.AF_INET6) or socket_type != socket.SOCK_STREAM or not listening:
         listener.detach()
-        raise ValueError(f"PROXY_SOCKET_FD: {fd} is no listening TCP socket")
+        raise ValueError(f"PROXY_SOCKET_FD: {fd} is not a listening TCP socket")
     listener.setblocking(False)
     return listener
--- a/tests/downstream/test_server.py
+++ b/tests/downstream/test_server.py
@@ -91,7 +91,7 @@
     downstream = DownstreamServer(loop, dispatcher, upstream, (), 8)
     for sock in (socket.socket(), socket.socket(type=socket.SOCK_DGRAM), *socket.socketpair()):
         with sock:
-            with pytest.raises(ValueError, match=r"PROXY_SOCKET_FD: .* no listening TCP socket"):
+            with pytest.raises(ValueError, match=r"PROXY_SOCKET_FD: .* is not a listening TCP socket"):
                 downstream.adopt(sock.fileno())
             os.fstat(sock.fileno())  # a rejected descriptor stays open
     with listener() as inherited:
