--- a/lugtally/downstream/request_queue.py
+++ b/lugtally/downstream/request_queue.py
@@ -1,4 +1,4 @@
-"""The requests of one connection that were received ahead of the one in progress."""
+"""The requests of one connection that were received while an earlier one is in progress."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from lugtally.http1 import Message, MessageParser, ProtocolError
 
 MAX_REQUESTS_AHEAD = 32
-"""How many requests may be queued behind the one in progress before no more are read."""
+"""When this many requests are queued behind the one in progress, no more input is read."""
 
 
 class ReceivedRequest(NamedTuple):
@@ -16,13 +16,13 @@
 
     message: Message
     arrived_after_ns: int
-    """A time before which its last byte had not arrived; its time left counts from here."""
+    """Lower bound of the time at which its last byte arrived; its time left counts from here."""
 
 
 class RequestQueue:
-    """Parses input and queues complete requests in their order.
+    """Parses input and queues complete requests in the order received.
 
-    A parse error takes the place of the request that caused it.
+    A parse error is queued in place of the request that caused it.
     """
 
     __slots__ = ("_parse_error", "_requests", "parser")
@@ -31,11 +31,11 @@
         self.parser = MessageParser(responses=False)
         self._requests: list[ReceivedRequest] = []
         self._parse_error: ProtocolError | None = None
-        """Once set, further input is ignored: the boundaries of its requests are unknown."""
+        """Once set, further input is ignored, because the boundaries of the requests in it are unknown."""
 
     @property
     def has_request(self) -> bool:
-        """Whether a request, or the parse error in its place, is queued and must be answered."""
+        """Whether a request, or the parse error in place of one, is queued and must be answered."""
         return bool(self._requests) or self._parse_error is not None
 
     @property
@@ -45,15 +45,15 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether no more input should be read until a request is taken."""
+        """Whether no more input should be read until a request is removed."""
         return len(self._requests) >= MAX_REQUESTS_AHEAD or self._parse_error is not None
 
     def __iter__(self) -> Iterator[ReceivedRequest]:
-        """Iterate over the queued requests."""
+        """Iterate over the queued requests; a parse error is not included."""
         return iter(self._requests)
 
     def feed(self, data: bytes, arrived_after_ns: int) -> None:
-        """Parse bytes that had not arrived before ``arrived_after_ns``."""
+        """Parse bytes that arrived after ``arrived_after_ns``."""
         if self._parse_error is not None:
             return
         try:
