--- a/lugtally/downstream/request_reader.py
+++ b/lugtally/downstream/request_reader.py
@@ -1,4 +1,4 @@
-"""Reading the requests of one connection, within their time limits."""
+"""Reads the requests of one connection, within their time limits."""
 
 from __future__ import annotations
 
@@ -13,24 +13,27 @@
 CLIENT_IDLE_TIMEOUT_NS = 2_050 * NS_PER_MS
 """How long a connection may wait for the first byte of a request.
 
-The number of connections is limited, and some clients send one request and never close theirs: longer idle
-connections keep new clients in the backlog.
+The number of connections is limited, and some clients send one request and never close their connection.  A longer
+timeout would keep new clients in the backlog.
 """
 REQUEST_TIMEOUT_NS = 2_500 * NS_PER_MS
-"""How long a request may take, from its first byte, or for the first request from the accept, to its last byte."""
+"""How long a client may take to send a request: from its first byte to its last.
+
+For the first request of a connection the time starts when the connection is accepted.
+"""
 
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 class RequestTimeoutError(ProtocolError):
-    """The request was not complete in time; the text is the body of the 408."""
+    """The request was not complete in time; the message is sent as the body of the 408."""
 
     def __init__(self) -> None:
         super().__init__(408, "the request did not become whole in time")
 
 
 class RequestReader:
-    """Reads requests from one connection and moves it through the states that precede :attr:`PROCESSING`."""
+    """Reads requests from one connection and moves it through the states up to ``PROCESSING``."""
 
     __slots__ = ("arrival", "connection", "queue")
 
@@ -38,7 +41,7 @@
         self.connection = connection
         self.arrival = ArrivalBound(connection.loop, connection.connected_after_ns)
         self.queue = RequestQueue()
-        """Requests received after the one in progress, and the received part of the next."""
+        """The requests received after the one in progress, and the received part of the next one."""
 
     def read_request(self) -> ReceivedRequest | None:
         """Block until a request is complete and return it; ``None`` if the connection is to be closed.
@@ -49,10 +52,10 @@
         """
         connection = self.connection
         if self.queue.has_input:
-            connection.loop.sleep(0)  # other tasks run before the next pipelined request of this client
+            connection.loop.sleep(0)  # let other tasks run before the next pipelined request of this client
         request = self._next_buffered_request()
-        # Right after a response, ``recv`` would most likely find nothing, so wait first.  While a write stalled,
-        # however, nothing watched for input.
+        # Right after a response ``recv`` would most likely find nothing, so wait for input first.  But if a write
+        # stalled, input may have arrived unnoticed, because the event loop did not watch for it meanwhile.
         wait_first = connection.state is ConnectionState.IDLE and not connection.write_stalled
         connection.write_stalled = False
         if request is None:
@@ -63,23 +66,23 @@
         return request
 
     def read_ahead(self) -> bool:
-        """Read available input while a request is in progress; return whether no more was available.
+        """Read available input while a request is in progress; return whether all of it was read.
 
-        Every request that is read must be answered.  The deadline of a request is only known once it is read.
+        Reading ahead shows the deadlines of the further requests.  Every request that is read must be answered.
         """
         try:
             data = self._receive()
         except OSError:
-            return False  # the event loop reports the client's close
+            return False  # the event loop reports the close separately
         if not data:
             return data is None
         self.queue.feed(data, self.arrival.arrived_after_ns)
         return len(data) < RECEIVE_BYTES
 
     def _next_buffered_request(self) -> ReceivedRequest | None:
-        """Return the next request if it was received while the previous one was in progress.
+        """Return the next request, if it was received while the previous one was in progress.
 
-        The connection leaves ``WRITING_RESPONSE`` in any case.
+        The connection leaves ``WRITING_RESPONSE`` whether or not it was.
         """
         connection = self.connection
         if connection.state is ConnectionState.ACCEPTED:
@@ -98,7 +101,7 @@
     def _receive_request(self, wait_first: bool) -> ReceivedRequest | None:
         """Read until a request is complete; return ``None`` if the connection is to be closed.
 
-        ``wait_first`` omits the first ``recv``.
+        With ``wait_first`` it waits for input before the first ``recv``.
         """
         connection = self.connection
         continue_sent = False
@@ -116,21 +119,21 @@
             if not data:
                 return None
             if connection.state is ConnectionState.READING_REQUEST:
-                self._check_request_time()
+                self._check_request_timeout()
             else:
-                self._start_request_time()
+                self._start_request_timeout()
             self.queue.feed(data, self.arrival.arrived_after_ns)
             request = self.queue.pop()
         connection.transition(TransitionCause.REQUEST_COMPLETE)
         return request
 
     def _reject_incomplete_request(self) -> None:
-        """Raise the error that gives an incomplete request its response; do nothing if no byte of it was received."""
+        """Raise :class:`RequestTimeoutError`, unless no byte of a request has been received."""
         if self.connection.state is ConnectionState.READING_REQUEST:
             raise RequestTimeoutError
 
     def _send_continue(self) -> bool:
-        """Send ``100 Continue`` to a client that waits for it before it sends the body; return whether it was sent."""
+        """Send ``100 Continue`` if the client waits for it before it sends the body; return whether it was sent."""
         head = self.queue.parser.pending_head
         if head is None or not head.expects_continue:
             return False
@@ -138,7 +141,7 @@
         return True
 
     def _receive(self) -> bytes | None:
-        """Return the available bytes, empty if the client closed its sending side; ``None`` if there are none."""
+        """Return the available bytes; ``None`` if there are none, and ``b""`` if the client closed its sending side."""
         called_ns = self.connection.loop.now()
         try:
             data = self.connection.sock.recv(RECEIVE_BYTES)
@@ -160,27 +163,27 @@
         reason = connection.wake_up.wait(self._read_deadline_ns())
         connection.loop.unregister(connection.fd)
         if reason is WakeReason.TIMEOUT:
-            # Race: bytes may have arrived between the poll that saw none and the close.  Read again before closing.
+            # Race: bytes may arrive between the poll that found none and the close, so read once more before closing.
             connection.close_requested_in = connection.state
 
     def _read_deadline_ns(self) -> int:
         """Return until when to wait for input.
 
-        The limit of a request counts from its first byte, so that a client cannot extend it by sending slowly.
+        The time limit of a request counts from its first byte, so that a client cannot extend it by sending slowly.
         """
         connection, shutdown_state = self.connection, self.connection.shutdown_state
         is_reading = connection.state is ConnectionState.READING_REQUEST
         deadline_ns = connection.waiting_since_ns + (REQUEST_TIMEOUT_NS if is_reading else CLIENT_IDLE_TIMEOUT_NS)
         return min(deadline_ns, shutdown_state.last_request_ns) if shutdown_state.closing else deadline_ns
 
-    def _start_request_time(self) -> None:
-        """Start the time of a request at its first bytes; that of the first request started with the connection."""
+    def _start_request_timeout(self) -> None:
+        """Start the timeout of a request at its first bytes; that of the first request started with the connection."""
         connection = self.connection
         if connection.state is ConnectionState.IDLE:
             connection.waiting_since_ns = connection.loop.now()
         connection.transition(TransitionCause.FIRST_BYTES_RECEIVED)
 
-    def _check_request_time(self) -> None:
-        """Raise :class:`RequestTimeoutError` if the bytes just read were received after the request timed out."""
+    def _check_request_timeout(self) -> None:
+        """Raise :class:`RequestTimeoutError` if the bytes just read arrived after the request had timed out."""
         if self.arrival.arrived_after_ns > self.connection.waiting_since_ns + REQUEST_TIMEOUT_NS:
             raise RequestTimeoutError
