--- a/lugtally/downstream/response_stream.py
+++ b/lugtally/downstream/response_stream.py
@@ -1,4 +1,4 @@
-"""Streaming a long response to the client: its head, its framing and the buffer before it."""
+"""Streams a long response to the client: its head, its framing, and its buffer."""
 
 from __future__ import annotations
 
@@ -8,19 +8,22 @@
 from lugtally.http1 import MAX_BODY_BYTES, Message, serialize_streamed_head
 
 MAX_BUFFERED_BYTES = 16 * MAX_BODY_BYTES
-"""Limit of the buffer.  A longer response is sent although requests wait behind it; one without a length fails."""
+"""Size limit of the buffer.
+
+A longer response is sent although further requests wait behind it; one without a declared length fails.
+"""
 _CRLF = b"\r\n"
 _LAST_CHUNK = b"0\r\n\r\n"
 
 
 class ResponseStream:
-    """The sink of one streamed response.
+    """The destination of one streamed response.
 
-    A body without a length is sent in chunks.  A truncated one is then distinguishable from a complete one, and the
-    connection may carry further requests.
+    A body without a declared length is sent in chunks, so that the client can tell a truncated body from a complete
+    one, and the connection may carry further requests.
 
     The response is buffered while further requests of the client wait behind it: a stream that fails resets the
-    connection, and these requests with it.
+    connection, and these requests would fail with it.
     """
 
     def __init__(
@@ -54,10 +57,13 @@
         self.hold_until_ns = hold_until_ns
         """Until when the response is buffered; ``None`` once it is being sent."""
         self.started = False
-        """Whether part of it was sent to the client."""
+        """Whether any part of the response may have been sent to the client."""
 
     def send(self, data: bytes | memoryview) -> bool:
-        """Send or buffer a part of the body; return false if the client disconnected or does not read."""
+        """Send or buffer a part of the body; return false if the response cannot be completed.
+
+        That is so if the client disconnected or does not read, or if the buffer is full and the length is unknown.
+        """
         if self._chunked and data:
             self._buffer += b"%x\r\n" % len(data)
         self._buffer += data
@@ -81,7 +87,10 @@
         return is_complete
 
     def _flush(self) -> bool:
-        """Write the buffer; after a failed write nothing more is written."""
+        """Write the buffer; return whether this and all earlier writes succeeded.
+
+        After a failed write nothing more is written.
+        """
         if not self.started:
             self.started = True
             self._connection.transition(TransitionCause.RESPONSE_STARTED)
