--- a/lugtally/downstream/responses.py
+++ b/lugtally/downstream/responses.py
@@ -9,7 +9,7 @@
 from lugtally.http1.message import Headers
 from lugtally.units import NS_PER_S
 
-_NOT_FORWARDED = frozenset(
+_HEADERS_NOT_FORWARDED = frozenset(
     {
         "connection",
         "keep-alive",
@@ -22,7 +22,7 @@
         "x-unprocessed",
     }
 )
-"""Headers of an endpoint's response that concern only its connection to the sidecar."""
+"""Headers that concern only the connection between the endpoint and the sidecar."""
 
 
 class Response(NamedTuple):
@@ -34,10 +34,10 @@
 
 
 class StreamedResponse(NamedTuple):
-    """A final response that was streamed to the client completely."""
+    """A final response that has been streamed to the client completely."""
 
     closes_connection: bool
-    """Whether it announced the close of its connection."""
+    """Whether the response announced the close of its connection."""
 
 
 FinalResponse = Response | StreamedResponse
@@ -45,28 +45,28 @@
 
 
 def served_response(message: Message) -> Response:
-    """Return the response of the endpoint that served the request."""
+    """Return the response that forwards the one of the endpoint."""
     return Response(200, message.body, forwarded_headers(message))
 
 
 def rejected_response(rejected: Rejected) -> Response:
-    """Return the response to a request that was not processed."""
+    """Return the response to a request that no endpoint has processed."""
     retry_after_s = rejected.retry_after_ns / NS_PER_S
     return Response(503, b"busy\n", [("Retry-After", f"{retry_after_s:.3f}")] if retry_after_s else [])
 
 
 def failed_response() -> Response:
-    """Return the response to a request that failed and may have been processed."""
+    """Return the response to a request that failed, but that an endpoint may have processed."""
     return Response(502, b"failed\n", [])
 
 
 def internal_error_response() -> Response:
-    """Return the response to a request that failed because of a fault of the sidecar."""
+    """Return the response to a request that failed because of a bug in the sidecar."""
     return Response(500, b"internal error\n", [])
 
 
 def protocol_error_response(error: ProtocolError) -> Response:
-    """Return the response to an invalid request."""
+    """Return the response to a request that is invalid or was not complete in time."""
     return Response(error.status, f"{error}\n".encode(), [("Content-Type", "text/plain")])
 
 
@@ -77,4 +77,4 @@
 
 def forwarded_headers(message: Message) -> Headers:
     """Return the headers of an endpoint's response that are forwarded to the client."""
-    return [(name, value) for name, value in message.headers if name.lower() not in _NOT_FORWARDED]
+    return [(name, value) for name, value in message.headers if name.lower() not in _HEADERS_NOT_FORWARDED]
