--- a/lugtally/downstream/server.py
+++ b/lugtally/downstream/server.py
@@ -1,4 +1,4 @@
-"""The server for the application: accepts connections and sends each request its one final response."""
+"""The server for clients: accepts their connections and sends exactly one final response to each request."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
             loop, self._connections, self._connection_closed, self._acceptor, shutdown_state, longest_deadline_ns
         )
         self.ready = False
-        """Whether requests can be sent to an endpoint, as health checks report it; set by the owner."""
+        """Whether requests can be sent to an endpoint.  The owner of the server sets it, and health checks report it."""
 
     def listen(self, address: Address) -> None:
         """Accept connections on this address only.
@@ -99,7 +99,7 @@
 
     @property
     def listener(self) -> socket.socket | None:
-        """The listening socket; ``None`` before the start.  The graceful shutdown closes it."""
+        """The listening socket, which the graceful shutdown closes; ``None`` before the start."""
         return self._acceptor.listener
 
     @property
@@ -110,7 +110,7 @@
     # ------------------------------------------------------------ connections
 
     def _handle_connection(self, connection: DownstreamConnection) -> None:
-        """Answer the requests of a connection in order until it is to be closed; then close it."""
+        """Answer the requests of a connection in order, until it is to be closed, and close it."""
         try:
             connection.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             reader = RequestReader(connection)
@@ -134,7 +134,7 @@
         try:
             response = self._respond(reader, request)
         except Exception:
-            # A fault of the sidecar must not leave a received request without a response.
+            # A bug in the sidecar must not leave a received request without a response.
             logger.exception("answering a request failed", event="downstream.request_failed")
             response = internal_error_response()
         if response is None:
@@ -146,7 +146,7 @@
                 connection.client_status = ClientStatus.AT_FAULT
             closes_connection = self._reuse_policy.closes_after(reader, request.message)
             data = serialize_response(*response, close=closes_connection)
-            response = None  # while a slow client reads, only the serialized response stays in memory
+            response = None  # while a slow client reads, only the serialized response should be in memory
             connection.transition(TransitionCause.RESPONSE_STARTED)
             if not connection.write(data):
                 return False
@@ -156,7 +156,7 @@
 
     @staticmethod
     def _reject_malformed(connection: DownstreamConnection, error: ProtocolError) -> None:
-        """Send the error response to a request that cannot be read; it is the connection's last response."""
+        """Send the error response to a malformed or incomplete request, as the last response of the connection."""
         connection.start_discarding()
         if connection.write(serialize_response(*protocol_error_response(error), close=True)):
             discard_input(connection, timed_out=isinstance(error, RequestTimeoutError))
