--- a/lugtally/downstream/server.py
+++ b/lugtally/downstream/server.py
@@ -70,7 +70,7 @@
             loop, self._connections, self._connection_closed, self._acceptor, shutdown_state, longest_deadline_ns
         )
         self.ready = False
-        """Whether requests can be sent to an endpoint.  The owner of the server sets it, and health checks report it."""
+        """Whether requests can be sent to an endpoint.  The owner of the server sets it; health checks report it."""
 
     def listen(self, address: Address) -> None:
         """Accept connections on this address only.
--- a/lugtally/downstream/shutdown_state.py
+++ b/lugtally/downstream/shutdown_state.py
@@ -5,13 +5,13 @@
 from lugtally.units import NS_PER_MS
 
 ACCEPT_AFTER_DRAIN_NS = 500 * NS_PER_MS
-"""How long connections are accepted after draining has started, as clients still open new ones."""
-MAX_DEADLINE_WAITED_FOR_NS = 3_000 * NS_PER_MS
-"""The longest class deadline that the shutdown waits for."""
+"""How long connections are still accepted after draining has started, because clients still open new ones."""
+MAX_AWAITED_DEADLINE_NS = 3_000 * NS_PER_MS
+"""The shutdown waits for the longest deadline of a request class, but not longer than this."""
 LAST_RESPONSE_MARGIN_NS = 500 * NS_PER_MS
-"""How long after that deadline the last response is due; the process may be killed 200 ms later."""
+"""How long after the awaited deadline the last response is due; 200 ms later the process may be killed."""
 LAST_REQUEST_MARGIN_NS = 200 * NS_PER_MS
-"""How long before the last response is due a request must be complete."""
+"""A request must be complete this long before the last response is due."""
 
 
 class ShutdownState:
@@ -21,19 +21,19 @@
 
     def __init__(self) -> None:
         self.draining = False
-        """Whether each response closes its connection, unless further input was received."""
+        """Whether each response closes its connection, unless further input has already been received."""
         self.closing = False
-        """Whether connections without a request are closed and no new ones accepted."""
+        """Whether idle connections are closed, and accepting ends with the clients in the backlog."""
         self.last_response_ns = 0
-        """When the responses to requests that are read while closing are due."""
+        """While closing, the time at which the responses to all requests are due."""
 
     @property
     def last_request_ns(self) -> int:
-        """When, while closing, a request must be complete."""
+        """While closing, the time at which a request must have been received completely."""
         return self.last_response_ns - LAST_REQUEST_MARGIN_NS
 
     def start_draining(self, now_ns: int, longest_deadline_ns: int) -> None:
         """Start the shutdown."""
         self.draining = True
-        waited_ns = min(longest_deadline_ns, MAX_DEADLINE_WAITED_FOR_NS)
-        self.last_response_ns = now_ns + max(waited_ns, ACCEPT_AFTER_DRAIN_NS) + LAST_RESPONSE_MARGIN_NS
+        awaited_deadline_ns = min(longest_deadline_ns, MAX_AWAITED_DEADLINE_NS)
+        self.last_response_ns = now_ns + max(awaited_deadline_ns, ACCEPT_AFTER_DRAIN_NS) + LAST_RESPONSE_MARGIN_NS
