--- a/lugtally/downstream/__init__.py
+++ b/lugtally/downstream/__init__.py
@@ -1,5 +1,6 @@
-"""Client connections: requests are received, and each gets exactly one final response.
+"""Client connections: receives requests and sends exactly one final response to each.
 
-The package owns accepting, reading, validating and answering, and the graceful shutdown.  It must not make balancing
-decisions, nor know how an attempt reaches an endpoint.  ``docs/connections.md`` describes the states of a connection.
+The package accepts connections, reads, validates and answers requests, and shuts down gracefully.  It must not make
+balancing decisions, nor know how an attempt reaches an endpoint.  ``docs/connections.md`` describes the states of a
+connection.
 """
--- a/lugtally/downstream/validation.py
+++ b/lugtally/downstream/validation.py
@@ -1,4 +1,4 @@
-"""Checks of a request before it is submitted."""
+"""Validates a request before it is submitted to the balancer."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 class ValidatedRequest(NamedTuple):
-    """A valid request and what its headers say."""
+    """A valid request and the values that its headers declare."""
 
     message: Message
     arrived_after_ns: int
-    """A time before which its last byte had not arrived; its time left counts from here."""
+    """Lower bound of the time at which its last byte arrived; its time left counts from here."""
     time_left_ns: int
     class_index: int
     tenant_index: int
@@ -32,12 +32,12 @@
 
 
 class RequestValidator:
-    """Checks requests against the settings and the requests in progress."""
+    """Validates requests against the settings and the requests in progress."""
 
     def __init__(
         self, classes: tuple[RequestClass, ...], tenants: tuple[Tenant, ...], ids_in_progress: Collection[str]
     ) -> None:
-        """``ids_in_progress`` are the correlation IDs of the requests in progress; the caller updates them."""
+        """``ids_in_progress`` are the correlation IDs of the requests in progress; the caller keeps them up to date."""
         self._classes = {settings.name: _IndexedClass(index, settings) for index, settings in enumerate(classes)}
         self._tenant_indexes = {tenant.name: index for index, tenant in enumerate(tenants)}
         self._ids_in_progress = ids_in_progress
@@ -46,7 +46,7 @@
         """Return the request with its class, tenant and time left.
 
         Raises:
-            ProtocolError: the request is invalid; the error has the status of its response.
+            ProtocolError: the request is invalid; the error carries the status of the response.
         """
         message = request.message
         if message.method not in METHODS:
@@ -55,7 +55,7 @@
         request_class = self._find_class(message)
         settings = request_class.settings
         if settings.idempotency is Idempotency.IDEMPOTENCY_KEY and not message.header_map.get("idempotency-key"):
-            raise ProtocolError(400, "Idempotency-Key is missing")  # endpoints could not drop duplicates
+            raise ProtocolError(400, "Idempotency-Key is missing")  # without it endpoints could not drop duplicates
         return ValidatedRequest(
             message,
             request.arrived_after_ns,
@@ -77,12 +77,12 @@
         if not correlation_id:
             raise ProtocolError(400, "X-Correlation-Id is missing")
         if correlation_id in self._ids_in_progress:
-            # Endpoints identify requests by this ID and would confuse the two.
+            # Endpoints identify requests by this ID and would confuse the two requests.
             raise ProtocolError(409, "X-Correlation-Id is that of a request in progress")
         return correlation_id
 
     def _find_class(self, message: Message) -> _IndexedClass:
-        """Return the class that the header names, or else the first segment of the path."""
+        """Return the class named by the header, or by the first segment of the path if the header is missing."""
         path = message.target.partition("?")[0]
         name = message.header_map.get("x-service-class") or path.lstrip("/").partition("/")[0]
         if name not in self._classes:
@@ -91,7 +91,7 @@
 
 
 def _time_left_ns(message: Message, default_ns: int) -> int:
-    """Return the value of ``X-Time-Left``, or the default if there is none."""
+    """Return the value of ``X-Time-Left``, or the default if the header is missing."""
     text = message.header_map.get("x-time-left")
     try:
         time_left_ns = default_ns if text is None else int(float(text) * NS_PER_S)
