--- a/lugtally/downstream/validation.py
+++ b/lugtally/downstream/validation.py
@@ -12,6 +12,7 @@
 from lugtally.units import NS_PER_S
 
 MAX_TIME_LEFT_S = 3600.0
+"""Largest value of ``X-Time-Left`` that is accepted."""
 
 
 class ValidatedRequest(NamedTuple):
