--- a/lugtally/eventloop/__init__.py
+++ b/lugtally/eventloop/__init__.py
@@ -1,7 +1,7 @@
-"""The event loop of one process: greenlets over ``select.poll``, timers, events and clocks.
+"""The event loop of one process: greenlets over ``select.poll``, with timers, events and clocks.
 
-It owns every blocking call of the process.  It must not know what a task waits for: it contains no protocol, no
-balancing decision and no configuration.
+Every blocking call of the process is made here.  The package must not know what a task waits for: it contains no
+protocol, no balancing decision and no configuration.
 """
 
 from lugtally.eventloop.event import Event
--- a/lugtally/eventloop/clock.py
+++ b/lugtally/eventloop/clock.py
@@ -7,7 +7,7 @@
 monotonic_ns = time.monotonic_ns
 """Return the current time of the monotonic clock, which the timers and the balancer use.
 
-This is an alias instead of a wrapper because one request reads the clock about forty times.
+An alias instead of a wrapper function, because each request reads the clock about forty times.
 """
 
 
--- a/lugtally/eventloop/event.py
+++ b/lugtally/eventloop/event.py
@@ -11,7 +11,7 @@
 
 
 class Event:
-    """An auto-reset event: like ``threading.Event``, but it clears itself.
+    """An auto-reset event: like ``threading.Event``, but cleared when a task has been woken.
 
     :meth:`set` wakes all waiting tasks.  If no task waits, the next call of :meth:`wait` returns without blocking.
     """
@@ -24,8 +24,8 @@
         self._is_set = False
 
     def set(self) -> None:
-        """Wake all waiting tasks, or let the next :meth:`wait` return immediately if there are none."""
-        # A waiter that timed out in this turn is still listed; it must not consume the event.
+        """Wake all waiting tasks; if there are none, let the next :meth:`wait` return immediately."""
+        # A waiter that timed out in this turn of the loop is still in the list; it must not consume the event.
         waiters = [waiter for waiter in self._waiters if not waiter.done]
         self._is_set = not waiters
         for waiter in waiters:
--- a/lugtally/eventloop/loop.py
+++ b/lugtally/eventloop/loop.py
@@ -2,7 +2,7 @@
 
 The loop runs in the main greenlet.  Every other greenlet is a :class:`~lugtally.eventloop.task.Task`, which may block
 only in :meth:`EventLoop.wait`, :meth:`EventLoop.sleep` or ``Event.wait``.  One turn of the loop runs all runnable
-tasks, polls the descriptors, calls the handlers of those that are ready, and fires the timers that are due.
+tasks, polls the descriptors, calls the handlers of the descriptors that are ready, and fires the timers that are due.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 from lugtally.units import NS_PER_MS
 
 MAX_POLL_NS = 50 * NS_PER_MS
-"""Longest timeout of one poll.  A poll that takes longer shows that the process was stopped while it waited."""
-POLL_OVERRUN_NS = 10 * NS_PER_MS
-"""A poll that returns later than this after its timeout was delayed: the time of its events is unknown."""
+"""Longest timeout of one poll.  If a poll takes longer, the process was stopped while it waited."""
+MAX_POLL_OVERRUN_NS = 10 * NS_PER_MS
+"""A poll that returns later than this after its timeout was delayed, and the time of its events is unknown."""
 MIN_BLOCKED_POLL_NS = 100_000
-"""A poll that took at least this long found no descriptor ready and blocked."""
+"""A poll that took at least this long found no descriptor ready at first, and blocked."""
 MAX_SHORT_TURN_NS = 10 * NS_PER_MS
-"""After a longer turn, a poll that appears to have blocked may have been preempted instead."""
+"""After a longer turn, a poll that seems to have blocked may have been preempted instead."""
 READABLE = select.POLLIN
 WRITABLE = select.POLLOUT
 PEER_CLOSED = select.POLLRDHUP
@@ -47,32 +47,32 @@
         self._stopped = False
         self._last_poll_ns = 0
         self._previous_poll_ns = 0  # ``last_poll_ns`` of the poll before the last
-        self._poll_blocked = False  # whether the last poll found no descriptor ready and blocked
+        self._poll_blocked = False  # whether the last poll found no descriptor ready at first, and blocked
         self.max_timer_lag_ns = 0
-        """Largest delay of a timer after its deadline, since the reader last reset this value to 0."""
+        """Largest delay of a timer after its deadline; whoever reads the value resets it to 0."""
 
     now = staticmethod(monotonic_ns)
     wall_clock = staticmethod(wall_clock_ns)
 
     def scheduling_delay_ns(self) -> int:
-        """Return an upper bound of the time for which an event that is handled now has been ready.
+        """Return an upper bound of the time that has passed since an event that is handled now became ready.
 
-        An event that arrived during the previous turn waited for the rest of that turn and for this turn until now.
-        If the last poll blocked, no event was ready before the poll returned.
+        An event that became ready during the previous turn has waited for the rest of that turn and for this turn until
+        now.  If the last poll blocked, no event was ready before that poll returned.
         """
         return self.now() - (self._last_poll_ns if self._poll_blocked else self._previous_poll_ns)
 
     @property
     def last_poll_ns(self) -> int:
-        """The time of the last poll: every registered descriptor that was ready by then has been reported."""
+        """The time of the last poll; every descriptor that was registered and ready by then has been reported."""
         return self._last_poll_ns
 
     def not_ready_before_ns(self, watched_since_ns: int) -> int:
-        """Return a time before which a descriptor that the last poll reported was not ready, or 0 if unknown.
+        """Return the time until which a descriptor that the last poll reported was not ready, or 0 if unknown.
 
-        The descriptor has been registered since ``watched_since_ns``.  The result may be later than the time at which
-        the descriptor became ready, but at most by ``MAX_POLL_NS`` and a few milliseconds, even if the process was
-        busy, starved of processor time or stopped for longer.
+        The descriptor must have been registered since ``watched_since_ns``.  The result is approximate: the descriptor
+        may have become ready earlier, by at most ``MAX_POLL_NS`` and a few milliseconds, even if the process was busy,
+        starved of CPU or stopped for longer.
         """
         if self._poll_blocked:
             return self._last_poll_ns
@@ -81,7 +81,7 @@
     # ------------------------------------------------------------ tasks
 
     def spawn(self, function: Callable[..., object], *arguments: Any) -> Task:
-        """Start a task in this turn or the next.  An exception ends only this task and is logged."""
+        """Start a task, in this turn or the next.  An exception ends only this task, and is logged."""
         task = Task()
 
         def run(_: WakeReason) -> None:
@@ -97,7 +97,7 @@
         return task
 
     def interrupt(self, task: Task) -> None:
-        """End the task's current blocking call, and every later one, with ``INTERRUPTED``."""
+        """End the task's current blocking call, and every later one immediately, with ``INTERRUPTED``."""
         task.interrupted = True
         if task.waiter is not None:
             self.resume(task.waiter, WakeReason.INTERRUPTED)
@@ -114,11 +114,11 @@
             self.unregister(fd)
 
     def sleep(self, duration_ns: int) -> WakeReason:
-        """Block the running task for ``duration_ns``; 0 lets all other runnable tasks run first."""
+        """Block the running task for ``duration_ns``; a duration of 0 lets all other runnable tasks run first."""
         waiter = self.new_waiter()
         return WakeReason.INTERRUPTED if waiter is None else self.block(waiter, self.now() + duration_ns)
 
-    # ------------------------------------------------------------ waiters, for the package's own primitives
+    # ------------------------------------------------------------ waiters, only for the primitives of this package
 
     def new_waiter(self) -> Waiter | None:
         """Return a waiter for a blocking call of the running task, or ``None`` if the task was interrupted."""
@@ -145,7 +145,7 @@
         reason: WakeReason = self._main_greenlet.switch()
         waiter.task.waiter = None
         # The task may have been interrupted after it was resumed and before it ran.  Without this check it could, for
-        # example, write a request that has finished.
+        # example, still write a request that has already finished.
         return WakeReason.INTERRUPTED if waiter.task.interrupted else reason
 
     # ------------------------------------------------------------ descriptors
@@ -176,7 +176,8 @@
     def run(self, run_timers: Callable[[], int | None]) -> None:
         """Run until :meth:`stop` is called.
 
-        ``run_timers`` is called in each turn.  It returns the time of its next call, or ``None`` if it has no timer.
+        ``run_timers`` is called in each turn.  It returns the time by which it must be called again, or ``None`` if no
+        timer is set.
         """
         while True:
             self._run_tasks()
@@ -192,7 +193,7 @@
             self._fire_timers()
 
     def _poll_descriptors(self, due_ns: int | None) -> None:
-        """Poll the descriptors until ``due_ns`` at the latest, and call the handlers of those that are ready."""
+        """Poll the descriptors until ``due_ns`` at the latest; call the handlers of the descriptors that are ready."""
         before_ns = self.now()
         timeout_ns = MAX_POLL_NS if due_ns is None else min(MAX_POLL_NS, max(0, due_ns - before_ns))
         ready = self._poll.poll(timeout_ns / NS_PER_MS)
@@ -202,13 +203,13 @@
                 handler(poll_events)
 
     def _record_poll(self, before_ns: int, timeout_ns: int, returned_ns: int) -> None:
-        """Record when the poll read the descriptors, and whether it blocked."""
+        """Record when the poll checked the descriptors, and whether it blocked."""
         duration_ns = returned_ns - before_ns
-        was_delayed = duration_ns > timeout_ns + POLL_OVERRUN_NS
+        was_delayed = duration_ns > timeout_ns + MAX_POLL_OVERRUN_NS
         turn_ns = before_ns - self._last_poll_ns
         self._poll_blocked = not was_delayed and duration_ns >= MIN_BLOCKED_POLL_NS and turn_ns <= MAX_SHORT_TURN_NS
         self._previous_poll_ns = self._last_poll_ns
-        # A delayed poll may have read the descriptors right after it was called.
+        # A delayed poll may have checked the descriptors right after it was called.
         self._last_poll_ns = before_ns if was_delayed else returned_ns
 
     def _run_tasks(self) -> None:
