--- a/lugtally/eventloop/socket_io.py
+++ b/lugtally/eventloop/socket_io.py
@@ -9,7 +9,7 @@
 
 
 def send_all(loop: EventLoop, sock: socket.socket, data: bytes, deadline_ns: int) -> bool:
-    """Block the running task until all data is sent; return whether that happened before ``deadline_ns``.
+    """Block the running task until all data is sent; return false if ``deadline_ns`` passes first.
 
     The socket must be non-blocking.  Also returns false if the task is interrupted.
 
--- a/lugtally/eventloop/task.py
+++ b/lugtally/eventloop/task.py
@@ -1,4 +1,4 @@
-"""A task, and the blocking call that it is in."""
+"""A task of the event loop, and the blocking call that it waits in."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class Waiter:
-    """One blocking call of a task.  The first reason to wake the task ends the call; later ones are ignored."""
+    """One blocking call of a task.  The first reason to wake the task ends the call; later reasons are ignored."""
 
     __slots__ = ("done", "has_timer", "task", "wake_reason")
 
--- a/lugtally/eventloop/tcp_socket.py
+++ b/lugtally/eventloop/tcp_socket.py
@@ -23,4 +23,4 @@
         return True
     except OSError:
         return False
-    return False  # closed by the peer, or unexpected bytes
+    return False  # closed by the peer, or unread bytes
--- a/lugtally/eventloop/timers.py
+++ b/lugtally/eventloop/timers.py
@@ -8,14 +8,15 @@
 
 from lugtally.eventloop.task import Waiter
 
-MIN_DONE_TO_COMPACT = 256
-"""Entries of finished waiters below which the heap is not compacted."""
+MAX_DONE_BEFORE_COMPACTION = 256
+"""The heap is compacted only if it has more entries of finished waiters than this."""
 
 TimerEntry = tuple[int, int, Waiter]
 """Deadline, sequence number and waiter.
 
-Entries compare by deadline.  The sequence number is unique: timers with equal deadlines fire in the order in which they
-were set, and waiters are never compared.  A plain tuple, because every blocking call with a deadline creates one.
+Entries are ordered by deadline.  The sequence number is unique, so that timers with equal deadlines fire in the order
+in which they were set, and waiters are never compared.  A plain tuple, because every blocking call with a deadline
+creates one.
 """
 
 
@@ -27,7 +28,10 @@
 
 
 class TimerHeap:
-    """Waiters by deadline.  The entry of a waiter that was resumed early stays until the heap is compacted."""
+    """Waiters, ordered by deadline.
+
+    The entry of a waiter that was resumed before its deadline stays until it is first or the heap is compacted.
+    """
 
     __slots__ = ("_done_count", "_heap", "_sequence")
 
@@ -44,21 +48,21 @@
         self._sequence += 1
         waiter.has_timer = True
         heappush(self._heap, (deadline_ns, self._sequence, waiter))
-        if self._done_count > MIN_DONE_TO_COMPACT and self._done_count > len(self._heap) // 2:
+        if self._done_count > MAX_DONE_BEFORE_COMPACTION and self._done_count > len(self._heap) // 2:
             self._compact()
 
     def _compact(self) -> None:
-        """Remove the timers of finished waiters.
+        """Remove the entries of finished waiters.
 
         Most blocking calls end long before their deadline: at thousands of requests a second with deadlines of 8 s,
-        these timers used 15 MB.  Compacting when they are half of the heap has a constant amortized cost per timer.
+        these entries used 15 MB.  Compacting when they are half of the heap has a constant amortized cost per timer.
         """
         self._heap = [entry for entry in self._heap if not entry[2].done]
         heapify(self._heap)
         self._done_count = 0
 
     def waiter_done(self) -> None:
-        """Count a waiter in the heap that was resumed before its deadline."""
+        """Count a waiter that is in the heap and was resumed before its deadline."""
         self._done_count += 1
 
     def next_deadline(self) -> int | None:
@@ -73,7 +77,7 @@
         return None
 
     def pop_due(self, now_ns: int) -> Iterator[ExpiredTimer]:
-        """Remove and yield the timers of blocked waiters whose deadline has passed."""
+        """Remove and yield the timers of blocked waiters whose deadline has come."""
         heap = self._heap
         while heap and heap[0][0] <= now_ns:
             deadline_ns, _, waiter = heappop(heap)
