--- a/lugtally/http1/serializer.py
+++ b/lugtally/http1/serializer.py
@@ -20,7 +20,7 @@
 }
 
 # Hop-by-hop request headers, and those that the sidecar sets itself.
-_NOT_FORWARDED = frozenset(
+_HEADERS_NOT_FORWARDED = frozenset(
     {
         "connection",
         "keep-alive",
@@ -38,18 +38,18 @@
 
 
 class ForwardedRequest:
-    """A client's request in the form that is sent to endpoints.  Attempts differ only in ``X-Time-Left``.
+    """A client's request in the form that is sent to endpoints.  Its attempts differ only in ``X-Time-Left``.
 
     Attributes:
-        time_left_offset: Number of bytes before the value of ``X-Time-Left``; they are equal in all attempts.
+        time_left_offset: Number of bytes before the value of ``X-Time-Left``; they are the same in all attempts.
     """
 
     __slots__ = ("_body", "_head", "time_left_offset")
 
     def __init__(self, message: Message) -> None:
-        not_forwarded = _NOT_FORWARDED
+        not_forwarded = _HEADERS_NOT_FORWARDED
         if (connection := message.header_map.get("connection")) is not None:
-            not_forwarded = _NOT_FORWARDED.union(split_connection_options(connection))
+            not_forwarded = _HEADERS_NOT_FORWARDED.union(split_connection_options(connection))
         lines = [f"{message.method} {message.target} HTTP/1.1"]
         lines += [f"{name}: {value}" for name, value in message.headers if name.lower() not in not_forwarded]
         if message.body or message.method != "GET":
@@ -64,18 +64,18 @@
 
 
 def serialize_get(host: str, target: str) -> bytes:
-    """Return a GET request that the sidecar sends for itself."""
+    """Return a GET request that the sidecar sends on its own behalf."""
     return f"GET {target} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode("latin-1")
 
 
-def serialize_streamed_head(response: Message, headers: Headers, add_chunks: bool, close: bool) -> bytes:
+def serialize_streamed_head(response: Message, headers: Headers, use_chunks: bool, close: bool) -> bytes:
     """Return the head of a streamed response.
 
-    The head declares the framing of ``response``, or chunked encoding if ``add_chunks``.  ``close`` announces that the
-    connection is closed after the response.
+    The head declares the framing of ``response``, or chunked encoding if ``use_chunks`` is set.  ``close`` announces
+    that the connection is closed after the response.
     """
     lines = _head_lines(response.status, headers)
-    if add_chunks or "transfer-encoding" in response.header_map:
+    if use_chunks or "transfer-encoding" in response.header_map:
         lines.append("Transfer-Encoding: chunked")
     elif "content-length" in response.header_map:
         lines.append(f"Content-Length: {response.header_map['content-length']}")
