--- a/lugtally/http1/parser.py
+++ b/lugtally/http1/parser.py
@@ -1,4 +1,4 @@
-"""The incremental parser: it takes received bytes and returns complete messages."""
+"""The incremental parser: takes received bytes and returns complete messages."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
             responses: Whether the messages are responses.
             max_body_bytes: Largest body of a message that is returned with its body.
             streams: Whether a 200 response whose body is chunked, has no length or is longer than ``MAX_BODY_BYTES``
-                is returned when its head is complete.  :meth:`detach_body` then hands over its body.
+                is returned as soon as its head is complete.  :meth:`detach_body` then returns its body.
         """
         self._responses = responses
         self._max_body_bytes = max_body_bytes
@@ -63,14 +63,14 @@
 
     @property
     def pending_head(self) -> Message | None:
-        """The message whose head is complete and whose body is not, or ``None``."""
+        """The message whose head is complete, but whose body is not; ``None`` if there is none."""
         return self._head
 
     def feed(self, data: bytes) -> Message | None:
         """Add received bytes, and return the next message if it is complete.
 
-        Call again with ``b""`` until the result is ``None``: the bytes may complete several messages.  A streamed
-        response is returned when its head is complete.  Interim responses are skipped.
+        The bytes may complete several messages: call again with ``b""`` until the result is ``None``.  A streamed
+        response is returned as soon as its head is complete.  Interim responses are skipped.
 
         Raises:
             ProtocolError: The bytes are not an HTTP message or exceed a limit.
@@ -95,7 +95,7 @@
             self._skip_interim_response(message)
 
     def detach_body(self) -> DetachedBody:
-        """Hand over the body of the streamed response whose head was returned last."""
+        """Return the body of the streamed response whose head was returned last; the caller reads the rest of it."""
         length = None if self._remaining < 0 else self._remaining
         framing = BodyFraming(chunked=self._chunks is not None, length=length)
         data = bytes(self._buffer)
@@ -103,7 +103,7 @@
         return DetachedBody(framing, data)
 
     def end_of_input(self) -> Message | None:
-        """Return the message that ends with the connection, or ``None`` if there is none or it is truncated."""
+        """Return the message whose body ends with the connection; ``None`` if there is none or it is truncated."""
         if self._head is None or self._remaining != UNTIL_CLOSE:
             return None
         message, self._head = self._head, None
@@ -173,7 +173,7 @@
     def _response_body_length(self, message: Message, length: int) -> int:
         """Return the length of a response's body, ``CHUNKED`` or ``UNTIL_CLOSE``.
 
-        Sets ``keep_alive`` and ``streamed`` of the message, which depend on the length.
+        Sets ``keep_alive`` and ``streamed`` of the message, because they depend on the length.
         """
         may_stream = self._streams and message.status == 200
         if length > self._max_body_bytes and not (may_stream and length <= MAX_STREAMED_BODY_BYTES):
@@ -181,8 +181,8 @@
         if length == UNTIL_CLOSE:
             message.keep_alive = False
         if message.status < 200 or message.status in (204, 304):
-            # Such a response has no body.  If it declares one, the endpoint may send one nevertheless, which would be
-            # parsed as the next response.
+            # Such a response has no body.  If its headers declare one, the endpoint may send it nevertheless, and it
+            # would be parsed as the next response.
             message.keep_alive = message.status < 200 or (message.keep_alive and length == 0)
             return 0
         message.streamed = may_stream and not 0 <= length <= MAX_BODY_BYTES
@@ -230,7 +230,7 @@
                 raise ProtocolError(413, "the body is too large")
 
     def _read_line(self) -> bytes | None:
-        """Remove a line from the buffer and return it without its CRLF, or ``None`` if it is incomplete."""
+        """Remove a line from the buffer and return it without its CRLF; ``None`` if it is incomplete."""
         end = self._buffer.find(b"\r\n", 0, MAX_CHUNK_LINE_BYTES + 2)
         if end < 0:
             if len(self._buffer) > MAX_CHUNK_LINE_BYTES:
