--- a/lugtally/http1/head_cache.py
+++ b/lugtally/http1/head_cache.py
@@ -1,4 +1,7 @@
-"""The cache of parsed response heads.  Endpoints send few different heads, so most responses need no parsing."""
+"""The cache of parsed response heads.
+
+Endpoints send few different heads, so the heads of most responses need no parsing.
+"""
 
 from __future__ import annotations
 
@@ -17,11 +20,11 @@
 
 
 class HeadCache:
-    """Parsed heads by their bytes, at most ``MAX_CACHED_HEADS``."""
+    """At most ``MAX_CACHED_HEADS`` parsed heads, by their bytes."""
 
     def __init__(self) -> None:
         self._heads: dict[bytes, CachedHead] = {}
-        # The method of the dictionary instead of a wrapper, because it is called for each response.
+        # The dictionary's own method instead of a wrapper, because it is called for each response.
         self.get = self._heads.get
         """Return the :class:`CachedHead` of the given bytes, or ``None``."""
 
--- a/lugtally/http1/head_parser.py
+++ b/lugtally/http1/head_parser.py
@@ -12,21 +12,21 @@
 from lugtally.http1.message import Headers, Message, split_connection_options
 
 CHUNKED = -2
-"""Special value of a body length: the body is chunked."""
+"""Special value in place of a body length: the body is chunked."""
 UNTIL_CLOSE = -1
-"""Special value of a body length: no length is declared.  The body of a response then ends with the connection."""
+"""Special value in place of a body length: none is declared.  The body of a response then ends with the connection."""
 
 _REQUEST_LINE = re.compile(r"([!#$%&'*+.^_`|~0-9A-Za-z-]+) ([!-~]+) HTTP/1\.([01])")
 _STATUS_LINE = re.compile(r"HTTP/1\.([01]) ([1-5][0-9][0-9])(?: .*)?")
 # Matches all header lines of a head at once, which is faster than one match per line.
 _HEADER_LINES = re.compile(rb"(?:\r\n[!#$%&'*+.^_`|~0-9A-Za-z-]+:[^\x00-\x08\x0a-\x1f\x7f]*)*")
 _CONTENT_LENGTH = re.compile(r"[0-9]{1,10}")
-# Every line of these headers matters: the first of a repeated header must not hide the others.
+# If one of these headers is repeated, all of its lines count: the first must not hide the others.
 _FRAMING_HEADERS = frozenset({"connection", "transfer-encoding", "content-length"})
 
 
 def parse_head(buffer: bytearray, end: int, responses: bool) -> Message:
-    """Parse the head that ends at ``end``, and remove it from the buffer together with its empty line.
+    """Parse the head that ends at ``end``, and remove it and the empty line after it from the buffer.
 
     Raises:
         ProtocolError: The head is malformed.
@@ -41,14 +41,14 @@
     _add_headers(message.headers, header_map, lines)
     if (connection := header_map.get("connection")) is not None:
         options = split_connection_options(connection)
-        # So far, keep_alive is the default of the HTTP version.
+        # Until here, keep_alive is the default of the HTTP version.
         message.keep_alive = "close" not in options if message.keep_alive else "keep-alive" in options
     message.expects_continue = header_map.get("expect", "").lower() == "100-continue"
     return message
 
 
 def declared_body_length(header_map: dict[str, str]) -> int:
-    """Return the body length in bytes that the headers declare, or ``CHUNKED`` or ``UNTIL_CLOSE``.
+    """Return the body length in bytes that the headers declare, ``CHUNKED`` or ``UNTIL_CLOSE``.
 
     Raises:
         ProtocolError: The headers are contradictory or malformed.
