--- a/lugtally/http1/body_framing.py
+++ b/lugtally/http1/body_framing.py
@@ -1,4 +1,4 @@
-"""The end of a streamed body: given by its length, its last chunk or the end of the connection."""
+"""Finds the end of a streamed body: after its declared length, its last chunk or at the end of the connection."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     chunked ends with the connection.
 
     Attributes:
-        done: Whether the last byte of the body has been fed.
+        done: Whether :meth:`feed` has received the last byte of the body.
     """
 
     __slots__ = ("_chunks", "_line", "_remaining", "done")
@@ -33,7 +33,7 @@
         return self._chunks is None and self._remaining is None
 
     def feed(self, data: bytes | memoryview) -> int:
-        """Return how many of the bytes, counted from the first, belong to the body.
+        """Return how many of the bytes, from the first on, belong to the body.
 
         Raises:
             ProtocolError: The chunked encoding is malformed.
@@ -62,7 +62,7 @@
         return position
 
     def _feed_line(self, chunks: ChunkedBody, data: bytes | memoryview, position: int) -> int:
-        """Add the received part of a line, and return the position after it."""
+        """Process the received part of a chunk-size or trailer line, and return the position after it."""
         line_end = bytes(data[position : position + MAX_CHUNK_LINE_BYTES + 2]).find(b"\n")
         next_position = len(data) if line_end < 0 else position + line_end + 1
         self._line += data[position:next_position]
@@ -70,7 +70,7 @@
             raise ProtocolError(400, "a line of the chunked body is too long")
         if line_end >= 0:
             if not self._line.endswith(b"\r\n"):
-                # As strict as the parser: a client that accepts a bare LF would find another end of the body.
+                # As strict as the parser, because a client that accepts a bare LF would find another end of the body.
                 raise ProtocolError(400, "a line of the chunked body ends without CRLF")
             chunks.consume_line(bytes(self._line[:-2]))
             self._line.clear()
@@ -78,8 +78,8 @@
 
 
 class DetachedBody(NamedTuple):
-    """The body of a streamed response, as its parser hands it over."""
+    """The body of a streamed response, which its parser no longer reads."""
 
     framing: BodyFraming
     data: bytes
-    """The bytes that were received together with the head; they may extend beyond the body."""
+    """The bytes that were received together with the head; they may extend beyond the end of the body."""
--- a/lugtally/http1/chunked_body.py
+++ b/lugtally/http1/chunked_body.py
@@ -1,4 +1,4 @@
-"""The state of a reader of a chunked body."""
+"""The states of reading a body in chunked transfer coding."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ChunkState(Enum):
-    """The element of a chunked body that is expected next."""
+    """The part of a chunked body that is expected next."""
 
     SIZE = "the line with the size of a chunk"
     DATA = "the rest of a chunk's data"
@@ -20,12 +20,12 @@
     DONE = "nothing"
 
 
-# Looking up members of an Enum is slow, and this code runs for each line of a body.
+# Aliases, because looking up a member of an Enum is slow and the code below runs for each line of a body.
 _SIZE, _DATA, _DATA_END, _TRAILER, _DONE = ChunkState
 
 
 class ChunkedBody:
-    """The position in one chunked body.  The reader finds the line ends and counts the data bytes."""
+    """The position in one chunked body.  The caller finds the line ends and counts the data bytes."""
 
     __slots__ = ("data_remaining", "done", "state")
 
