--- a/lugtally/http1/__init__.py
+++ b/lugtally/http1/__init__.py
@@ -1,6 +1,6 @@
 """The HTTP/1.1 codec: a sans-I/O parser, body framing and serializers.
 
-It owns the syntax and the size limits.  It must not know sockets, timeouts or the purpose of a message.
+It implements the syntax and the size limits.  It must not know sockets, timeouts or the purpose of a message.
 """
 
 from lugtally.http1.body_framing import BodyFraming, DetachedBody
