--- a/lugtally/downstream/connection.py
+++ b/lugtally/downstream/connection.py
@@ -44,9 +44,9 @@
         "loop",
         "response_truncated",
         "shutdown_state",
-        "waiting_since_ns",
         "sock",
         "state",
+        "waiting_since_ns",
         "wake_up",
         "write_stalled",
     )
--- a/lugtally/downstream/exchange.py
+++ b/lugtally/downstream/exchange.py
@@ -44,6 +44,7 @@
         "_client_closed",
         "_connection",
         "_forwarded",
+        "_forwarding_started",
         "_pending",
         "_reader",
         "_request",
@@ -53,7 +54,6 @@
         "_tasks",
         "_watched_since_ns",
         "_watches_input",
-        "_forwarding_started",
     )
 
     def __init__(self, services: ExchangeServices, reader: RequestReader, request: ValidatedRequest) -> None:
