--- a/tests/downstream/conftest.py
+++ b/tests/downstream/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of this folder."""
+"""Fixtures of the tests of client connections."""
 
 from __future__ import annotations
 
--- a/tests/downstream/sidecar_process.py
+++ b/tests/downstream/sidecar_process.py
@@ -1,4 +1,4 @@
-"""A real sidecar process with one fake endpoint, for tests of signals."""
+"""A real sidecar process with one fake endpoint, for tests that send signals."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class SidecarProcess:
-    """``lugtally serve`` with one endpoint, for which the test responds; discovery never responds."""
+    """``lugtally serve`` with one endpoint; the test responds in its place, and discovery never responds."""
 
     def __init__(self, folder: Path) -> None:
         self._endpoint = listener()
@@ -30,8 +30,8 @@
         self._endpoint_connections: list[socket.socket] = []
         self._clients: list[socket.socket] = []
         self._received = b""
-        with listener() as free:
-            self.listen_address = ("127.0.0.1", free.getsockname()[1])
+        with listener() as free_port:
+            self.listen_address = ("127.0.0.1", free_port.getsockname()[1])
         path = folder / "config.json"
         path.write_text(json.dumps(self._configuration()))
         self.process = subprocess.Popen(
@@ -46,7 +46,7 @@
         return self
 
     def __exit__(
-        self, kind: type[BaseException] | None, error: BaseException | None, traceback: TracebackType | None
+        self, error_type: type[BaseException] | None, error: BaseException | None, traceback: TracebackType | None
     ) -> None:
         self.process.send_signal(signal.SIGCONT)
         self.process.kill()
@@ -63,12 +63,12 @@
         return client
 
     def respond_to_next(self, body: bytes = b"ok") -> None:
-        """Wait for the next request at the endpoint and respond to it."""
+        """Wait until the endpoint has received the next request, and respond to it."""
         connection = self.next_request()
         connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
 
     def next_request(self) -> socket.socket:
-        """Wait until the endpoint has received a request; return its connection."""
+        """Wait until the endpoint has received the next request; return its connection."""
         while True:
             ready, _, _ = select.select([self._endpoint, *self._endpoint_connections], [], [], MAX_WAIT_S)
             assert ready, "no request arrived"
@@ -85,8 +85,8 @@
                 connection: socket.socket = ready[0]
                 return connection
 
-    def requests_seen(self) -> list[str]:
-        """Return the ids of the requests that have reached the endpoint, in order."""
+    def received_request_ids(self) -> list[str]:
+        """Return the correlation IDs of the requests that the endpoint has received so far, in order."""
         while True:
             ready, _, _ = select.select([self._endpoint, *self._endpoint_connections], [], [], 0)
             if not ready:
@@ -126,4 +126,4 @@
         line = self.process.stderr.readline()
         while line and b" serves at " not in line:
             line = self.process.stderr.readline()
-        assert line, "it did not start"
+        assert line, "the sidecar did not start"
--- a/tests/downstream/test_arrival.py
+++ b/tests/downstream/test_arrival.py
@@ -173,7 +173,7 @@
         time.sleep(2 * STALL_S)
         sidecar.process.send_signal(signal.SIGCONT)
         assert client.recv(65536).startswith(b"HTTP/1.1 503")
-        assert sidecar.requests_seen() == (["first"] if reused else [])
+        assert sidecar.received_request_ids() == (["first"] if reused else [])
 
 
 def test_non_empty_backlog_sets_no_arrival_time() -> None:
