--- a/tests/downstream/test_arrival.py
+++ b/tests/downstream/test_arrival.py
@@ -17,11 +17,11 @@
 SHORT_TIME_LEFT_S = 0.3
 STALL_S = 0.5
 STALL_NS = 500 * NS_PER_MS
-"""Longer than a short request has."""
+"""Longer than the time left of a short request."""
 
 
 def short_request(request_id: str) -> bytes:
-    """Serialize a request with less time left than a stall takes."""
+    """Serialize a request whose time left is shorter than a stall."""
     return request("read", request_id, time_left_s=SHORT_TIME_LEFT_S)
 
 
@@ -31,14 +31,14 @@
 
 
 def assert_no_expired_request_was_submitted(sidecar: Sidecar) -> None:
-    """Fail if the balancer received an expired request, or if an attempt was not sent."""
+    """Fail if the balancer received an expired request, or if an attempt was started and never sent."""
     assert all(event.time_left_ns > 400 * NS_PER_MS for event in requests_submitted(sidecar))
     assert balancing.AttemptResult.NEVER_SENT not in sidecar.balancer.attempt_results()
 
 
 @pytest.mark.parametrize("reused", [False, True], ids=["new connection", "reused connection"])
 def test_deadline_counts_from_arrival_while_process_is_busy(reused: bool, sidecar: Sidecar) -> None:
-    """The process reads the request 0.5 s after its last byte; it had 0.3 s."""
+    """The process reads the request 0.5 s after its last byte arrived, but the request had only 0.3 s left."""
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
@@ -86,7 +86,7 @@
 
 
 def test_deadline_counts_from_arrival_in_backlog() -> None:
-    """The only place for a client is occupied for longer than the second request has."""
+    """The limit is one client connection; the first client uses it for longer than the second request has left."""
     sidecar = Sidecar(max_clients=1)
 
     def script() -> None:
@@ -121,7 +121,7 @@
 
 
 def test_request_read_at_once_keeps_its_full_time_left(sidecar: Sidecar) -> None:
-    """The bound on its arrival costs no time where nothing delayed it, however long the loop was idle."""
+    """The lower bound of its arrival is exact if nothing delays it, however long the event loop was idle before."""
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
@@ -132,7 +132,7 @@
         connection.respond()
         assert client.read().startswith(b"HTTP/1.1 200")
 
-    sidecar.limits.idle_timeout_ns = 1  # each attempt opens a connection
+    sidecar.limits.idle_timeout_ns = 1  # so that each attempt opens a new connection
     sidecar.run(script)
     margin_ns = event_loop.MAX_POLL_NS + 40 * NS_PER_MS
     assert [event.time_left_ns >= 5_000 * NS_PER_MS - margin_ns for event in requests_submitted(sidecar)] == [
@@ -142,7 +142,7 @@
 
 
 def test_slow_response_does_not_shorten_the_next_deadline(sidecar: Sidecar) -> None:
-    """The connection was not read from during the response, but the loop polled it."""
+    """While the first request is in progress the connection is not read, but the event loop polls it."""
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
@@ -160,14 +160,14 @@
 
 @pytest.mark.parametrize("reused", [False, True], ids=["new connection", "reused connection"])
 def test_expired_request_is_not_forwarded_after_sigstop(reused: bool, tmp_path: Path) -> None:
-    """The kernel accepts bytes for a stopped process and does not say when they arrived."""
+    """The kernel accepts bytes for a stopped process, and does not report when they arrived."""
     with SidecarProcess(tmp_path) as sidecar:
         client = sidecar.connect()
         if reused:
             client.sendall(request("campaign-read", "first"))
             sidecar.respond_to_next()
             assert client.recv(65536).startswith(b"HTTP/1.1 200")
-        time.sleep(0.3)  # until the process waits in its poll
+        time.sleep(0.3)  # long enough for the process to block in its poll
         sidecar.process.send_signal(signal.SIGSTOP)
         client.sendall(request("campaign-read", "late", time_left_s=SHORT_TIME_LEFT_S))
         time.sleep(2 * STALL_S)
@@ -177,7 +177,10 @@
 
 
 def test_non_empty_backlog_sets_no_arrival_time() -> None:
-    """One place becomes free at a time, and the poll that reports the next client is slow."""
+    """The limit is one client connection: others wait in the backlog when a poll that seems to have blocked reports it.
+
+    The time of such a poll must not be taken for the arrival of their requests.
+    """
     sidecar = Sidecar(max_clients=1)
 
     def script() -> None:
