--- a/tests/downstream/test_closing.py
+++ b/tests/downstream/test_closing.py
@@ -1,4 +1,4 @@
-"""Races of closing a client's connection: a request that arrives just then, a response that is not read yet."""
+"""Races when a client connection is closed: a request arrives meanwhile, or the client has not read its response."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 def test_client_sending_after_last_response_receives_all_of_it(
     body_bytes: int, draining: bool, sidecar: Sidecar
 ) -> None:
-    """Closing a socket with unread bytes sends a reset, which discards what the client has not read."""
+    """Closing a socket with unread bytes resets the connection, which discards what the client has not read."""
 
     def script() -> None:
         client = sidecar.slow_client(sidecar.listen_with_one_endpoint())
@@ -46,22 +46,22 @@
 
 
 def test_request_arriving_at_idle_timeout_is_answered(monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar) -> None:
-    """It arrives between the poll that times out and the close."""
+    """The request arrives after the poll that times out and before the close."""
     monkeypatch.setattr(request_reader, "CLIENT_IDLE_TIMEOUT_NS", 20 * NS_PER_MS)
-    waited = Event.wait
-    sent: list[int] = []
+    original_wait = Event.wait
+    late_requests: list[int] = []
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
 
         def wait(self: Event, deadline_ns: int | None = None) -> WakeReason:
-            reason = waited(self, deadline_ns)
+            reason = original_wait(self, deadline_ns)
             if (
                 reason is WakeReason.TIMEOUT
-                and not sent
-                and any(self is one.wake_up for one in sidecar.downstream._connections)
+                and not late_requests
+                and any(self is connection.wake_up for connection in sidecar.downstream._connections)
             ):
-                sent.append(1)
+                late_requests.append(1)
                 monkeypatch.setattr(request_reader, "CLIENT_IDLE_TIMEOUT_NS", 5_000 * NS_PER_MS)
                 client.send(request("read"))
             return reason
@@ -77,11 +77,11 @@
         assert client.read().startswith(b"HTTP/1.1 200")
 
     sidecar.run(script)
-    assert sent
+    assert late_requests
 
 
 def test_shutdown_ends_at_connection_limit() -> None:
-    """The accepting task waits for a free place, and must not use up the wake-up of the shutdown."""
+    """The accepting task waits for a connection to close, and must not consume the event that wakes the shutdown."""
     sidecar = Sidecar(max_clients=1)
 
     def script() -> None:
@@ -90,7 +90,7 @@
         connection = sidecar.server.accept_request()
         sidecar.downstream.drain()
         sidecar.wait_until(sidecar.has_closed_listener)
-        # Longer than the accepting task waits before it checks for a free place again.
+        # Longer than the accepting task waits before it checks the connection limit again.
         sidecar.loop.sleep(2 * acceptor.EVICTION_INTERVAL_NS)
         connection.respond()
         assert client.read_to_end().startswith(b"HTTP/1.1 200")
@@ -102,7 +102,7 @@
 
 
 def test_connection_accepted_last_in_shutdown_may_send_request() -> None:
-    """It is accepted as the listener closes, and its request arrives afterwards."""
+    """The connection is accepted just before the listener closes, and its request arrives afterwards."""
     sidecar = Sidecar(max_clients=1)
 
     def script() -> None:
@@ -110,7 +110,7 @@
         first = sidecar.client(address)
         first.send(request("read"))
         connection = sidecar.server.accept_request()
-        second = sidecar.client(address)  # waits in the backlog, as the only place is occupied
+        second = sidecar.client(address)  # waits in the backlog, because the limit is one connection
         sidecar.downstream.drain()
         sidecar.wait_until(lambda: sidecar.downstream._shutdown.state.closing)
         connection.respond()
@@ -130,7 +130,7 @@
 
 
 def test_request_after_connection_close_is_not_forwarded(sidecar: Sidecar) -> None:
-    """Its client retries it on another connection, so that it must not run here as well."""
+    """Its client retries it on another connection, so that it must not be processed here as well."""
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
@@ -182,7 +182,7 @@
 def test_connection_closed_before_write_fails_request_once(
     partial_response: bytes, monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar
 ) -> None:
-    """The request may have run: it gets a 502 and is not retried."""
+    """The request may have been processed: it gets a 502 and is not retried."""
     write_request = attempt.write_request
 
     def script() -> None:
@@ -200,14 +200,14 @@
         monkeypatch.setattr(attempt, "write_request", close_and_write)
         client.send(request("once", "r1", method="POST", headers="Content-Length: 0\r\n"))
         assert client.read().startswith(b"HTTP/1.1 502")
-        assert sidecar.server.is_idle(), "it was retried"
+        assert sidecar.server.is_idle(), "the request was retried"
 
     sidecar.run(script)
     assert sidecar.balancer.attempt_results() == [balancing.AttemptResult.OK, balancing.AttemptResult.RESET]
 
 
 def test_shutdown_ends_while_client_reads_no_response(monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar) -> None:
-    """A write that stalls is given up after its timeout, also during a graceful shutdown."""
+    """A stalled write fails after its timeout, because otherwise a graceful shutdown would not end."""
     monkeypatch.setattr(downstream_connection, "WRITE_STALL_TIMEOUT_NS", 50 * NS_PER_MS)
 
     def script() -> None:
