--- a/tests/downstream/test_connection_limit.py
+++ b/tests/downstream/test_connection_limit.py
@@ -1,6 +1,6 @@
 """The limit on client connections: waiting clients are accepted in time, and no request in progress is evicted.
 
-The tests check what clients observe; they use no time limit of the code.
+The tests check what clients observe, with time limits of their own instead of those in the code.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 
 INCOMPLETE_REQUEST = b"GET /read HTTP/1.1\r\nHost: s\r\n"
 MAX_EVICTION_DELAY_NS = NS_PER_S
-"""How long clients may wait in the backlog while idle connections occupy all places."""
+"""How long clients may wait in the backlog while only idle connections use up the limit."""
 NEW_CONNECTION_GRACE_NS = 100 * NS_PER_MS
-"""How long a new connection has for its first byte before it may be evicted."""
+"""How long the client of a new connection has to send its first byte, before the connection may be evicted."""
 
 
 def respond_to_each(connection: PeerConnection) -> None:
-    """Respond to the requests on one upstream connection until it ends."""
+    """Respond to each request on one upstream connection, until the connection ends."""
     while b"\r\n\r\n" in connection.received or connection.read_more():
         connection.read_head()
         connection.respond()
 
 
 def respond_to_all(sidecar: Sidecar) -> None:
-    """Let the endpoint respond to each request on each connection that it accepts from now on."""
+    """Let the endpoint respond to all requests on the connections that it accepts from now on."""
 
     def accept() -> None:
         while not sidecar.stopped:
@@ -41,7 +41,7 @@
 
 
 def connect(sidecar: Sidecar, address: Address, count: int) -> list[PeerConnection]:
-    """Connect clients, which send nothing."""
+    """Connect this many clients, which send nothing."""
     return [sidecar.client(address) for _ in range(count)]
 
 
@@ -63,7 +63,7 @@
 def assert_new_clients_are_served(
     sidecar: Sidecar, address: Address, count: int, *, within_ns: int, time_left_s: float = 5.0
 ) -> None:
-    """Connect clients that send one request each; fail unless all of them receive a 200 in time."""
+    """Connect this many clients that send one request each; fail unless all of them receive a 200 in time."""
     started_ns = sidecar.loop.now()
     clients = connect(sidecar, address, count)
     for number, client in enumerate(clients):
@@ -77,7 +77,7 @@
 
 
 def has_input(sidecar: Sidecar, client: PeerConnection) -> bool:
-    """Whether the client has received bytes, an end or a reset."""
+    """Whether the client has received bytes, the end of the connection or a reset."""
     return sidecar.loop.is_ready(client.sock.fileno(), READABLE)
 
 
@@ -89,7 +89,8 @@
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
         respond_to_all(sidecar)
-        served = connect(sidecar, address, 12 if kind == "reused" else 0)  # with more, each response closes
+        # If more than half of the allowed connections were open, each response would close its connection.
+        served = connect(sidecar, address, 12 if kind == "reused" else 0)
         send_requests(served, "first")
         for client in served:
             assert client.read().startswith(b"HTTP/1.1 200")
@@ -104,7 +105,7 @@
 
 
 def test_idle_connections_stay_open_with_empty_backlog() -> None:
-    """The limit on connections is reached, but no client waits."""
+    """The connection limit is reached, but no client waits."""
     sidecar = Sidecar(max_clients=4)
 
     def script() -> None:
@@ -112,7 +113,7 @@
         sidecar.wait_until(lambda: sidecar.downstream.open_connections == 4)
         sidecar.loop.sleep(5 * NEW_CONNECTION_GRACE_NS)
         evicted = sum(has_input(sidecar, client) for client in idle)
-        assert evicted == 0, f"{evicted} of 4 were evicted"
+        assert evicted == 0, f"{evicted} of 4 idle connections were evicted"
 
     sidecar.run(script)
 
@@ -145,7 +146,7 @@
     ("max_clients", "incomplete_count"), [(4, 4), (8, 16)], ids=["all accepted", "half in backlog"]
 )
 def test_incomplete_request_is_evicted_at_connection_limit(max_clients: int, incomplete_count: int) -> None:
-    """It gets a 408 in time for a request in the backlog that has 2 s left."""
+    """It gets a 408 early enough for a request in the backlog that has 2 s left."""
     sidecar = Sidecar(max_clients=max_clients)
 
     def script() -> None:
@@ -165,7 +166,7 @@
 
 
 def test_new_connection_is_not_evicted_before_its_first_request() -> None:
-    """It has most of ``NEW_CONNECTION_GRACE_NS`` before it may be evicted as idle."""
+    """It stays open for most of ``NEW_CONNECTION_GRACE_NS``; after that it may be evicted."""
     sidecar = Sidecar(max_clients=4)
 
     def script() -> None:
@@ -175,12 +176,12 @@
         first_request_ns = sidecar.loop.now() + NEW_CONNECTION_GRACE_NS * 8 // 10
         new = sidecar.client(address)
         sidecar.wait_until(lambda: sidecar.downstream.open_connections == 3)
-        sidecar.loop.sleep(NS_PER_MS)  # its task has found nothing to read
-        last = sidecar.client(address)  # occupies the last place
+        sidecar.loop.sleep(NS_PER_MS)  # until the connection's task has found nothing to read
+        last = sidecar.client(address)  # reaches the limit
         waiting = connect(sidecar, address, 8)
         send_requests(waiting, "waiting")
         sidecar.loop.sleep(first_request_ns - sidecar.loop.now())
-        assert not has_input(sidecar, new), "it was evicted"
+        assert not has_input(sidecar, new), "the new connection was evicted"
         respond_to_all(sidecar)
         new.send(request("read", "new"))
         assert new.read().startswith(b"HTTP/1.1 200")
@@ -190,16 +191,18 @@
     sidecar.run(script)
 
 
-def fail_accepts(monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar, fails: Callable[[], bool]) -> list[int]:
-    """Fail accepting on the sidecar's listener with EMFILE while ``fails()``; return the list of failures."""
-    accept = socket.socket.accept
+def inject_accept_failures(
+    monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar, should_fail: Callable[[], bool]
+) -> list[int]:
+    """Fail each accept on the sidecar's listener with EMFILE while ``should_fail()``; return the list of failures."""
+    original_accept = socket.socket.accept
     failures: list[int] = []
 
     def accept_or_fail(sock: socket.socket) -> tuple[socket.socket, object]:
-        if sock is sidecar.downstream.listener and fails():
+        if sock is sidecar.downstream.listener and should_fail():
             failures.append(errno.EMFILE)
             raise OSError(errno.EMFILE, "Too many open files")
-        return accept(sock)
+        return original_accept(sock)
 
     monkeypatch.setattr(socket.socket, "accept", accept_or_fail)
     return failures
@@ -212,7 +215,7 @@
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
         respond_to_all(sidecar)
-        failures = fail_accepts(monkeypatch, sidecar, lambda: len(failures) < 5)
+        failures = inject_accept_failures(monkeypatch, sidecar, lambda: len(failures) < 5)
         if draining:
             sidecar.downstream.drain()
         clients = connect(sidecar, address, 3)
@@ -227,7 +230,7 @@
 
 
 def test_idle_connection_is_evicted_without_free_descriptor(monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar) -> None:
-    """Applies below the limit on connections, too."""
+    """Also applies below the connection limit."""
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
@@ -235,7 +238,7 @@
         idle = connect(sidecar, address, 4)
         sidecar.wait_until(lambda: sidecar.downstream.open_connections == 4)
         sidecar.loop.sleep(2 * NEW_CONNECTION_GRACE_NS)
-        failures = fail_accepts(monkeypatch, sidecar, lambda: sidecar.downstream.open_connections >= 4)
+        failures = inject_accept_failures(monkeypatch, sidecar, lambda: sidecar.downstream.open_connections >= 4)
         assert_new_clients_are_served(sidecar, address, 1, within_ns=MAX_EVICTION_DELAY_NS)
         assert failures
         for client in idle:
@@ -245,7 +248,7 @@
 
 
 def test_waiting_clients_are_served_among_slow_connections() -> None:
-    """Idle, incomplete and busy connections occupy all places; busy ones are not closed."""
+    """Idle connections, incomplete requests and requests in progress use up the limit; the last are not evicted."""
     sidecar = Sidecar(max_clients=12)
 
     def script() -> None:
@@ -274,7 +277,7 @@
 
 
 def test_lingering_connections_are_evicted_for_waiting_clients() -> None:
-    """Clients that do not close after their last response do not delay those in the backlog."""
+    """Clients that do not close after their last response do not delay the clients in the backlog."""
     sidecar = Sidecar(max_clients=4)
 
     def script() -> None:
