--- a/tests/downstream/test_connection_policy.py
+++ b/tests/downstream/test_connection_policy.py
@@ -1,4 +1,4 @@
-"""Which connection is evicted, by its state and the time for which it has waited."""
+"""Which connection is evicted: depends on its state and on how long it has waited for its client."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from lugtally.units import NS_PER_MS, NS_PER_S
 
 LONG_WAIT_NS = 60 * NS_PER_S
-"""A waiting time after which every evictable state may be evicted."""
+"""A waiting time after which a connection in any evictable state may be evicted."""
 
 
 @pytest.fixture
@@ -77,10 +77,10 @@
 def test_selection_prefers_state_then_age(sock: socket.socket) -> None:
     reading = connection_in(ConnectionState.READING_REQUEST, sock, waiting_since_ns=1)
     idle = connection_in(ConnectionState.IDLE, sock, waiting_since_ns=3)
-    older_new = connection_in(ConnectionState.AWAITING_FIRST_REQUEST, sock, waiting_since_ns=2)
+    waiting_longer = connection_in(ConnectionState.AWAITING_FIRST_REQUEST, sock, waiting_since_ns=2)
     lingering = connection_in(ConnectionState.LINGERING, sock, waiting_since_ns=4)
-    connections = [reading, idle, older_new, lingering]
-    for expected in (lingering, older_new, idle, reading):
+    connections = [reading, idle, waiting_longer, lingering]
+    for expected in (lingering, waiting_longer, idle, reading):
         assert select_for_eviction(connections, LONG_WAIT_NS) is expected
         connections.remove(expected)
     assert select_for_eviction(connections, LONG_WAIT_NS) is None
--- a/tests/downstream/test_connection_state.py
+++ b/tests/downstream/test_connection_state.py
@@ -1,4 +1,4 @@
-"""The table of a connection's transitions, and the page that shows it."""
+"""The table of a connection's state transitions, and the page that shows it as a diagram."""
 
 from __future__ import annotations
 
--- a/tests/downstream/test_descriptor_limits.py
+++ b/tests/downstream/test_descriptor_limits.py
@@ -1,4 +1,4 @@
-"""The shares of a process's descriptors: those of discovery are reserved, whatever clients and endpoints open."""
+"""How the file descriptors of the process are divided: some are reserved for discovery, whatever clients open."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 @pytest.mark.parametrize("sockets", [64, 100, 256, 1024, 65536])
 def test_descriptor_shares_leave_a_reserve(sockets: int) -> None:
-    """The standard streams, signals, listeners, discovery and the drain file need 9 descriptors."""
+    """Besides connections, the standard streams, signals, listeners, discovery and the drain file use 9 descriptors."""
     max_clients, max_upstream = split_descriptors(sockets)
-    assert max_clients + max_clients // 8 + max_upstream <= sockets - 10, "a shutdown needs descriptors, too"
+    assert max_clients + max_clients // 8 + max_upstream <= sockets - 10, "a shutdown accepts further clients"
     assert max_clients >= 16
     assert max_upstream >= 16
 
 
 def test_discovery_connects_at_client_connection_limit() -> None:
-    """Idle clients use all of their share while discovery disconnects; its descriptor is reserved."""
+    """Idle clients use up their share of descriptors while discovery disconnects; its descriptor stays reserved."""
     max_clients, _ = split_descriptors(64)
     sidecar = Sidecar(max_clients=max_clients)
 
@@ -43,7 +43,7 @@
         assert "from=1&" in reconnected.read_head()
         assert sidecar.downstream.open_connections <= max_clients
         assert open_descriptors() <= descriptors + 2
-        late_client = sidecar.client(address)  # is served: an idle connection is evicted
+        late_client = sidecar.client(address)  # is served, because an idle connection is evicted
         late_client.send(request("read"))
         upstream_connection = sidecar.server.accept_request()
         upstream_connection.respond()
