--- a/tests/downstream/test_guards.py
+++ b/tests/downstream/test_guards.py
@@ -1,4 +1,4 @@
-"""Guards of client connections that no other test covers: each test fails if its guard is removed."""
+"""Checks and limits of client connections that no other test covers: each test fails if its check is removed."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 from tests.fakes import ENDPOINT_A, Sidecar, request
 
 NEVER_NS = 60 * NS_PER_S
-"""A time limit that no test reaches."""
+"""Replaces a time limit that the test must not reach."""
 
 
 def test_disconnect_after_last_poll_is_noticed_before_write() -> None:
-    """The client disconnects while the balancer decides, in the same turn of the event loop as the write."""
+    """The client disconnects while the balancer decides, in the turn of the event loop that would write the request."""
     sidecar = Sidecar()
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
-        first = sidecar.client(address)
-        first.send(request("read", "r0"))
+        first_client = sidecar.client(address)
+        first_client.send(request("read", "r0"))
         connection = sidecar.server.accept()
         connection.read_head()
         connection.respond()
-        assert b"200 OK" in first.read()
-        sidecar.loop.sleep(20 * NS_PER_MS)  # the upstream connection may be reused without a wait
+        assert b"200 OK" in first_client.read()
+        sidecar.loop.sleep(20 * NS_PER_MS)  # then the upstream connection may be reused without a wait
         disconnecting = sidecar.client(address)
         sidecar.wait_until(lambda: sidecar.downstream.open_connections == 2)
         accepted = next(
@@ -77,7 +77,7 @@
 
 
 def test_new_connection_may_send_first_request_during_shutdown() -> None:
-    """A connection that was accepted before the shutdown and has not sent a request is new, not idle."""
+    """A connection that was accepted before the shutdown and has not carried a request is new instead of idle."""
     sidecar = Sidecar()
 
     def script() -> None:
@@ -85,7 +85,7 @@
         sidecar.wait_until(lambda: sidecar.downstream.open_connections == 1)
         sidecar.downstream.drain()
         sidecar.wait_until(sidecar.has_closed_listener)
-        sidecar.loop.sleep(NS_PER_MS)  # the task of each connection has been notified and has run
+        sidecar.loop.sleep(NS_PER_MS)  # until the task of each connection has been woken and has run
         client.send(request("read"))
         connection = sidecar.server.accept()
         connection.read_head()
@@ -98,7 +98,7 @@
 
 
 def test_close_after_408_does_not_wait_for_client(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A request that timed out has used its connection for long enough."""
+    """A client whose request timed out has used its connection for long enough."""
     monkeypatch.setattr(request_reader, "REQUEST_TIMEOUT_NS", 20 * NS_PER_MS)
     monkeypatch.setattr(closing, "LINGER_SILENCE_TIMEOUT_NS", NEVER_NS)
     monkeypatch.setattr(closing, "MAX_LINGER_NS", NEVER_NS)
@@ -114,20 +114,20 @@
 
 
 def test_slow_bytes_do_not_extend_request_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A byte is available at each poll, so that no wait for input reaches the request timeout."""
+    """A byte is available at each poll, so that no single wait for input reaches the request timeout."""
     monkeypatch.setattr(request_reader, "REQUEST_TIMEOUT_NS", 20 * NS_PER_MS)
     sidecar = Sidecar()
-    answered: list[bytes] = []
+    responses: list[bytes] = []
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         client.send(b"GET /read HTTP/1.1\r\nX-Fill: ")
-        sidecar.loop.spawn(lambda: answered.append(client.read()))
+        sidecar.loop.spawn(lambda: responses.append(client.read()))
         test_deadline_ns = sidecar.loop.now() + 10 * NS_PER_S
-        while not answered:
+        while not responses:
             assert sidecar.loop.now() < test_deadline_ns, "the request never timed out"
             client.send(b"x")
             sidecar.loop.sleep(0)
 
     sidecar.run(script)
-    assert answered[0].startswith(b"HTTP/1.1 408"), answered
+    assert responses[0].startswith(b"HTTP/1.1 408"), responses
