--- a/tests/downstream/test_half_close.py
+++ b/tests/downstream/test_half_close.py
@@ -1,7 +1,7 @@
-"""Clients that half-close behind a request, or leave between two: what is forwarded for them, and what they receive.
+"""Clients that half-close after a request, or disconnect between two requests: what is forwarded and what they receive.
 
-The sidecar cannot distinguish a half-close from a close, so that no attempt starts after it.  The client may still
-read, and receives a final response.
+The sidecar cannot distinguish a half-close from a close, so that no attempt starts after either of them.  The client
+may still read, and receives a final response.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 from tests.fakes import ENDPOINT_A, MAX_WAIT_NS, PeerConnection, Sidecar, disconnect, request
 
 SETTLED_NS = 20 * NS_PER_MS
-"""How long after its response an idle connection can be reused without a wait."""
+"""How long after its response an idle upstream connection can be reused without a wait."""
 OBSERVATION_NS = 100 * NS_PER_MS
 """How long to wait for a request that must not be forwarded."""
 
 
 def read_to_close(client: PeerConnection) -> bytes:
-    """Read until the connection is closed; raises ``ConnectionResetError`` at a reset."""
+    """Read until the connection is closed; raise ``ConnectionResetError`` if it is reset."""
     received = b""
     while True:
         reason = client.loop.wait(client.sock.fileno(), READABLE, client.loop.now() + MAX_WAIT_NS)
-        assert reason is WakeReason.READY, f"not closed after {received!r}"
+        assert reason is WakeReason.READY, f"the connection was not closed after {received!r}"
         data = client.sock.recv(65536)
         if not data:
             return received
@@ -44,7 +44,7 @@
 
 
 def open_idle_connections(sidecar: Sidecar, address: Address, count: int) -> list[PeerConnection]:
-    """Leave that many idle upstream connections, which have settled, by requests of clients that disconnect."""
+    """Create this many idle upstream connections that can be reused without a wait; return their endpoint's side."""
     clients = [sidecar.client(address) for _ in range(count)]
     connections = []
     for number, client in enumerate(clients):
@@ -61,7 +61,7 @@
 
 
 def forwarded_paths(sidecar: Sidecar, connections: list[PeerConnection]) -> list[str]:
-    """Wait for a while; return the paths of requests on these upstream connections and on new ones."""
+    """Wait for ``OBSERVATION_NS``; return the paths of all requests on these upstream connections and on new ones."""
     sidecar.loop.sleep(OBSERVATION_NS)
     while sidecar.loop.is_ready(sidecar.server.sock.fileno(), READABLE):
         connections = [*connections, sidecar.server.accept()]
@@ -75,9 +75,9 @@
 
 def wait_until_peer_closed(sidecar: Sidecar, accepted: DownstreamConnection) -> None:
     """Block the event loop until the kernel reports that the client's side is closed."""
-    give_up_ns = sidecar.loop.now() + NS_PER_S
+    test_deadline_ns = sidecar.loop.now() + NS_PER_S
     while not sidecar.loop.is_ready(accepted.fd, PEER_CLOSED):
-        assert sidecar.loop.now() < give_up_ns
+        assert sidecar.loop.now() < test_deadline_ns
 
 
 @pytest.mark.parametrize("idle_count", [0, 1], ids=["new connection", "idle connection"])
@@ -89,7 +89,7 @@
         connections = open_idle_connections(sidecar, address, idle_count)
         client = sidecar.client(address)
         client.send(request("read"))
-        client.sock.shutdown(socket.SHUT_WR)  # both are readable when the connection is accepted
+        client.sock.shutdown(socket.SHUT_WR)  # both have arrived when the connection is accepted
         assert_is_last_response(read_to_close(client), 503)
         assert forwarded_paths(sidecar, connections) == []
         client.sock.close()
@@ -98,7 +98,7 @@
 
 
 def test_half_close_during_decision_answers_503(sidecar: Sidecar) -> None:
-    """It arrives in the turn of the event loop in which the attempt would be written."""
+    """The half-close arrives in the turn of the event loop in which the request would be written to the endpoint."""
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
@@ -149,7 +149,7 @@
         connection = connections[0] if connections else sidecar.server.accept()
         connection.read_head()
         client.sock.shutdown(socket.SHUT_WR)
-        assert connection.read_to_end() == b"", "the attempt went on"
+        assert connection.read_to_end() == b"", "the attempt was not cancelled"
         assert_is_last_response(read_to_close(client), 502)
         assert forwarded_paths(sidecar, []) == []
         client.sock.close()
@@ -160,23 +160,24 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
-def test_client_leaving_after_response_drops_second_request(
+def test_client_disconnecting_after_response_drops_second_request(
     how: str, monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar
 ) -> None:
-    """Both requests were read together; it leaves as the first response is written."""
-    write = DownstreamConnection.write
+    """Both requests were read together, and the client disconnects when the first response has been written."""
+    original_write = DownstreamConnection.write
     received: list[bytes] = []
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
-        connections = open_idle_connections(sidecar, address, 2)  # the second request has one without a wait
+        # Two connections, so that the second request could be written without a wait.
+        connections = open_idle_connections(sidecar, address, 2)
         client = sidecar.client(address)
         client.send(request("read/one", "r1") + request("read/two", "r2"))
-        connection = connections[1]  # the one used most recently
+        connection = connections[1]  # the most recently used one is reused first
         assert connection.read_head().startswith("GET /read/one ")
 
         def write_and_disconnect(accepted: DownstreamConnection, data: bytes) -> bool:
-            written = write(accepted, data)
+            written = original_write(accepted, data)
             if not received:
                 received.append(client.sock.recv(65536))
                 disconnect(client.sock, how)
@@ -193,7 +194,7 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
-def test_client_leaving_before_response_drops_second_request(how: str, sidecar: Sidecar) -> None:
+def test_client_disconnecting_before_response_drops_second_request(how: str, sidecar: Sidecar) -> None:
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
         connections = open_idle_connections(sidecar, address, 2)
@@ -202,7 +203,7 @@
         connection = connections[1]
         assert connection.read_head().startswith("GET /read/one ")
         disconnect(client.sock, how)
-        assert connection.read_to_end() == b"", "the first attempt went on"
+        assert connection.read_to_end() == b"", "the first attempt was not cancelled"
         sidecar.wait_until(lambda: sidecar.downstream.open_connections == 0)
         assert forwarded_paths(sidecar, [connections[0]]) == []
 
