--- a/tests/downstream/test_pipelines.py
+++ b/tests/downstream/test_pipelines.py
@@ -1,4 +1,4 @@
-"""Pipelined requests: each is answered, in order, before the connection is closed."""
+"""Pipelined requests: each of them is answered, in order, before the connection is closed."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 def statuses(received: bytes) -> list[str]:
-    """Return the status of each response, in order; no body contains a status line."""
+    """Return the status of each response, in order.  No body in these tests contains a status line."""
     return [line.split(b" ", 2)[1].decode() for line in received.split(b"HTTP/1.1")[1:] if line.startswith(b" ")]
 
 
 def respond_to(sidecar: Sidecar, connection: PeerConnection | None, count: int) -> PeerConnection:
-    """Respond to that many requests at the endpoint, each with its target as the body."""
+    """Let the endpoint respond to this many requests, to each with its target as the body."""
     for _ in range(count):
         if connection is None or not connection.read_more():
             connection = sidecar.server.accept()
@@ -33,7 +33,7 @@
 @pytest.mark.parametrize("reason", ["draining", "many connections"])
 @pytest.mark.parametrize("count", [2, 5])
 def test_pipelined_requests_are_answered_before_close(reason: str, count: int) -> None:
-    """Only the last response says ``Connection: close``."""
+    """Only the last response announces ``Connection: close``."""
     sidecar = Sidecar(max_clients=3 if reason == "many connections" else 64)
     sidecar.keep_running_after_shutdown()
 
@@ -57,7 +57,7 @@
 
 
 def test_partly_read_pipelined_request_is_completed_in_drain(sidecar: Sidecar) -> None:
-    """Only a request of which nothing was read may be left unanswered by the close."""
+    """The close may leave a request unanswered only if no byte of it was read."""
     sidecar.keep_running_after_shutdown()
 
     def script() -> None:
@@ -79,7 +79,7 @@
 
 
 def test_requests_around_one_of_unknown_class_are_answered(sidecar: Sidecar) -> None:
-    """Its end is known, so that the next request can be parsed."""
+    """The end of a request of unknown class is known, so that the next request can be parsed."""
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
@@ -93,7 +93,7 @@
 
 
 def test_request_before_a_malformed_one_is_answered(sidecar: Sidecar) -> None:
-    """Nothing after the malformed request can be parsed: the connection ends with its 400."""
+    """Nothing after a malformed request can be parsed, so that the connection ends with its 400."""
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
@@ -116,7 +116,7 @@
 
 
 def read_responses(client: PeerConnection, count: int) -> list[tuple[int, bytes]]:
-    """Read that many responses; return the status and body of each."""
+    """Read this many responses; return the status and body of each."""
     parser = MessageParser(responses=True, max_body_bytes=10 * len(LONG_BODY))
     responses: list[tuple[int, bytes]] = []
     message = None
@@ -133,7 +133,7 @@
 
 
 def send_long_response(connection: PeerConnection, framing: str) -> None:
-    """Write a response that is too long to be buffered, and close."""
+    """Send a response that is too long to be buffered by the sidecar, and close the connection."""
     connection.read_head()
     data = memoryview(b"HTTP/1.1 200 OK\r\n" + LONG_RESPONSES[framing])
     while data:
@@ -163,7 +163,7 @@
 
 
 def test_truncated_response_fails_alone_with_request_behind_it(sidecar: Sidecar) -> None:
-    """The response is buffered while another request waits, so that no reset is needed."""
+    """The response is buffered while another request waits, so that the connection need not be reset."""
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
@@ -179,7 +179,7 @@
 
 
 def test_body_without_length_is_forwarded_in_chunks(sidecar: Sidecar) -> None:
-    """A truncated body lacks the last chunk, which is sent when the endpoint closes."""
+    """The last chunk is sent when the endpoint closes; without it the client would take the body for truncated."""
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
@@ -196,7 +196,7 @@
 
 
 def test_deadline_is_shortened_by_request_read_with_it(sidecar: Sidecar) -> None:
-    """The second request has 0.3 s and cannot be answered before the first."""
+    """The second request has 0.3 s left and cannot be answered before the first."""
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
@@ -231,14 +231,14 @@
 
 
 def test_endless_response_fails_alone_with_request_behind_it(sidecar: Sidecar) -> None:
-    """It is buffered up to the limit and never streamed."""
+    """The response is buffered up to the limit and never streamed."""
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
         client.send(request("read/1", "r1") + request("read/2", "r2"))
         connection = sidecar.server.accept_request()
         connection.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        with contextlib.suppress(ConnectionError):  # the sidecar closes it in the end
+        with contextlib.suppress(ConnectionError):  # the sidecar closes the connection in the end
             while sidecar.loop.wait(connection.sock.fileno(), WRITABLE) is WakeReason.READY:
                 connection.sock.send(b"2000\r\n" + bytes(0x2000) + b"\r\n")
         respond_to(sidecar, None, 1)
@@ -248,16 +248,16 @@
 
 
 class CountingSocket:
-    """A socket that counts what is read from it."""
+    """A socket that counts the bytes that are read from it."""
 
     def __init__(self, sock: socket.socket) -> None:
         self._sock = sock
-        self.received = 0
+        self.received_bytes = 0
 
     def recv(self, size: int, flags: int = 0) -> bytes:
         data = self._sock.recv(size, flags)
         if not flags & socket.MSG_PEEK:
-            self.received += len(data)
+            self.received_bytes += len(data)
         return data
 
     def __getattr__(self, name: str) -> Any:
@@ -287,6 +287,6 @@
         sidecar.loop.sleep(20 * NS_PER_MS)
         client.sock.close()
         sidecar.wait_until(lambda: sidecar.downstream.open_connections == 0)
-        assert counting.received == len(first)
+        assert counting.received_bytes == len(first)
 
     sidecar.run(script)
