--- a/tests/downstream/test_request_reader.py
+++ b/tests/downstream/test_request_reader.py
@@ -13,7 +13,7 @@
 
 
 def test_buffered_request_clears_write_stall() -> None:
-    """Input can only have been missed while the last response was written, not while an earlier one was."""
+    """Only the write of the last response matters: input that arrived during an earlier one has been noticed since."""
     loop = EventLoop()
     local, remote = socket.socketpair()
     local.setblocking(False)
--- a/tests/downstream/test_server.py
+++ b/tests/downstream/test_server.py
@@ -1,4 +1,4 @@
-"""The downstream server alone: exceptions while it responds, tenants, inherited sockets."""
+"""The downstream server alone: exceptions while it responds, tenants, and inherited listening sockets."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 def test_tenant_of_each_request_reaches_balancer(
     loop: EventLoop, upstream: UpstreamPool, balancer: ScriptedBalancer
 ) -> None:
-    """Regression: every request was treated as one of the first tenant."""
+    """Regression: the balancer received every request as one of the first tenant."""
     dispatcher = dispatch.Dispatcher(balancing.Settings(), 1, loop)
     classes = (
         balancing.RequestClass("first", deadline_ns=50 * NS_PER_MS),
@@ -93,7 +93,7 @@
         with sock:
             with pytest.raises(ValueError, match=r"PROXY_SOCKET_FD: .* is not a listening TCP socket"):
                 downstream.adopt(sock.fileno())
-            os.fstat(sock.fileno())  # a rejected descriptor stays open
+            os.fstat(sock.fileno())  # raises if the rejected descriptor was closed
     with listener() as inherited:
         downstream.adopt(inherited.fileno())
         assert downstream.listener is not None
