--- a/tests/downstream/test_shutdown.py
+++ b/tests/downstream/test_shutdown.py
@@ -1,6 +1,7 @@
-"""Graceful shutdown, from SIGTERM to the end: accepted requests are answered, and the shutdown ends in time.
+"""Graceful shutdown, from SIGTERM to the end: received requests are answered, and the shutdown ends in time.
 
-The tests check what clients observe and when the event loop stops; they use no time limit of the code.
+The tests check what clients observe and when the event loop stops, with time limits of their own instead of those in
+the code.
 """
 
 from __future__ import annotations
@@ -17,19 +18,19 @@
 from tests.fakes import PeerConnection, Sidecar, request
 
 ACCEPTING_NS = 500 * NS_PER_MS
-"""How long connections are accepted after SIGTERM, as docs/shutdown.md says."""
+"""How long connections are accepted after SIGTERM, as docs/shutdown.md specifies."""
 MAX_SHUTDOWN_NS = 3_600 * NS_PER_MS
 """How long the shutdown may take, whatever clients do."""
 IDLE_SHUTDOWN_NS = NS_PER_S
-"""How long the shutdown may take after accepting ends, when clients only keep connections open."""
+"""How long the shutdown may take after accepting ends, if clients only keep idle connections open."""
 
 
 class DrainingSidecar(Sidecar):
-    """A sidecar whose event loop outlives its shutdown, so that the script can read what clients received."""
+    """A sidecar whose event loop runs on after its shutdown, so that the script can read what clients received."""
 
     def __init__(self, *, max_clients: int = 64) -> None:
         super().__init__(max_clients=max_clients)
-        self.drained_ns = 0
+        self.drain_started_ns = 0
         self.ended_ns: int | None = None
         self._stop_loop = self.loop.stop
         self.loop.stop = self._record_end  # type: ignore[method-assign]
@@ -42,29 +43,29 @@
 
     def drain(self) -> None:
         """Start the graceful shutdown, as SIGTERM does."""
-        self.drained_ns = self.loop.now()
+        self.drain_started_ns = self.loop.now()
         self.downstream.drain()
 
     def since_drain_ns(self) -> int:
-        """Time since the shutdown started."""
-        return self.loop.now() - self.drained_ns
+        """Return the time since the shutdown started."""
+        return self.loop.now() - self.drain_started_ns
 
     def has_stopped_accepting(self) -> bool:
-        """Whether the time for accepting connections has expired."""
+        """Return whether the time for accepting connections has expired."""
         return self.downstream.draining and self.since_drain_ns() >= ACCEPTING_NS
 
     def sleep_until(self, since_drain_ns: int) -> None:
         """Sleep until that time after the start of the shutdown."""
-        self.loop.sleep(max(0, self.drained_ns + since_drain_ns - self.loop.now()))
+        self.loop.sleep(max(0, self.drain_started_ns + since_drain_ns - self.loop.now()))
 
     def wait_for_end(self) -> int:
         """Wait until the shutdown ends; return how long it took."""
         self.wait_until(lambda: self.ended_ns is not None)
         assert self.ended_ns is not None
-        return self.ended_ns - self.drained_ns
+        return self.ended_ns - self.drain_started_ns
 
     def respond_to_all(self, delay_ns: int = 0) -> None:
-        """Let the endpoint respond to each request with its path, on connections that it accepts from now on."""
+        """Let the endpoint answer each request with its path, on the connections that it accepts from now on."""
 
         def serve(connection: PeerConnection) -> None:
             while b"\r\n\r\n" in connection.received or connection.read_more():
@@ -88,7 +89,7 @@
 
 @pytest.fixture
 def sidecar() -> DrainingSidecar:
-    """A sidecar whose event loop outlives its shutdown."""
+    """A sidecar whose event loop runs on after its shutdown."""
     return DrainingSidecar()
 
 
@@ -125,7 +126,7 @@
 
 
 def test_late_first_byte_on_new_connection_is_answered(sidecar: DrainingSidecar) -> None:
-    """Its request arrives 0.4 s after the listener has closed."""
+    """The first request of the connection arrives 0.4 s after the listener has closed."""
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
@@ -144,7 +145,7 @@
 
 
 def test_late_rest_of_request_is_answered(sidecar: DrainingSidecar) -> None:
-    """Its rest arrives 1 s after the listener has closed."""
+    """The rest of the request arrives 1 s after the listener has closed."""
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
@@ -204,22 +205,22 @@
 def test_request_before_last_read_of_connection_is_answered(
     monkeypatch: pytest.MonkeyPatch, sidecar: DrainingSidecar
 ) -> None:
-    """The connection is marked for closing, and its task has not read for the last time."""
-    waited = Event.wait
-    sent: list[int] = []
+    """The request arrives after the close was requested, and before the connection's task reads for the last time."""
+    original_wait = Event.wait
+    late_requests: list[int] = []
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
         sidecar.respond_to_all()
 
         def wait(event: Event, deadline_ns: int | None = None) -> WakeReason:
-            reason = waited(event, deadline_ns)
+            reason = original_wait(event, deadline_ns)
             if (
-                not sent
+                not late_requests
                 and sidecar.has_stopped_accepting()
                 and event in [connection.wake_up for connection in sidecar.downstream._connections]
             ):
-                sent.append(1)
+                late_requests.append(1)
                 client.send(request("read", "late"))
             return reason
 
@@ -231,15 +232,15 @@
         assert sidecar.wait_for_end() < ACCEPTING_NS + IDLE_SHUTDOWN_NS
 
     sidecar.run(script)
-    assert sent
+    assert late_requests
 
 
 def test_request_after_last_read_of_connection_is_not_read(
     monkeypatch: pytest.MonkeyPatch, sidecar: DrainingSidecar
 ) -> None:
-    """An unread request is reset, so that its client can retry it; a request that was read is answered."""
-    receive = socket.socket.recv
-    sent: list[int] = []
+    """The client of an unread request gets a reset, and can retry; a request that was read must be answered."""
+    original_recv = socket.socket.recv
+    late_requests: list[int] = []
     read_after: list[bytes] = []
 
     def script() -> None:
@@ -250,13 +251,13 @@
 
         def recv(sock: socket.socket, *arguments: int) -> bytes:
             try:
-                data = receive(sock, *arguments)
+                data = original_recv(sock, *arguments)
             except BlockingIOError:
-                if sock is accepted and not sent and sidecar.has_stopped_accepting():
-                    sent.append(1)
+                if sock is accepted and not late_requests and sidecar.has_stopped_accepting():
+                    late_requests.append(1)
                     client.send(request("read", "late"))
                 raise
-            if sock is accepted and sent:
+            if sock is accepted and late_requests:
                 read_after.append(data)
             return data
 
@@ -265,10 +266,10 @@
         received = client.read_to_end()
         client.sock.close()
         assert sidecar.wait_for_end() < ACCEPTING_NS + IDLE_SHUTDOWN_NS
-        assert received.startswith(b"HTTP/1.1 200") or not any(read_after), "it was read and not answered"
+        assert received.startswith(b"HTTP/1.1 200") or not any(read_after), "the request was read and not answered"
 
     sidecar.run(script)
-    assert sent
+    assert late_requests
 
 
 CLIENT_DATA = {
@@ -277,17 +278,17 @@
     "sends a request slowly": b"GET /read HTTP/1.1\r\nX-Fill: ",
     "sends after a malformed request": b"what\r\n\r\n",
 }
-"""What clients send first that keep a shutdown from ending at once."""
+"""The first bytes of clients that prevent the shutdown from ending at once."""
 
 
 def send_if_possible(connection: PeerConnection, data: bytes) -> None:
-    """Send as much as the connection accepts; nothing if it has ended."""
+    """Send as much as the connection accepts, or nothing if it has ended."""
     with contextlib.suppress(OSError):
         connection.sock.send(data)
 
 
 def open_clients(sidecar: Sidecar, clients: dict[str, PeerConnection]) -> list[str]:
-    """Return the names of the clients whose connections the sidecar has open."""
+    """Return the names of the clients whose connections the sidecar still has open."""
     open_addresses = {connection.sock.getpeername() for connection in sidecar.downstream._connections}
     return [name for name, client in clients.items() if client.sock.getsockname() in open_addresses]
 
@@ -313,7 +314,9 @@
             send_if_possible(clients["sends after a malformed request"], b"x")
             sidecar.loop.sleep(NS_PER_MS)
         waited_ms = sidecar.since_drain_ns() / NS_PER_MS
-        assert sidecar.ended_ns is not None, f"not ended after {waited_ms:.0f} ms: {open_clients(sidecar, clients)}"
+        assert sidecar.ended_ns is not None, (
+            f"the shutdown has not ended after {waited_ms:.0f} ms: {open_clients(sidecar, clients)}"
+        )
         for client in clients.values():
             client.sock.close()
 
@@ -321,7 +324,7 @@
 
 
 def test_request_completed_late_is_answered_in_shutdown(sidecar: DrainingSidecar) -> None:
-    """The endpoint never responds, and the request has more time left than the shutdown."""
+    """The endpoint never responds, and the request has more time left than the shutdown takes."""
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
@@ -334,8 +337,8 @@
         sidecar.sleep_until(ACCEPTING_NS + 450 * NS_PER_MS)
         client.send(data[20:])
         upstream_connection = sidecar.server.accept_request()
-        in_time = sidecar.loop.wait(client.sock.fileno(), READABLE, sidecar.drained_ns + MAX_SHUTDOWN_NS)
-        assert in_time is WakeReason.READY, f"no answer after {sidecar.since_drain_ns() / NS_PER_MS:.0f} ms"
+        wake_reason = sidecar.loop.wait(client.sock.fileno(), READABLE, sidecar.drain_started_ns + MAX_SHUTDOWN_NS)
+        assert wake_reason is WakeReason.READY, f"no response after {sidecar.since_drain_ns() / NS_PER_MS:.0f} ms"
         assert client.read().startswith(b"HTTP/1.1 5")
         client.sock.close()
         assert sidecar.wait_for_end() <= MAX_SHUTDOWN_NS
