--- a/tests/downstream/test_shutdown_process.py
+++ b/tests/downstream/test_shutdown_process.py
@@ -1,4 +1,8 @@
-"""Graceful shutdown of a real process: signals that arrive together, and SIGSTOP during the shutdown."""
+"""Graceful shutdown of a real process: signals that arrive together, and SIGSTOP during the shutdown.
+
+The player names each connection: a name that begins with ``d`` is a connection that an endpoint accepts, and each other
+name in this module is that of a client.
+"""
 
 from __future__ import annotations
 
@@ -24,12 +28,12 @@
 from tests.sidecar_program import ROOT
 
 CPU_MARGIN_S = 0.5
-"""How much longer than its event loop a real process may take to end."""
+"""How much longer than the shutdown of its event loop a real process may take to end."""
 
 
 @pytest.fixture
 def player(tmp_path: Path) -> Iterator[Player]:
-    """The peers of a real process, which is ended after the test."""
+    """The peers of a real sidecar process, which is ended after the test."""
     player = Player(tmp_path)
     try:
         yield player
@@ -72,15 +76,15 @@
         sock.close()
 
 
-def send_request(player: Player, who: str) -> None:
-    player.connection(who).sendall(request("campaign-read", who))
+def send_request(player: Player, name: str) -> None:
+    player.connection(name).sendall(request("campaign-read", name))
 
 
-def first_line(player: Player, who: str) -> bytes:
-    """Return the first line that a client receives, or what it received before its connection ended."""
+def first_line(player: Player, name: str) -> bytes:
+    """Return the first line that a client receives, or all that it received if its connection ended earlier."""
     received = b""
     with contextlib.suppress(ConnectionResetError):
-        while b"\r\n" not in received and (data := player.connection(who).recv(4096)):
+        while b"\r\n" not in received and (data := player.connection(name).recv(4096)):
             received += data
     return received.partition(b"\r\n")[0]
 
@@ -92,12 +96,12 @@
 
 def wait_until_draining(player: Player) -> None:
     """Poll the health path until it reports that the process is draining."""
-    give_up_s = time.monotonic() + 10
+    test_deadline_s = time.monotonic() + 10
     while True:
         player.on_send("health", "GET /_health HTTP/1.1|Host: x||")
         if first_line(player, "health") == b"HTTP/1.1 503 Service Unavailable":
             return
-        assert time.monotonic() < give_up_s, "it is not draining"
+        assert time.monotonic() < test_deadline_s, "the process is not draining"
 
 
 def stop_process(player: Player) -> None:
@@ -117,53 +121,55 @@
     send_request(player, "c2")
     os.kill(pid_of(player), signal.SIGCONT)
     player.connection("d2").recv(4096)
-    for who in ("d2", "d1"):
-        player.connection(who).sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-    for who in ("c1", "c2"):
-        assert first_line(player, who) == b"HTTP/1.1 200 OK"
-        player.on_shut(who, "")
+    for name in ("d2", "d1"):
+        player.connection(name).sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+    for name in ("c1", "c2"):
+        assert first_line(player, name) == b"HTTP/1.1 200 OK"
+        player.on_shut(name, "")
     player.do_exit("0")
 
 
 @pytest.mark.usefixtures("endpoint")
 def test_process_stopped_during_shutdown_answers_requests(player: Player) -> None:
-    """Its timers are overdue when it continues: they must not run before the arrived bytes are read."""
+    """When the process continues its timers are overdue: they must not fire before the bytes that arrived are read."""
     player.do_serve()
-    for who in ("idle1", "idle2"):
-        send_request(player, who)
-        assert first_line(player, who) == b"HTTP/1.1 200 OK"
+    for name in ("idle1", "idle2"):
+        send_request(player, name)
+        assert first_line(player, name) == b"HTTP/1.1 200 OK"
     player.connection("new")
     send_request(player, "incomplete")
     assert first_line(player, "incomplete") == b"HTTP/1.1 200 OK"
     player.connection("incomplete").sendall(request("campaign-read", "incomplete2")[:30])
     player.do_term()
-    wait_until_draining(player)  # by then it has accepted "new", which connected before
+    wait_until_draining(player)  # by then the process has accepted "new", which connected before
     stop_process(player)
-    for who in ("idle1", "idle2", "new", "waiting"):  # the last lies in the backlog
-        send_request(player, who)
+    for name in ("idle1", "idle2", "new", "waiting"):  # "waiting" connects now and waits in the backlog
+        send_request(player, name)
     player.connection("incomplete").sendall(request("campaign-read", "incomplete2")[30:])
     time.sleep(1)
     os.kill(pid_of(player), signal.SIGCONT)
-    responses = {who: first_line(player, who) for who in ("idle1", "idle2", "new", "waiting", "incomplete")}
-    # The balancer may reject some of a burst to its only endpoint: a rejection is a final response, too.
+    responses = {name: first_line(player, name) for name in ("idle1", "idle2", "new", "waiting", "incomplete")}
+    # The balancer may reject part of this burst to its only endpoint; a rejection is a final response, too.
     assert set(responses.values()) <= {b"HTTP/1.1 200 OK", b"HTTP/1.1 503 Service Unavailable"}, responses
     assert b"HTTP/1.1 200 OK" in responses.values(), responses
-    for who in responses:
-        player.on_shut(who, "")
+    for name in responses:
+        player.on_shut(name, "")
     player.do_exit("0")
 
 
 @pytest.mark.usefixtures("endpoint")
 def test_process_with_idle_connections_ends_in_time(player: Player) -> None:
     player.do_serve()
-    for who in ("idle1", "idle2"):
-        send_request(player, who)
-        assert first_line(player, who) == b"HTTP/1.1 200 OK"
+    for name in ("idle1", "idle2"):
+        send_request(player, name)
+        assert first_line(player, name) == b"HTTP/1.1 200 OK"
     started_s = time.monotonic()
     player.do_term()
     player.do_exit("0")
     duration_s = time.monotonic() - started_s
-    assert duration_s <= (ACCEPTING_NS + IDLE_SHUTDOWN_NS) / NS_PER_S + CPU_MARGIN_S, f"the end took {duration_s:.1f} s"
+    assert duration_s <= (ACCEPTING_NS + IDLE_SHUTDOWN_NS) / NS_PER_S + CPU_MARGIN_S, (
+        f"the shutdown took {duration_s:.1f} s"
+    )
 
 
 def test_shutdown_before_first_endpoint_list_answers_503(player: Player, tmp_path: Path) -> None:
