--- a/tests/eventloop/conftest.py
+++ b/tests/eventloop/conftest.py
@@ -1,3 +1,5 @@
+"""Fixtures of the tests of the event loop."""
+
 from __future__ import annotations
 
 import pytest
--- a/tests/eventloop/test_loop.py
+++ b/tests/eventloop/test_loop.py
@@ -1,4 +1,4 @@
-"""The event loop: interrupted tasks, failing tasks, and timers of finished waits."""
+"""The event loop: interrupted tasks, failing tasks, and the timers of finished waits."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def test_a_task_interrupted_after_it_was_resumed_is_interrupted(loop: EventLoop) -> None:
-    """Regression: an attempt that was cancelled as its connection was established still wrote its request."""
+    """Regression: an attempt that was cancelled just as its connection was established still wrote its request."""
     reasons: list[WakeReason] = []
     event = Event(loop)
 
@@ -60,5 +60,5 @@
 
     loop.spawn(wait_many_times)
     loop.run(lambda: None)
-    assert reasons == [WakeReason.TIMEOUT], "the timer of a blocked task was removed"
+    assert reasons == [WakeReason.TIMEOUT], "the timer of a task that still blocks was removed"
     assert len(loop._timers) < 1000
--- a/tests/eventloop/test_socket_io.py
+++ b/tests/eventloop/test_socket_io.py
@@ -11,11 +11,13 @@
 from lugtally.eventloop import READABLE, EventLoop, send_all
 from lugtally.units import NS_PER_MS, NS_PER_S
 
-DATA = b"x" * 4_000_000  # more than the buffers of a socket pair
+DATA = b"x" * 4_000_000  # more than the kernel buffers for a socket pair
 READ_BYTES = 65536
 
 
 class SocketPair(NamedTuple):
+    """Both ends of a connection; both are non-blocking."""
+
     sender: socket.socket
     receiver: socket.socket
 
--- a/tests/eventloop/test_tcp_socket.py
+++ b/tests/eventloop/test_tcp_socket.py
@@ -30,7 +30,7 @@
 
 
 def wait_readable(sock: socket.socket) -> None:
-    """Wait until bytes or the end of the connection were received."""
+    """Wait until bytes or the end of the connection have been received."""
     sock.settimeout(5)
     try:
         sock.recv(1, socket.MSG_PEEK)
@@ -47,12 +47,12 @@
         assert not sock.getblocking()
 
 
-def test_open_connection_without_bytes_is_quiet(connection: Connection) -> None:
+def test_open_connection_without_unread_bytes_is_recognized(connection: Connection) -> None:
     sock, _ = connection
     assert is_open_without_input(sock)
 
 
-def test_connection_with_unread_bytes_is_not_quiet(connection: Connection) -> None:
+def test_connection_with_unread_bytes_has_input(connection: Connection) -> None:
     sock, peer = connection
     peer.sendall(b"x")
     wait_readable(sock)
@@ -61,14 +61,14 @@
     assert is_open_without_input(sock)
 
 
-def test_closed_connection_is_not_quiet(connection: Connection) -> None:
+def test_closed_connection_is_not_open(connection: Connection) -> None:
     sock, peer = connection
     peer.close()
     wait_readable(sock)
     assert not is_open_without_input(sock)
 
 
-def test_reset_connection_is_not_quiet(connection: Connection) -> None:
+def test_reset_connection_is_not_open(connection: Connection) -> None:
     sock, peer = connection
     peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     peer.close()
