--- a/tests/http1/test_body_framing.py
+++ b/tests/http1/test_body_framing.py
@@ -1,4 +1,4 @@
-"""The end of a streamed body, for any split of the received bytes."""
+"""The end of a streamed body, which must be found however the received bytes are split."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 from tests.sidecar_program import SETTINGS
 
 
-def chunked(pieces: list[bytes], trailer: bytes = b"") -> bytes:
+def encode_chunked(pieces: list[bytes], trailer: bytes = b"") -> bytes:
     return b"".join(b"%x\r\n%s\r\n" % (len(piece), piece) for piece in pieces if piece) + b"0\r\n" + trailer + b"\r\n"
 
 
-def feed_in_pieces(frame: BodyFraming, data: bytes, ends: list[int]) -> int:
-    """Feed the bytes in pieces that end at ``ends``; return how many belong to the body."""
+def feed_in_pieces(framing: BodyFraming, data: bytes, ends: list[int]) -> int:
+    """Feed the bytes in pieces that end at the positions ``ends``; return how many of them belong to the body."""
     body_bytes, start = 0, 0
     for end in [*sorted({min(end, len(data)) for end in ends}), len(data)]:
-        if frame.done:
+        if framing.done:
             break
         piece = data[start:end]
-        count = frame.feed(piece)
-        assert count == len(piece) or frame.done
+        count = framing.feed(piece)
+        assert count == len(piece) or framing.done
         body_bytes += count
         start = end
     return body_bytes
@@ -40,24 +40,24 @@
 def test_chunked_body_ends_after_last_chunk_for_any_split(
     pieces: list[bytes], ends: list[int], following: bytes
 ) -> None:
-    body = chunked(pieces, b"X-Sum: 1\r\n")
-    frame = BodyFraming(chunked=True)
-    assert feed_in_pieces(frame, body + following, ends) == len(body)
-    assert frame.done
+    body = encode_chunked(pieces, b"X-Sum: 1\r\n")
+    framing = BodyFraming(chunked=True)
+    assert feed_in_pieces(framing, body + following, ends) == len(body)
+    assert framing.done
 
 
 @given(st.integers(0, 5000), st.lists(st.integers(0, 6000), max_size=10))
 def test_body_with_length_ends_after_its_last_byte(length: int, ends: list[int]) -> None:
-    frame = BodyFraming(length=length)
-    assert feed_in_pieces(frame, b"x" * length + b"next", ends) == length
-    assert frame.done
+    framing = BodyFraming(length=length)
+    assert feed_in_pieces(framing, b"x" * length + b"next", ends) == length
+    assert framing.done
 
 
 def test_body_without_length_ends_with_the_connection() -> None:
-    frame = BodyFraming()
-    assert frame.until_close
-    assert frame.feed(b"abc") == 3
-    assert not frame.done
+    framing = BodyFraming()
+    assert framing.until_close
+    assert framing.feed(b"abc") == 3
+    assert not framing.done
 
 
 @pytest.mark.parametrize(
@@ -71,15 +71,15 @@
 
 
 def test_streamed_attempt_is_not_in_flight_after_its_first_byte() -> None:
-    """Regression: long responses to slow clients occupied the endpoints' capacity; 40% of requests were rejected."""
+    """Regression: long responses to slow clients used up the endpoints' capacity; 40% of requests were rejected."""
     balancer = Balancer(read_settings(SETTINGS), 1)
     balancer.handle(0, balancing.EndpointUpdate(balancing.EndpointUpdateKind.CACHED, [balancing.Endpoint(7)]))
-    sends = [
+    attempts = [
         action
         for action in balancer.handle(1, balancing.Request("r", 0, 0, 2 * NS_PER_S))
         if isinstance(action, balancing.SendAttempt)
     ]
-    assert [send.endpoint_id for send in sends] == [7]
+    assert [attempt.endpoint_id for attempt in attempts] == [7]
     endpoint = balancer.endpoints.by_id[7]
     assert len(endpoint.in_flight) == 1
     balancer.handle(5 * NS_PER_MS, balancing.ResponseStarted("r", 0, 7))
