--- a/tests/http1/test_response_framing.py
+++ b/tests/http1/test_response_framing.py
@@ -1,4 +1,4 @@
-"""The end of a response, ambiguous and truncated responses, and the shared cache of heads."""
+"""Where a response ends, ambiguous and truncated responses, and the cache of heads that all parsers share."""
 
 from __future__ import annotations
 
@@ -8,24 +8,26 @@
 
 
 def upstream_parser() -> MessageParser:
-    """Return a parser with the options of upstream connections."""
+    """Return a parser with the options that upstream connections use."""
     return MessageParser(responses=True, max_body_bytes=1024 * 1024, streams=True)
 
 
 def buffering_parser(max_body_bytes: int = 4 * 1024 * 1024) -> MessageParser:
-    """Return a parser with the options of the discovery client."""
+    """Return a parser with the options that the discovery client uses."""
     return MessageParser(responses=True, max_body_bytes=max_body_bytes)
 
 
-HEADS = {
+STREAMABLE_HEADS = {
     "chunked": b"HTTP/1.1 200 OK\r\nX-Case: %s\r\nTransfer-Encoding: chunked\r\n\r\n",
     "long": b"HTTP/1.1 200 OK\r\nX-Case: %%s\r\nContent-Length: %d\r\n\r\n" % (MAX_BODY_BYTES + 1),
 }
 
 
-@pytest.mark.parametrize("head", HEADS.values(), ids=HEADS)
+@pytest.mark.parametrize("head", STREAMABLE_HEADS.values(), ids=STREAMABLE_HEADS)
 def test_head_first_parsed_by_buffering_parser_is_still_streamed(head: bytes) -> None:
-    """Regression: with a chunked endpoint list in the shared cache, long responses of endpoints were too large."""
+    """Regression: with the head of a chunked endpoint list in the shared cache, parsers buffered the long responses of
+    endpoints instead of streaming them, and rejected them as too large.
+    """
     head %= b"buffered first"
     for _ in range(2):
         assert buffering_parser().feed(head) is None
@@ -34,7 +36,7 @@
         assert message.streamed
 
 
-@pytest.mark.parametrize("head", HEADS.values(), ids=HEADS)
+@pytest.mark.parametrize("head", STREAMABLE_HEADS.values(), ids=STREAMABLE_HEADS)
 def test_head_first_streamed_is_still_buffered(head: bytes) -> None:
     head %= b"streamed first"
     for _ in range(2):
@@ -47,7 +49,7 @@
 @pytest.mark.parametrize("status", [b"204 No Content", b"304 Not Modified"])
 @pytest.mark.parametrize("framing", [b"Content-Length: 5", b"Transfer-Encoding: chunked"])
 def test_bodiless_response_with_declared_body_closes_connection(status: bytes, framing: bytes) -> None:
-    """If the body follows nevertheless, it would be parsed as the next response."""
+    """Otherwise a body that follows nevertheless would be parsed as the next response."""
     for _ in range(2):
         parser = upstream_parser()
         message = parser.feed(b"HTTP/1.1 " + status + b"\r\n" + framing + b"\r\n\r\n")
@@ -62,7 +64,7 @@
     assert message.keep_alive
 
 
-AMBIGUOUS = {
+AMBIGUOUS_FRAMINGS = {
     "both framings": b"Content-Length: 2\r\nTransfer-Encoding: chunked",
     "two lengths": b"Content-Length: 2\r\nContent-Length: 3",
     "one length twice": b"Content-Length: 2\r\nContent-Length: 2",
@@ -78,11 +80,11 @@
 }
 
 
-@pytest.mark.parametrize("lines", AMBIGUOUS.values(), ids=AMBIGUOUS)
+@pytest.mark.parametrize("lines", AMBIGUOUS_FRAMINGS.values(), ids=AMBIGUOUS_FRAMINGS)
 def test_ambiguous_head_is_rejected(lines: bytes) -> None:
-    for make in (upstream_parser, buffering_parser):
+    for create_parser in (upstream_parser, buffering_parser):
         with pytest.raises(ProtocolError):
-            make().feed(b"HTTP/1.1 200 OK\r\n" + lines + b"\r\n\r\n2\r\nok\r\n0\r\n\r\n")
+            create_parser().feed(b"HTTP/1.1 200 OK\r\n" + lines + b"\r\n\r\n2\r\nok\r\n0\r\n\r\n")
 
 
 COMPLETE_RESPONSES = {
