--- a/tests/http1/test_parser.py
+++ b/tests/http1/test_parser.py
@@ -1,4 +1,4 @@
-"""The parser, compared with an oracle that matches one header line at a time, and with input split at any byte."""
+"""The parser: compared with an oracle that parses one header line at a time, and fed with input split at any byte."""
 
 from __future__ import annotations
 
@@ -14,42 +14,42 @@
 
 HYPOTHESIS_SEED = 1  # fixed: by default the examples change whenever the source of a test does
 
-LINE = re.compile(r"([!#$%&'*+.^_`|~0-9A-Za-z-]+):[ \t]*(.*?)[ \t]*", re.S)
-CONTROL = re.compile(r"[\x00-\x08\x0a-\x1f\x7f]")
+HEADER_LINE = re.compile(r"([!#$%&'*+.^_`|~0-9A-Za-z-]+):[ \t]*(.*?)[ \t]*", re.S)
+CONTROL_CHARACTER = re.compile(r"[\x00-\x08\x0a-\x1f\x7f]")
 REQUEST_LINE = b"GET /campaign-read HTTP/1.1"
 
 
-def oracle(lines: list[bytes]) -> Headers | None:
-    """Return names and values of the header lines, or ``None`` if one is malformed."""
+def parse_line_by_line(lines: list[bytes]) -> Headers | None:
+    """Return the names and values of the header lines, or ``None`` if one is malformed: the oracle."""
     headers = []
     for line in lines:
-        match = LINE.fullmatch(line.decode("latin-1"))
-        if match is None or CONTROL.search(match[2]):
+        match = HEADER_LINE.fullmatch(line.decode("latin-1"))
+        if match is None or CONTROL_CHARACTER.search(match[2]):
             return None
         headers.append((match[1], match[2]))
     return headers
 
 
-PIECES = st.sampled_from(
+LINE_PIECES = st.sampled_from(
     [b"X-A", b"x-b", b":", b": ", b" ", b"\t", b"v", b"\xe9", b"\x00", b"\r", b"\n", b"\x7f", b"=,;", b"(", b""]
 )
-LINES = st.lists(st.lists(PIECES, max_size=6).map(b"".join), max_size=5)
+HEADER_LINES = st.lists(st.lists(LINE_PIECES, max_size=6).map(b"".join), max_size=5)
 
 
 @hypothesis_seed(HYPOTHESIS_SEED)
 @settings(max_examples=400, deadline=None, derandomize=True)
-@given(LINES)
+@given(HEADER_LINES)
 @example([b"X-A: v", b" folded: v"])
 @example([b"X-A:\tv \t", b"X-B:"])
 @example([b"X-A: a\nX-B: b"])
 @example([b"X A: v"])
 @example([b""])
-def test_header_lines_match_the_single_line_oracle(lines: list[bytes]) -> None:
+def test_header_lines_match_the_line_by_line_oracle(lines: list[bytes]) -> None:
     """The parser matches all lines at once; it must accept the same lines as the oracle."""
     data = b"\r\n".join([REQUEST_LINE, *lines]) + b"\r\n\r\n"
     if data.index(b"\r\n\r\n") < len(data) - 4 or b"\r\n" in b"|".join(lines) or b"\n\n" in data:
-        return  # the generated lines end the head early
-    expected = oracle(lines)
+        return  # the generated lines contain a line end: the head would end early, or have other lines
+    expected = parse_line_by_line(lines)
     if expected is None:
         with pytest.raises(ProtocolError) as caught:
             MessageParser(responses=False).feed(data)
@@ -103,6 +103,6 @@
         assert interim.body[:1] == b"y"
     assert message is not None
     message.keep_alive = False
-    again = MessageParser(responses=True).feed(head + b"x" * 100)
-    assert again is not None
-    assert again.keep_alive, "a change of one message changed the cached head"
+    later_message = MessageParser(responses=True).feed(head + b"x" * 100)
+    assert later_message is not None
+    assert later_message.keep_alive, "a change of one message changed the cached head"
