--- a/lugtally/downstream/connection.py
+++ b/lugtally/downstream/connection.py
@@ -12,7 +12,7 @@
 from lugtally.units import NS_PER_MS
 
 RECEIVE_BYTES = 16 * 1024
-"""Most bytes returned by one read; small, because each connection may buffer that much unparsed input."""
+"""Largest number of bytes that one read returns; small, because each connection may buffer that much unparsed input."""
 WRITE_STALL_TIMEOUT_NS = 5_000 * NS_PER_MS
 """How long a write waits for a client that does not read."""
 SHUTDOWN_CLIENT_TIMEOUT_NS = 50 * NS_PER_MS
@@ -98,7 +98,7 @@
     def evict(self) -> None:
         """Request the close to make room for another client.
 
-        A request that is already complete is still processed, and its response is not truncated.
+        A request that is already complete is still processed, and no response is truncated by a reset.
         """
         self.evicted = True
         self.close_requested_in = self.state
--- a/lugtally/downstream/responses.py
+++ b/lugtally/downstream/responses.py
@@ -22,7 +22,7 @@
         "x-unprocessed",
     }
 )
-"""Headers that concern only the connection between the endpoint and the sidecar."""
+"""Headers of an endpoint's response that concern only the connection between the endpoint and the sidecar."""
 
 
 class Response(NamedTuple):
@@ -45,7 +45,7 @@
 
 
 def served_response(message: Message) -> Response:
-    """Return the response that forwards the one of the endpoint."""
+    """Return the response that forwards the endpoint's response to the client."""
     return Response(200, message.body, forwarded_headers(message))
 
 
--- a/lugtally/downstream/shutdown_state.py
+++ b/lugtally/downstream/shutdown_state.py
@@ -25,7 +25,7 @@
         self.closing = False
         """Whether idle connections are closed, and accepting ends with the clients in the backlog."""
         self.last_response_ns = 0
-        """While closing, the time at which the responses to all requests are due."""
+        """The time at which the responses to the requests that are read while closing are due."""
 
     @property
     def last_request_ns(self) -> int:
--- a/lugtally/http1/body_framing.py
+++ b/lugtally/http1/body_framing.py
@@ -1,4 +1,4 @@
-"""Finds the end of a streamed body: after its declared length, its last chunk or at the end of the connection."""
+"""Finds the end of a streamed body: after its declared length, after its last chunk, or with the connection."""
 
 from __future__ import annotations
 
--- a/lugtally/http1/limits.py
+++ b/lugtally/http1/limits.py
@@ -8,7 +8,7 @@
 MAX_STREAMED_BODY_BYTES = 256 * 1024 * 1024
 """Largest Content-Length of a streamed response; a larger one is a protocol error."""
 MAX_INTERIM_RESPONSES = 16
-"""Most 1xx responses before a final response.  Without a limit they could occupy the connection indefinitely."""
+"""Largest number of 1xx responses before a final response; unlimited, they could occupy the connection indefinitely."""
 MAX_CHUNK_LINE_BYTES = 256
 """Longest chunk-size line or trailer line, without its CRLF."""
 MAX_CACHED_HEAD_BYTES = 512
