--- a/lugtally/downstream/server.py
+++ b/lugtally/downstream/server.py
@@ -1,4 +1,4 @@
-"""The server for the application: accepts connections and sends each request its one final response."""
+"""The server for clients: accepts their connections and sends exactly one final response to each request."""
 
 from __future__ import annotations
 
@@ -52,25 +52,25 @@
     ) -> None:
         self._loop = loop
         self._dispatcher = dispatcher
-        self._open: set[DownstreamConnection] = set()
+        self._connections: set[DownstreamConnection] = set()
         self._ids_in_progress: set[str] = set()
         """The correlation IDs of the requests in progress."""
         self._validator = RequestValidator(classes, tenants, self._ids_in_progress)
         self._health_checks = HealthCheckRateLimiter(loop)
         self._connection_closed = Event(loop)
-        state = ShutdownState()
-        self._reuse_policy = ReusePolicy(state, self._open, max_connections)
-        deadlines = RequestDeadlines(self._validator, state)
+        shutdown_state = ShutdownState()
+        self._reuse_policy = ReusePolicy(shutdown_state, self._connections, max_connections)
+        deadlines = RequestDeadlines(self._validator, shutdown_state)
         self._services = ExchangeServices(loop, dispatcher, upstream, deadlines, self._reuse_policy)
         self._acceptor = ConnectionAcceptor(
-            loop, self._open, self._connection_closed, max_connections, state, self._handle_connection
+            loop, self._connections, self._connection_closed, max_connections, shutdown_state, self._handle_connection
         )
         longest_deadline_ns = max((request_class.deadline_ns for request_class in classes), default=0)
         self._shutdown = GracefulShutdown(
-            loop, self._open, self._connection_closed, self._acceptor, state, longest_deadline_ns
+            loop, self._connections, self._connection_closed, self._acceptor, shutdown_state, longest_deadline_ns
         )
         self.ready = False
-        """Whether requests can be sent to an endpoint, as health checks report it; set by the owner."""
+        """Whether requests can be sent to an endpoint.  The owner of the server sets it; health checks report it."""
 
     def listen(self, address: Address) -> None:
         """Accept connections on this address only.
@@ -99,18 +99,18 @@
 
     @property
     def listener(self) -> socket.socket | None:
-        """The listening socket; ``None`` before the start.  The graceful shutdown closes it."""
+        """The listening socket, which the graceful shutdown closes; ``None`` before the start."""
         return self._acceptor.listener
 
     @property
-    def open(self) -> int:
+    def open_connections(self) -> int:
         """The number of open connections."""
-        return len(self._open)
+        return len(self._connections)
 
     # ------------------------------------------------------------ connections
 
     def _handle_connection(self, connection: DownstreamConnection) -> None:
-        """Answer the requests of a connection in order until it is to be closed; then close it."""
+        """Answer the requests of a connection in order, until it is to be closed, and close it."""
         try:
             connection.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             reader = RequestReader(connection)
@@ -125,7 +125,7 @@
             )
         finally:
             connection.close()
-            self._open.discard(connection)
+            self._connections.discard(connection)
             self._connection_closed.set()
 
     def _handle_request(self, reader: RequestReader, request: ReceivedRequest) -> bool:
@@ -134,32 +134,32 @@
         try:
             response = self._respond(reader, request)
         except Exception:
-            # A fault of the sidecar must not leave a received request without a response.
+            # A bug in the sidecar must not leave a received request without a response.
             logger.exception("answering a request failed", event="downstream.request_failed")
             response = internal_error_response()
         if response is None:
             return False
         if isinstance(response, StreamedResponse):
-            closes = response.closes
+            closes_connection = response.closes_connection
         else:
             if 400 <= response.status < 500 and connection.client_status is ClientStatus.ACTIVE:
                 connection.client_status = ClientStatus.AT_FAULT
-            closes = self._reuse_policy.closes_after(reader, request.message)
-            data = serialize_response(*response, close=closes)
-            response = None  # while a slow client reads, only the serialized response stays in memory
+            closes_connection = self._reuse_policy.closes_after(reader, request.message)
+            data = serialize_response(*response, close=closes_connection)
+            response = None  # while a slow client reads, only the serialized response should be in memory
             connection.transition(TransitionCause.RESPONSE_STARTED)
             if not connection.write(data):
                 return False
-        if closes:
+        if closes_connection:
             lingering_close(connection)
-        return not closes
+        return not closes_connection
 
     @staticmethod
     def _reject_malformed(connection: DownstreamConnection, error: ProtocolError) -> None:
-        """Send the error response to a request that cannot be read; it is the connection's last response."""
+        """Send the error response to a malformed or incomplete request, as the last response of the connection."""
         connection.start_discarding()
         if connection.write(serialize_response(*protocol_error_response(error), close=True)):
-            discard_input(connection, was_slow=isinstance(error, RequestTimeoutError))
+            discard_input(connection, timed_out=isinstance(error, RequestTimeoutError))
 
     # ------------------------------------------------------------ requests
 
