--- a/lugtally/balancing/__init__.py
+++ b/lugtally/balancing/__init__.py
@@ -32,7 +32,7 @@
     TimerFired,
 )
 from lugtally.balancing.settings import DeduplicationScope, Idempotency, RequestClass, Settings, Tenant
-from lugtally.balancing.timers import OverdueCheck, PollTimer, RetryTimer, Timer
+from lugtally.balancing.timers import OverdueTimer, PollTimer, RetryTimer, Timer
 
 __all__ = [
     "NOT_PROCESSED",
@@ -53,7 +53,7 @@
     "GossipReceived",
     "HealthCheckFinished",
     "Idempotency",
-    "OverdueCheck",
+    "OverdueTimer",
     "PollTimer",
     "RejectRequest",
     "Request",
--- a/lugtally/balancing/balancer.py
+++ b/lugtally/balancing/balancer.py
@@ -44,7 +44,7 @@
 from lugtally.balancing.slow_start import SlowStart
 from lugtally.balancing.stale_connections import StaleConnectionDetector
 from lugtally.balancing.subset import Subset
-from lugtally.balancing.timers import OverdueCheck, PollTimer, RetryTimer, Timer
+from lugtally.balancing.timers import OverdueTimer, PollTimer, RetryTimer, Timer
 
 
 class Balancer:
@@ -168,7 +168,7 @@
                 request = self.requests.get(request_id)
                 if request is not None and request.awaiting_retry:
                     return self._handler.attempt(now_ns, request)
-            case OverdueCheck():
+            case OverdueTimer():
                 if self.overdue.is_due(now_ns):
                     return self._check_overdue_attempts(now_ns)
             case PollTimer():
--- a/lugtally/balancing/overdue_attempts.py
+++ b/lugtally/balancing/overdue_attempts.py
@@ -18,7 +18,7 @@
 from lugtally.balancing.outlier_detection import OutlierDetector
 from lugtally.balancing.request import RequestState
 from lugtally.balancing.stale_connections import StaleConnectionDetector
-from lugtally.balancing.timers import OverdueCheck
+from lugtally.balancing.timers import OverdueTimer
 
 OVERDUE_SHARE = 0.5
 """Part of the latency objective after which an attempt without a response is overdue."""
@@ -60,7 +60,7 @@
         if due_ns is None or (self._timer_due_ns != NO_TIMER and due_ns >= self._timer_due_ns):
             return []
         self._timer_due_ns = due_ns
-        return [SetTimer(max(1, due_ns - now_ns), OverdueCheck())]
+        return [SetTimer(max(1, due_ns - now_ns), OverdueTimer())]
 
     def is_due(self, now_ns: int) -> bool:
         """Return whether a timer that fires at ``now_ns`` is the one that was set last."""
--- a/lugtally/balancing/timers.py
+++ b/lugtally/balancing/timers.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OverdueCheck:
+class OverdueTimer:
     """An attempt in flight may be overdue."""
 
 
@@ -22,4 +22,4 @@
     """The backoff after a failed poll of the endpoint list has passed."""
 
 
-Timer = RetryTimer | OverdueCheck | PollTimer
+Timer = RetryTimer | OverdueTimer | PollTimer
--- a/lugtally/simulator/wire.py
+++ b/lugtally/simulator/wire.py
@@ -38,7 +38,7 @@
     "NOP": balancing.AttemptResult.NEVER_SENT,
 }
 
-TIMER_TEXTS: dict[balancing.Timer, str] = {balancing.OverdueCheck(): "due", balancing.PollTimer(): "watch"}
+TIMER_TEXTS: dict[balancing.Timer, str] = {balancing.OverdueTimer(): "due", balancing.PollTimer(): "watch"}
 """The texts of the timers that carry nothing."""
 RETRY_TIMER_PREFIX = "r"
 """The text of a retry timer is this and the id of its request."""
--- a/tests/dispatch/test_balancer_faults.py
+++ b/tests/dispatch/test_balancer_faults.py
@@ -242,7 +242,7 @@
         if isinstance(event, balancing.Request):
             return [
                 balancing.SendAttempt(event.id, 7, event.time_left_ns),
-                balancing.SetTimer(1, balancing.OverdueCheck()),
+                balancing.SetTimer(1, balancing.OverdueTimer()),
             ]
         if isinstance(event, balancing.TimerFired):
             raise RuntimeError
