--- a/lugtally/balancing/attempts.py
+++ b/lugtally/balancing/attempts.py
@@ -17,7 +17,7 @@
         "request_class",
         "sent_ns",
         "endpoint_started_ns",
-        "was_only_one",
+        "was_alone_at_endpoint",
         "unused_ns",
         "is_overdue",
         "is_lost",
@@ -32,7 +32,7 @@
         self.request_class = request.request_class
         self.sent_ns = sent_ns
         self.endpoint_started_ns = endpoint.started_ns
-        self.was_only_one = not endpoint.in_flight
+        self.was_alone_at_endpoint = not endpoint.in_flight
         """Whether no other own attempt was in flight at the endpoint when this one was sent."""
         self.unused_ns = unused_ns
         """How long its connection had been unused; 0: a new connection."""
--- a/lugtally/balancing/latency.py
+++ b/lugtally/balancing/latency.py
@@ -79,7 +79,7 @@
         index, duration_ns = attempt.class_index, attempt.duration_ns
         if index not in self.baselines_ns:
             self.baselines_ns[index] = self._recent_ns[index] = float(duration_ns)
-        elif attempt.was_only_one and attempt.result is AttemptResult.OK:
+        elif attempt.was_alone_at_endpoint and attempt.result is AttemptResult.OK:
             self._record_unqueued(index, duration_ns)
         return self.baselines_ns[index]
 
