--- a/lugtally/balancing/attempt_sender.py
+++ b/lugtally/balancing/attempt_sender.py
@@ -32,12 +32,12 @@
     def send(self, now_ns: int, request: RequestState, endpoint: EndpointStats) -> list[Action]:
         """Send the next attempt of a request."""
         ordered: list[Action] = []
-        unused_ns = _unused_ns(now_ns, endpoint)
+        idle_ns = _idle_ns(now_ns, endpoint)
         is_retry = bool(request.endpoint_ids)
-        if self._stale_connections.should_close_idle(unused_ns, is_retry):
+        if self._stale_connections.should_close_idle(idle_ns, is_retry):
             ordered.append(CloseIdleConnections(endpoint.id))
-            unused_ns = 0
-        attempt_id = self._attempts.start(now_ns, request, endpoint, unused_ns)
+            idle_ns = 0
+        attempt_id = self._attempts.start(now_ns, request, endpoint, idle_ns)
         self._slow_start.record_send(now_ns, endpoint)
         timeout_ns = max(MIN_TIMEOUT_NS, request.deadline_ns - now_ns)
         ordered.append(SendAttempt(request.id, endpoint.id, timeout_ns))
@@ -45,7 +45,7 @@
         return ordered
 
 
-def _unused_ns(now_ns: int, endpoint: EndpointStats) -> int:
+def _idle_ns(now_ns: int, endpoint: EndpointStats) -> int:
     """Return how long the connections to an endpoint have been unused; 0: one is in use, or none is known."""
     if not endpoint.last_used_ns or endpoint.in_flight:
         return 0
--- a/lugtally/balancing/attempts.py
+++ b/lugtally/balancing/attempts.py
@@ -18,7 +18,7 @@
         "sent_ns",
         "endpoint_started_ns",
         "was_alone_at_endpoint",
-        "unused_ns",
+        "idle_ns",
         "is_overdue",
         "is_lost",
         "result",
@@ -26,7 +26,7 @@
         "load_report",
     )
 
-    def __init__(self, endpoint: EndpointStats, request: RequestState, sent_ns: int, unused_ns: int) -> None:
+    def __init__(self, endpoint: EndpointStats, request: RequestState, sent_ns: int, idle_ns: int) -> None:
         self.endpoint = endpoint
         self.class_index = request.class_index
         self.request_class = request.request_class
@@ -34,7 +34,7 @@
         self.endpoint_started_ns = endpoint.started_ns
         self.was_alone_at_endpoint = not endpoint.in_flight
         """Whether no other own attempt was in flight at the endpoint when this one was sent."""
-        self.unused_ns = unused_ns
+        self.idle_ns = idle_ns
         """How long its connection had been unused; 0: a new connection."""
         self.is_overdue = False
         self.is_lost = False
@@ -61,10 +61,10 @@
         """Number of attempts in flight that endpoints presumably work on."""
         return len(self.by_id) - self.lost_responses
 
-    def start(self, now_ns: int, request: RequestState, endpoint: EndpointStats, unused_ns: int) -> AttemptId:
+    def start(self, now_ns: int, request: RequestState, endpoint: EndpointStats, idle_ns: int) -> AttemptId:
         """Record that an attempt is sent; return its id."""
         attempt_id = request.add_attempt(now_ns, endpoint)
-        self.by_id[attempt_id] = InFlightAttempt(endpoint, request, now_ns, unused_ns)
+        self.by_id[attempt_id] = InFlightAttempt(endpoint, request, now_ns, idle_ns)
         endpoint.in_flight[attempt_id] = now_ns
         return attempt_id
 
--- a/lugtally/balancing/stale_connections.py
+++ b/lugtally/balancing/stale_connections.py
@@ -10,7 +10,7 @@
 from lugtally.balancing.attempts import InFlightAttempt
 from lugtally.units import NS_PER_S
 
-MIN_UNUSED_NS = NS_PER_S // 2
+MIN_STALE_IDLE_NS = NS_PER_S // 2
 """A connection that was unused for longer may be stale."""
 MAX_SILENT_ATTEMPTS = 3
 """Attempts in a row without a response on unused connections, after which these are closed before use."""
@@ -20,7 +20,7 @@
 
 def may_be_stale(attempt: InFlightAttempt) -> bool:
     """Return whether the attempt used a connection that had been unused for long."""
-    return attempt.unused_ns > MIN_UNUSED_NS
+    return attempt.idle_ns > MIN_STALE_IDLE_NS
 
 
 class StaleConnectionDetector:
@@ -28,7 +28,7 @@
 
     def __init__(self, rng: Random) -> None:
         self._rng = rng
-        self._safe_unused_ns = 0
+        self._max_reuse_idle_ns = 0
         """Connections unused for longer are closed before use; 0: none are."""
         self._silent_attempts = 0
         """Attempts in a row without a response on unused connections."""
@@ -36,13 +36,13 @@
     @property
     def is_suspecting(self) -> bool:
         """Whether unused connections are closed before use."""
-        return self._safe_unused_ns > 0
+        return self._max_reuse_idle_ns > 0
 
-    def should_close_idle(self, unused_ns: int, is_retry: bool) -> bool:
+    def should_close_idle(self, idle_ns: int, is_retry: bool) -> bool:
         """Return whether to close idle connections, so that the next attempt opens a new one."""
         if not self.is_suspecting:
             return False
-        return is_retry or (unused_ns > self._safe_unused_ns and self._rng.random() > TRIAL_SHARE)
+        return is_retry or (idle_ns > self._max_reuse_idle_ns and self._rng.random() > TRIAL_SHARE)
 
     def record_silence(self, attempt: InFlightAttempt) -> None:
         """Learn from an attempt whose endpoint has sent no response to anyone since."""
@@ -50,13 +50,13 @@
             return
         self._silent_attempts += 1
         if self._silent_attempts >= MAX_SILENT_ATTEMPTS:
-            bound_ns = max(MIN_UNUSED_NS, attempt.unused_ns // 2)
-            self._safe_unused_ns = min(self._safe_unused_ns or attempt.unused_ns, bound_ns)
+            bound_ns = max(MIN_STALE_IDLE_NS, attempt.idle_ns // 2)
+            self._max_reuse_idle_ns = min(self._max_reuse_idle_ns or attempt.idle_ns, bound_ns)
 
     def record_response(self, attempt: InFlightAttempt) -> None:
         """Learn from a response: one on an unused connection disproves the suspicion."""
-        if not attempt.unused_ns:
+        if not attempt.idle_ns:
             return
         self._silent_attempts = 0
-        if attempt.unused_ns > self._safe_unused_ns:
-            self._safe_unused_ns = 0
+        if attempt.idle_ns > self._max_reuse_idle_ns:
+            self._max_reuse_idle_ns = 0
