--- a/lugtally/balancing/overdue_attempts.py
+++ b/lugtally/balancing/overdue_attempts.py
@@ -92,13 +92,13 @@
 
     def _judge_silence(self, now_ns: int, attempt: InFlightAttempt) -> bool:
         """Learn from an endpoint without a response since the attempt; return whether to send elsewhere."""
-        self._stale_connections.record_silence(attempt)
+        self._stale_connections.record_no_response(attempt)
         may_be_slow = now_ns < attempt.sent_ns + self._silence_ns(attempt)
-        if may_be_slow and not self._stale_connections.is_suspecting:
+        if may_be_slow and not self._stale_connections.suspects_stale_connections:
             return False
         self._outliers.record_failure(now_ns, attempt.endpoint)
         fails_repeatedly = attempt.endpoint.consecutive_failures > HEDGING_FAILURES
-        return self._stale_connections.is_suspecting or fails_repeatedly
+        return self._stale_connections.suspects_stale_connections or fails_repeatedly
 
     def _silence_ns(self, attempt: InFlightAttempt) -> int:
         """Return how long an endpoint may take before it counts as silent."""
--- a/lugtally/balancing/stale_connections.py
+++ b/lugtally/balancing/stale_connections.py
@@ -12,9 +12,9 @@
 
 MIN_STALE_IDLE_NS = NS_PER_S // 2
 """A connection that was unused for longer may be stale."""
-MAX_SILENT_ATTEMPTS = 3
+MIN_UNANSWERED_ATTEMPTS = 3
 """Attempts in a row without a response on unused connections, after which these are closed before use."""
-TRIAL_SHARE = 0.06
+PROBE_SHARE = 0.06
 """Part of the requests that use such a connection all the same, to learn whether it is stale."""
 
 
@@ -30,26 +30,26 @@
         self._rng = rng
         self._max_reuse_idle_ns = 0
         """Connections unused for longer are closed before use; 0: none are."""
-        self._silent_attempts = 0
+        self._unanswered_attempts = 0
         """Attempts in a row without a response on unused connections."""
 
     @property
-    def is_suspecting(self) -> bool:
+    def suspects_stale_connections(self) -> bool:
         """Whether unused connections are closed before use."""
         return self._max_reuse_idle_ns > 0
 
     def should_close_idle(self, idle_ns: int, is_retry: bool) -> bool:
         """Return whether to close idle connections, so that the next attempt opens a new one."""
-        if not self.is_suspecting:
+        if not self.suspects_stale_connections:
             return False
-        return is_retry or (idle_ns > self._max_reuse_idle_ns and self._rng.random() > TRIAL_SHARE)
+        return is_retry or (idle_ns > self._max_reuse_idle_ns and self._rng.random() > PROBE_SHARE)
 
-    def record_silence(self, attempt: InFlightAttempt) -> None:
+    def record_no_response(self, attempt: InFlightAttempt) -> None:
         """Learn from an attempt whose endpoint has sent no response to anyone since."""
         if not may_be_stale(attempt):
             return
-        self._silent_attempts += 1
-        if self._silent_attempts >= MAX_SILENT_ATTEMPTS:
+        self._unanswered_attempts += 1
+        if self._unanswered_attempts >= MIN_UNANSWERED_ATTEMPTS:
             bound_ns = max(MIN_STALE_IDLE_NS, attempt.idle_ns // 2)
             self._max_reuse_idle_ns = min(self._max_reuse_idle_ns or attempt.idle_ns, bound_ns)
 
@@ -57,6 +57,6 @@
         """Learn from a response: one on an unused connection disproves the suspicion."""
         if not attempt.idle_ns:
             return
-        self._silent_attempts = 0
+        self._unanswered_attempts = 0
         if attempt.idle_ns > self._max_reuse_idle_ns:
             self._max_reuse_idle_ns = 0
