--- a/lugtally/balancing/overdue_attempts.py
+++ b/lugtally/balancing/overdue_attempts.py
@@ -22,9 +22,9 @@
 
 OVERDUE_SHARE = 0.5
 """Part of the latency objective after which an attempt without a response is overdue."""
-SILENT_RATIO = 3.0
+UNRESPONSIVE_RATIO = 3.0
 """Expected response times without any response after which an endpoint counts as silent."""
-HEDGING_FAILURES = 2
+MAX_FAILURES_BEFORE_HEDGE = 2
 """More failures in a row than this make the endpoint of an overdue attempt unlikely to respond."""
 NO_TIMER = 0
 
@@ -50,8 +50,8 @@
 
     def watch(self, now_ns: int, request: RequestState, attempt_id: AttemptId) -> list[Action]:
         """Watch an attempt that is sent at ``now_ns``."""
-        patience_ns = int(request.request_class.latency_objective_ns * OVERDUE_SHARE)
-        self._queue.push(now_ns + patience_ns, attempt_id)
+        overdue_after_ns = int(request.request_class.latency_objective_ns * OVERDUE_SHARE)
+        self._queue.push(now_ns + overdue_after_ns, attempt_id)
         return self.set_timer(now_ns)
 
     def set_timer(self, now_ns: int) -> list[Action]:
@@ -71,10 +71,10 @@
         self._timer_due_ns = NO_TIMER
         while (attempt_id := self._queue.pop_due(now_ns)) is not None:
             attempt = self._attempts.by_id.get(attempt_id)
-            if attempt is not None and self._judge(now_ns, attempt):
+            if attempt is not None and self._check_attempt(now_ns, attempt):
                 yield attempt_id
 
-    def _judge(self, now_ns: int, attempt: InFlightAttempt) -> bool:
+    def _check_attempt(self, now_ns: int, attempt: InFlightAttempt) -> bool:
         """Learn from an overdue attempt; return whether to send its request elsewhere."""
         responded_since = attempt.endpoint.last_response_ns >= attempt.sent_ns
         if responded_since and attempt.endpoint.slowness < self._latency.prompt_ratio:
@@ -82,7 +82,7 @@
             return False
         if not attempt.is_overdue:
             self._record_timeout(now_ns, attempt)
-        return not responded_since and self._judge_silence(now_ns, attempt)
+        return not responded_since and self._check_unresponsive(now_ns, attempt)
 
     def _record_timeout(self, now_ns: int, attempt: InFlightAttempt) -> None:
         attempt.result = AttemptResult.TIMEOUT
@@ -90,17 +90,17 @@
         self._admission.record_outcome(now_ns, attempt)
         attempt.is_overdue = True
 
-    def _judge_silence(self, now_ns: int, attempt: InFlightAttempt) -> bool:
+    def _check_unresponsive(self, now_ns: int, attempt: InFlightAttempt) -> bool:
         """Learn from an endpoint without a response since the attempt; return whether to send elsewhere."""
         self._stale_connections.record_no_response(attempt)
-        may_be_slow = now_ns < attempt.sent_ns + self._silence_ns(attempt)
+        may_be_slow = now_ns < attempt.sent_ns + self._unresponsive_after_ns(attempt)
         if may_be_slow and not self._stale_connections.suspects_stale_connections:
             return False
         self._outliers.record_failure(now_ns, attempt.endpoint)
-        fails_repeatedly = attempt.endpoint.consecutive_failures > HEDGING_FAILURES
+        fails_repeatedly = attempt.endpoint.consecutive_failures > MAX_FAILURES_BEFORE_HEDGE
         return self._stale_connections.suspects_stale_connections or fails_repeatedly
 
-    def _silence_ns(self, attempt: InFlightAttempt) -> int:
+    def _unresponsive_after_ns(self, attempt: InFlightAttempt) -> int:
         """Return how long an endpoint may take before it counts as silent."""
         expected_ns = self._latency.baseline_ns(attempt.class_index) * max(1.0, attempt.endpoint.slowness)
-        return int(SILENT_RATIO * expected_ns)
+        return int(UNRESPONSIVE_RATIO * expected_ns)
