--- a/lugtally/balancing/attempt_sender.py
+++ b/lugtally/balancing/attempt_sender.py
@@ -41,7 +41,7 @@
         self._slow_start.record_send(now_ns, endpoint)
         timeout_ns = max(MIN_TIMEOUT_NS, request.deadline_ns - now_ns)
         ordered.append(SendAttempt(request.id, endpoint.id, timeout_ns))
-        ordered += self._overdue.watch(now_ns, request, attempt_id)
+        ordered += self._overdue.track(now_ns, request, attempt_id)
         return ordered
 
 
--- a/lugtally/balancing/overdue_attempts.py
+++ b/lugtally/balancing/overdue_attempts.py
@@ -48,7 +48,7 @@
         self._queue = DeadlineQueue()
         self._timer_due_ns = NO_TIMER
 
-    def watch(self, now_ns: int, request: RequestState, attempt_id: AttemptId) -> list[Action]:
+    def track(self, now_ns: int, request: RequestState, attempt_id: AttemptId) -> list[Action]:
         """Watch an attempt that is sent at ``now_ns``."""
         overdue_after_ns = int(request.request_class.latency_objective_ns * OVERDUE_SHARE)
         self._queue.push(now_ns + overdue_after_ns, attempt_id)
