--- a/lugtally/balancing/balancer.py
+++ b/lugtally/balancing/balancer.py
@@ -157,7 +157,7 @@
             del self.requests[request.id]
             return [FailRequest(request.id)]
         if event.result in NOT_PROCESSED:
-            request.may_have_run.discard(event.attempt)
+            request.possibly_processed.discard(event.attempt)
         if request.in_flight or request.awaiting_retry:
             return []
         return self._handler.retry(now_ns, request)
--- a/lugtally/balancing/request.py
+++ b/lugtally/balancing/request.py
@@ -23,8 +23,8 @@
         "endpoint_ids",
         "in_flight",
         "first_sent_ns",
-        "first_domain",
-        "may_have_run",
+        "first_deduplication_domain",
+        "possibly_processed",
         "retries",
         "awaiting_retry",
         "streaming",
@@ -41,10 +41,10 @@
         self.in_flight: set[int] = set()
         """Numbers of the attempts in flight."""
         self.first_sent_ns = 0
-        """Instant of the first of the attempts in ``may_have_run``."""
-        self.first_domain = -1
-        """Deduplication domain of the first of the attempts in ``may_have_run``."""
-        self.may_have_run: set[int] = set()
+        """Instant of the first of the attempts in ``possibly_processed``."""
+        self.first_deduplication_domain = -1
+        """Deduplication domain of the first of the attempts in ``possibly_processed``."""
+        self.possibly_processed: set[int] = set()
         """Numbers of the attempts that an endpoint may have processed."""
         self.retries = 0
         self.awaiting_retry = False
@@ -52,14 +52,14 @@
         """Whether the client receives a streamed response: no other attempt or answer may follow."""
 
     @property
-    def is_keyed(self) -> bool:
+    def has_idempotency_key(self) -> bool:
         """Whether endpoints deduplicate the request by an idempotency key."""
         return self.request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
 
     @property
-    def may_repeat_freely(self) -> bool:
+    def is_safe_to_retry(self) -> bool:
         """Whether a repeat is safe at any endpoint and any time."""
-        return not self.may_have_run or self.request_class.idempotency is Idempotency.IDEMPOTENT
+        return not self.possibly_processed or self.request_class.idempotency is Idempotency.IDEMPOTENT
 
     @property
     def deduplication_ends_ns(self) -> int:
@@ -78,8 +78,8 @@
         number = len(self.endpoint_ids)
         self.endpoint_ids.append(endpoint.id)
         self.in_flight.add(number)
-        if not self.may_have_run:
+        if not self.possibly_processed:
             self.first_sent_ns = now_ns
-            self.first_domain = self.deduplication_domain(endpoint)
-        self.may_have_run.add(number)
+            self.first_deduplication_domain = self.deduplication_domain(endpoint)
+        self.possibly_processed.add(number)
         return AttemptId(self.id, number)
--- a/lugtally/balancing/retry_budget.py
+++ b/lugtally/balancing/retry_budget.py
@@ -73,7 +73,7 @@
     def draw_backoff_ns(self, now_ns: int, request: RequestState) -> int | None:
         """Draw the delay before the next retry with full jitter; ``None`` if too little time would remain."""
         left_ns = request.deadline_ns - now_ns
-        if request.is_keyed and request.may_have_run:
+        if request.has_idempotency_key and request.possibly_processed:
             window_end_ns = request.deduplication_ends_ns - self._settings.timer_resolution_ns
             left_ns = min(left_ns, window_end_ns - now_ns)
         bound_ns = max(0, min(left_ns // 2, BASE_BACKOFF_NS << request.retries))
--- a/lugtally/balancing/retry_rules.py
+++ b/lugtally/balancing/retry_rules.py
@@ -46,14 +46,14 @@
             return False
         if request.in_flight and not self._settings.hedging_allowed and not replaces:
             return False
-        return request.may_repeat_freely or self._is_deduplicated(now_ns, request)
+        return request.is_safe_to_retry or self._is_deduplicated(now_ns, request)
 
     def may_send_to(self, now_ns: int, request: RequestState, endpoint: EndpointStats) -> bool:
         """Return whether an attempt may be sent to an endpoint (all rules); every attempt passes here."""
         if self._is_leaving(endpoint):
             return False
-        is_keyed_repeat = request.is_keyed and request.may_have_run
-        if is_keyed_repeat and request.deduplication_domain(endpoint) != request.first_domain:
+        is_keyed_retry = request.has_idempotency_key and request.possibly_processed
+        if is_keyed_retry and request.deduplication_domain(endpoint) != request.first_deduplication_domain:
             return False
         return self.may_retry(now_ns, request) and self._slow_start.allows(now_ns, endpoint)
 
@@ -68,18 +68,18 @@
             return False
         if attempt.endpoint.started_ns != attempt.endpoint_started_ns:
             return False
-        is_keyed_repeat = request.is_keyed and len(request.may_have_run) > 1
-        return not is_keyed_repeat or now_ns <= request.deduplication_ends_ns
+        is_keyed_retry = request.has_idempotency_key and len(request.possibly_processed) > 1
+        return not is_keyed_retry or now_ns <= request.deduplication_ends_ns
 
     def may_reject(self, request: RequestState) -> bool:
         """Return whether a rejection is allowed: it promises that a repeat is safe (rule 2)."""
         is_deduplicated_everywhere = request.request_class.deduplication_scope is DeduplicationScope.ALL
-        return request.may_repeat_freely or (request.is_keyed and is_deduplicated_everywhere)
+        return request.is_safe_to_retry or (request.has_idempotency_key and is_deduplicated_everywhere)
 
     def _is_deduplicated(self, now_ns: int, request: RequestState) -> bool:
         """Return whether a repeat that is sent at ``now_ns`` arrives within the deduplication window."""
         latest_send_ns = now_ns + self._settings.timer_resolution_ns
-        return request.is_keyed and latest_send_ns <= request.deduplication_ends_ns
+        return request.has_idempotency_key and latest_send_ns <= request.deduplication_ends_ns
 
     def _is_leaving(self, endpoint: EndpointStats) -> bool:
         is_removed = endpoint.state is EndpointState.REMOVED and self._settings.removal_is_binding
