--- a/lugtally/balancing/__init__.py
+++ b/lugtally/balancing/__init__.py
@@ -1,7 +1,7 @@
-"""Every balancing decision: events in, actions out, without a clock and without I/O.
+"""Load-balancing decisions: events in, actions out, without a clock and without I/O.
 
-It owns admission, the choice of an endpoint, retries, outlier detection and slow start.  It must not know
-sockets, protocols, configuration formats or the time other than what an event brings.
+The package owns admission, the choice of an endpoint, retries, outlier detection and slow start.  It must not
+depend on sockets, protocols or configuration formats, and it knows the time only from the events.
 """
 
 from lugtally.balancing.actions import (
