--- a/lugtally/balancing/actions.py
+++ b/lugtally/balancing/actions.py
@@ -1,4 +1,7 @@
-"""The actions that a balancer orders.  Delays are integer nanoseconds from the event that led to them."""
+"""The actions that a balancer returns for its caller to carry out.
+
+Delays and timeouts are integer nanoseconds, counted from the event that the action answers.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 
 @dataclass(slots=True)
 class SendAttempt:
-    """Start the request's next attempt; it times out after ``timeout_ns``."""
+    """Send the next attempt of a request to an endpoint; it times out after ``timeout_ns``."""
 
     request_id: str
     endpoint_id: int
@@ -18,7 +21,10 @@
 
 @dataclass(slots=True)
 class RejectRequest:
-    """Final answer: a repeat is safe, and advised after ``retry_after_ns`` (0: no advice)."""
+    """Answer the request with a rejection, which promises that the client may safely retry it.
+
+    ``retry_after_ns`` is the delay to advise before the retry; 0: no advice.
+    """
 
     request_id: str
     retry_after_ns: int
@@ -26,14 +32,14 @@
 
 @dataclass(slots=True)
 class FailRequest:
-    """Final answer: the request failed, and may have run."""
+    """Answer the request with a failure: an endpoint may have processed it, so a retry may not be safe."""
 
     request_id: str
 
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Stop waiting for one attempt."""
+    """Cancel one attempt in flight."""
 
     request_id: str
     attempt: int
@@ -41,7 +47,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Send :class:`~lugtally.balancing.events.TimerFired` with this timer after ``delay_ns``."""
+    """Deliver a :class:`~lugtally.balancing.events.TimerFired` event with this timer after ``delay_ns``."""
 
     delay_ns: int
     timer: Timer
