--- a/lugtally/balancing/attempt_id.py
+++ b/lugtally/balancing/attempt_id.py
@@ -1,4 +1,4 @@
-"""The name of an attempt."""
+"""Identifies an attempt."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class AttemptId(NamedTuple):
-    """An attempt of a request; attempts of one request are numbered from 0."""
+    """A request and the number of one of its attempts, counted from 0."""
 
     request_id: str
     number: int
