--- a/lugtally/balancing/attempts.py
+++ b/lugtally/balancing/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts in flight of one balancer."""
+"""The attempts of one balancer that are in flight."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class InFlightAttempt:
-    """An attempt in flight."""
+    """One attempt in flight: what was recorded when it was sent, and later its result."""
 
     __slots__ = (
         "endpoint",
@@ -33,56 +33,56 @@
         self.sent_ns = sent_ns
         self.endpoint_started_ns = endpoint.started_ns
         self.was_alone_at_endpoint = not endpoint.in_flight
-        """Whether no other own attempt was in flight at the endpoint when this one was sent."""
+        """Whether this balancer had no other attempt in flight at the endpoint when this one was sent."""
         self.idle_ns = idle_ns
-        """How long its connection had been unused; 0: a new connection."""
+        """How long the endpoint's connections had been idle; 0: one was in use, or a new one is opened."""
         self.is_overdue = False
         self.is_lost = False
-        """Whether its response is considered lost."""
+        """Whether its response is presumed lost."""
         self.result = AttemptResult.CANCELLED
-        """Its result, provisional while it is overdue; with ``duration_ns`` valid from then on."""
+        """Set together with ``duration_ns``: provisionally once it is overdue, finally when it finishes."""
         self.duration_ns = 0
         self.load_report: tuple[float, ...] | None = None
 
 
 class InFlightAttempts:
-    """The attempts in flight by their ids; keeps the sets of the endpoints in step."""
+    """The attempts in flight by id; also updates the attempts in flight of each endpoint."""
 
     def __init__(self) -> None:
         self.by_id: dict[AttemptId, InFlightAttempt] = {}
         self.lost_responses = 0
-        """Number of attempts whose response is considered lost."""
+        """Number of attempts whose response is presumed lost."""
 
     def __len__(self) -> int:
         return len(self.by_id)
 
     @property
     def active(self) -> int:
-        """Number of attempts in flight that endpoints presumably work on."""
+        """Number of attempts in flight, without those whose response is presumed lost."""
         return len(self.by_id) - self.lost_responses
 
     def start(self, now_ns: int, request: RequestState, endpoint: EndpointStats, idle_ns: int) -> AttemptId:
-        """Record that an attempt is sent; return its id."""
+        """Record that the next attempt of a request is sent; return its id."""
         attempt_id = request.add_attempt(now_ns, endpoint)
         self.by_id[attempt_id] = InFlightAttempt(endpoint, request, now_ns, idle_ns)
         endpoint.in_flight[attempt_id] = now_ns
         return attempt_id
 
     def mark_lost(self, attempt: InFlightAttempt) -> None:
-        """Record that the response of an attempt is considered lost."""
+        """Record that the response of an attempt is presumed lost."""
         attempt.is_lost = True
         attempt.endpoint.lost_responses += 1
         self.lost_responses += 1
 
     def finish(self, event: AttemptFinished) -> InFlightAttempt | None:
-        """Record that an attempt has finished; return it, ``None`` if it was not in flight."""
+        """Record that an attempt has finished; return it, or ``None`` if it was not in flight."""
         attempt_id = AttemptId(event.request_id, event.attempt)
         return self._remove(attempt_id, event.result, event.duration_ns, event.load_report)
 
     def finish_streaming(self, now_ns: int, attempt_id: AttemptId) -> InFlightAttempt | None:
-        """Record that an attempt's response began to stream; return it, ``None`` if it was not in flight.
+        """Finish an attempt whose response begins to stream; return it, or ``None`` if it was not in flight.
 
-        The endpoint has responded; the rest is sent at the client's speed and is no load of the endpoint.
+        The endpoint has done its work: the rest is sent at the client's speed and adds no load to it.
         """
         attempt = self.by_id.get(attempt_id)
         if attempt is None:
