--- a/lugtally/balancing/actions.py
+++ b/lugtally/balancing/actions.py
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class FailRequest:
-    """Answer the request with a failure: an endpoint may have processed it, so a retry may not be safe."""
+    """Answer the request with a failure: an endpoint may have processed it."""
 
     request_id: str
 
