--- a/lugtally/balancing/attempts.py
+++ b/lugtally/balancing/attempts.py
@@ -79,7 +79,7 @@
         attempt_id = AttemptId(event.request_id, event.attempt)
         return self._remove(attempt_id, event.result, event.duration_ns, event.load_report)
 
-    def finish_streaming(self, now_ns: int, attempt_id: AttemptId) -> InFlightAttempt | None:
+    def finish_on_stream_start(self, now_ns: int, attempt_id: AttemptId) -> InFlightAttempt | None:
         """Finish an attempt whose response begins to stream; return it, or ``None`` if it was not in flight.
 
         The endpoint has done its work: the rest is sent at the client's speed and adds no load to it.
--- a/lugtally/balancing/balancer.py
+++ b/lugtally/balancing/balancer.py
@@ -138,7 +138,7 @@
         if request is None or event.attempt not in request.in_flight:
             return
         request.streaming = True
-        attempt = self.attempts.finish_streaming(now_ns, AttemptId(event.request_id, event.attempt))
+        attempt = self.attempts.finish_on_stream_start(now_ns, AttemptId(event.request_id, event.attempt))
         if attempt is not None:
             self._outcomes.record(now_ns, attempt)
 
