--- a/lugtally/balancing/balancer.py
+++ b/lugtally/balancing/balancer.py
@@ -1,7 +1,7 @@
-"""Routes each event to the concerns that decide on it.
+"""The balancer: passes each event to the components that decide on it, and returns their actions.
 
-The same events under the same seed give the same actions: the order of random draws and of sums of floats is
-part of the behaviour (docs/design.md, "Modules").
+The same events with the same seed give the same actions.  The order of random draws and of floating-point
+additions is therefore part of the behaviour (docs/design.md, "Modules").
 """
 
 from __future__ import annotations
@@ -48,16 +48,16 @@
 
 
 class Balancer:
-    """One sidecar's decisions.
+    """Makes the load-balancing decisions of one sidecar.
 
-    It builds the concerns, gives each those that it uses, and one stream of random numbers to all that draw.
-    Its public attributes are for inspection; only events change them.
+    It creates the components and passes to each the other components that it uses.  All components that need
+    random numbers share one generator.  The public attributes are for inspection; only events change them.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
         rng = Random(seed)
         self._settings = settings
-        self._refreshed_ns = 0
+        self._limits_updated_ns = 0
         self.requests: dict[str, RequestState] = {}
         self.attempts = InFlightAttempts()
         self.endpoints = EndpointTable(settings, rng)
@@ -95,7 +95,7 @@
         )
 
     def handle(self, now_ns: int, event: Event) -> list[Action]:
-        """Decide on one event; return the actions to take at ``now_ns``, in their order."""
+        """Handle one event; return the actions to take at ``now_ns``, in their order."""
         self.retry_budget.advance(now_ns)
         match event:
             case Request():
@@ -113,21 +113,21 @@
         return []
 
     def may_start(self, now_ns: int, request_id: str, attempt: int) -> bool:
-        """Return whether the rules still allow an attempt, right before it is written."""
+        """Return whether the rules still allow an attempt, right before its request is written."""
         return self.rules.may_start(now_ns, AttemptId(request_id, attempt))
 
     def ejected_count(self, now_ns: int) -> int:
-        """Return how many usable endpoints are ejected now; changes nothing."""
+        """Return how many usable endpoints are ejected at ``now_ns``; changes no state."""
         return self.endpoints.ejected_count(now_ns)
 
     def _on_request(self, now_ns: int, event: Request) -> list[Action]:
         if event.id in self.requests:
             return []
-        if not event.is_retry:  # retries of clients earn no further attempts
+        if not event.is_retry:  # retries by clients must not add to the retry budget
             self.retry_budget.count_request()
             self.priority.record_demand(event.class_index, event.tenant_index)
         request = self.requests[event.id] = RequestState(event, self._settings, now_ns)
-        if self.subset.is_outdated or now_ns - self._refreshed_ns >= UPDATE_INTERVAL_NS:
+        if self.subset.is_outdated or now_ns - self._limits_updated_ns >= UPDATE_INTERVAL_NS:
             self._refresh(now_ns)
         if self.admission.admits(request):
             return self._handler.attempt(now_ns, request)
@@ -153,7 +153,7 @@
         if event.request_finished:
             del self.requests[request.id]
             return []
-        if event.result is AttemptResult.DECLINED:  # any other endpoint would decline it as well
+        if event.result is AttemptResult.DECLINED:  # every other endpoint would decline it as well
             del self.requests[request.id]
             return [FailRequest(request.id)]
         if event.result in NOT_PROCESSED:
@@ -176,28 +176,28 @@
         return []
 
     def _check_overdue_attempts(self, now_ns: int) -> list[Action]:
-        ordered: list[Action] = []
+        actions: list[Action] = []
         for attempt_id in self.overdue.check(now_ns):
             request = self.requests.get(attempt_id.request_id)
             if request is not None:
-                ordered += self._hedging.send_elsewhere(now_ns, request, attempt_id)
-        ordered += self.overdue.set_timer(now_ns)
-        return ordered
+                actions += self._hedging.hedge_or_cancel(now_ns, request, attempt_id)
+        actions += self.overdue.set_timer(now_ns)
+        return actions
 
     def _on_endpoint_update(self, now_ns: int, event: EndpointUpdate) -> list[Action]:
         if event.kind is EndpointUpdateKind.FAILED:
             return [SetTimer(self.endpoints.draw_poll_backoff_ns(), PollTimer())]
         self.endpoints.apply_update(now_ns, event)
         self._refresh(now_ns)
-        is_first = event.kind is EndpointUpdateKind.CACHED
-        return [WatchEndpoints()] if is_first and self._settings.subscribe_to_endpoints else []
+        is_initial_list = event.kind is EndpointUpdateKind.CACHED
+        return [WatchEndpoints()] if is_initial_list and self._settings.subscribe_to_endpoints else []
 
     def _refresh(self, now_ns: int) -> None:
-        """Recompute subset and weights, and limits no more than once an interval."""
-        elapsed_ns = now_ns - self._refreshed_ns
+        """Recompute the subset and the weights; update the limits at most once per ``UPDATE_INTERVAL_NS``."""
+        elapsed_ns = now_ns - self._limits_updated_ns
         if self.latency.baselines_ns and elapsed_ns >= UPDATE_INTERVAL_NS:
             self._update_limits(now_ns, elapsed_ns)
-            self._refreshed_ns = now_ns
+            self._limits_updated_ns = now_ns
         self.subset.draw_members()
         self.limiter.use_start_limit()
         self.slow_start.count_warm_members(now_ns)
--- a/lugtally/balancing/hedging.py
+++ b/lugtally/balancing/hedging.py
@@ -1,4 +1,4 @@
-"""Hedging: a second attempt for a request whose endpoint does not respond.
+"""Hedging: a second attempt for a request whose first attempt gets no response.
 
 Where two attempts at once are not allowed, the first is cancelled, so that the request is retried.
 """
@@ -17,7 +17,7 @@
 
 
 class HedgingPolicy:
-    """Decides whether and how a waiting request gets another attempt."""
+    """Decides whether a request whose attempt is overdue is hedged, or cancelled to be retried."""
 
     def __init__(
         self,
@@ -35,13 +35,13 @@
         self._retry_budget = retry_budget
         self._admission = admission
 
-    def send_elsewhere(self, now_ns: int, request: RequestState, attempt_id: AttemptId) -> list[Action]:
-        """Hedge an attempt at an endpoint that does not respond, or cancel it so that it is retried."""
+    def hedge_or_cancel(self, now_ns: int, request: RequestState, attempt_id: AttemptId) -> list[Action]:
+        """Hedge an attempt whose endpoint does not respond, or cancel it so that its request is retried."""
         if len(request.in_flight) != 1 or request.retries >= MAX_RETRIES or self._admission.is_shedding:
             return []
         if self._settings.hedging_allowed:
             return self._hedge(now_ns, request)
-        if self._may_replace(now_ns, request):
+        if self._may_cancel(now_ns, request):
             return [CancelAttempt(attempt_id.request_id, attempt_id.number)]
         return []
 
@@ -54,8 +54,8 @@
         request.retries += 1
         return self._sender.send(now_ns, request, endpoint)
 
-    def _may_replace(self, now_ns: int, request: RequestState) -> bool:
-        """Return whether the attempt may be cancelled: its retry must still be allowed after the backoff."""
-        if not self._settings.cancellation_allowed or not self._retry_budget.has_retry():
+    def _may_cancel(self, now_ns: int, request: RequestState) -> bool:
+        """Return whether the attempt may be cancelled: a retry must still be allowed after the backoff."""
+        if not self._settings.cancellation_allowed or not self._retry_budget.allows_retry():
             return False
         return self._rules.may_retry(now_ns + BASE_BACKOFF_NS, request, replaces=True)
--- a/lugtally/balancing/retry_budget.py
+++ b/lugtally/balancing/retry_budget.py
@@ -59,13 +59,13 @@
         """Count a request that is no retry of a client."""
         self._requests.add(1)
 
-    def has_retry(self) -> bool:
+    def allows_retry(self) -> bool:
         """Return whether the budget allows another retry."""
         return self._retries.total + 1 <= max(MIN_RETRIES, RETRY_RATIO * self._requests.total)
 
     def try_spend(self) -> bool:
         """Take a retry from the budget; return whether it allowed one."""
-        if not self.has_retry():
+        if not self.allows_retry():
             return False
         self._retries.add(1)
         return True
