--- a/lugtally/balancing/deadline_queue.py
+++ b/lugtally/balancing/deadline_queue.py
@@ -1,4 +1,4 @@
-"""A queue of attempts by the instant at which each is due."""
+"""A priority queue of attempts, ordered by the time at which each is due."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class DueAttempt(NamedTuple):
-    """An attempt and the instant at which it is due."""
+    """An attempt and the time at which it is due; earlier ones sort first."""
 
     due_ns: int
     attempt_id: AttemptId
 
 
 class DeadlineQueue:
-    """Attempts, the one that is due first at the head."""
+    """Attempts, of which the one that is due first is removed first."""
 
     __slots__ = ("_heap",)
 
@@ -25,17 +25,20 @@
         self._heap: list[DueAttempt] = []
 
     def push(self, due_ns: int, attempt_id: AttemptId) -> None:
-        """Add an attempt."""
+        """Add an attempt that is due at ``due_ns``."""
         heappush(self._heap, DueAttempt(due_ns, attempt_id))
 
     def pop_due(self, now_ns: int) -> AttemptId | None:
-        """Remove and return the first attempt that is due at ``now_ns``, ``None`` if there is none."""
+        """Remove and return the first attempt that is due by ``now_ns``, or ``None`` if there is none."""
         if self._heap and self._heap[0].due_ns <= now_ns:
             return heappop(self._heap).attempt_id
         return None
 
     def next_due_ns(self, in_flight: Container[AttemptId]) -> int | None:
-        """Return when the first attempt that is in flight is due; drop the others before it."""
+        """Return when the first attempt in ``in_flight`` is due, or ``None`` if there is none.
+
+        Finished attempts before it are removed.
+        """
         while self._heap and self._heap[0].attempt_id not in in_flight:
             heappop(self._heap)
         return self._heap[0].due_ns if self._heap else None
