--- a/lugtally/balancing/endpoint.py
+++ b/lugtally/balancing/endpoint.py
@@ -1,4 +1,4 @@
-"""What a balancer knows of one endpoint."""
+"""The state that a balancer keeps for one endpoint."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class EndpointStats:
-    """One endpoint: its entry in the endpoint list, and what this balancer learned from its own requests."""
+    """An endpoint's entry in the endpoint list, and what this balancer measured with its own requests."""
 
     __slots__ = (
         "id",
@@ -34,22 +34,22 @@
     )
 
     def __init__(self, endpoint_id: int, rank: float) -> None:
-        """Make a record that :meth:`reset` and :meth:`update` complete before it is used."""
+        """Create an incomplete record: :meth:`reset` and :meth:`update` must be called before it is used."""
         self.id = endpoint_id
         self.rank = rank
-        """Position in the random order from which the subset is drawn, from 0 to 1."""
+        """Random number from 0 to 1 that orders the endpoints; the subset is the first ones in this order."""
         self.in_flight: dict[AttemptId, int] = {}
-        """Own attempts in flight and the instant at which each was sent, oldest first."""
+        """This balancer's attempts in flight there and the time at which each was sent, oldest first."""
         self.lost_responses = 0
-        """Number of attempts in flight whose response is considered lost."""
+        """Number of attempts in flight whose response is presumed lost."""
 
     @property
     def active(self) -> int:
-        """Number of own attempts in flight that the endpoint presumably works on."""
+        """Number of this balancer's attempts in flight, without those whose response is presumed lost."""
         return len(self.in_flight) - self.lost_responses
 
     def is_ejected(self, now_ns: int) -> bool:
-        """Return whether outlier detection keeps requests from the endpoint at ``now_ns``."""
+        """Return whether outlier detection has ejected the endpoint, and the ejection lasts at ``now_ns``."""
         return self.ejected_until_ns > now_ns
 
     def update(self, entry: Endpoint) -> None:
@@ -60,27 +60,27 @@
         self.started_ns = entry.started_ns
 
     def reset(self, now_ns: int, concurrency_limit: float, tokens: float) -> None:
-        """Discard what was learned of an earlier process of the endpoint.
+        """Discard what was measured before the endpoint's process was restarted.
 
-        ``concurrency_limit`` is the first limit on own requests in flight there; ``tokens`` is the first
-        content of its slow-start bucket.
+        ``concurrency_limit`` is the initial limit on this balancer's requests in flight there; ``tokens`` is
+        the initial content of its slow-start token bucket.
         """
         self.last_response_ns = now_ns
         self.load_estimate = 0.0
-        """Estimated number of requests that wait there, as of ``load_estimated_ns``."""
+        """Estimated number of requests that were queued there at ``load_estimated_ns``."""
         self.load_estimated_ns = 0
         self.reported_load = 0.0
-        """Requests from all balancers in flight there, according to its last load report."""
+        """Requests of all balancers in flight there, according to its last load report."""
         self.last_used_ns = 0
-        """Instant at which a connection to it last carried a response; 0: never."""
+        """Time at which a connection to it last carried a response; 0: never."""
         self.concurrency_limit = concurrency_limit
         self.limit_lowered_ns = 0
         self.slowness = 1.0
-        """Own response times as a multiple of the class's baseline, smoothed."""
+        """Response time of this balancer's requests as a multiple of their class's baseline, smoothed."""
         self.samples = 0
         """Number of responses that ``slowness`` is based on."""
         self.consecutive_failures = 0
         self.ejected_until_ns = 0
         self.tokens = tokens
-        """Number of sends that slow start still allows."""
+        """Number of attempts that slow start allows at ``refilled_ns``."""
         self.refilled_ns = now_ns
