--- a/lugtally/balancing/balancer.py
+++ b/lugtally/balancing/balancer.py
@@ -123,7 +123,7 @@
     def _on_request(self, now_ns: int, event: Request) -> list[Action]:
         if event.id in self.requests:
             return []
-        if not event.is_retry:  # retries by clients must not add to the retry budget
+        if not event.is_retry:  # retries by clients must not raise the retry budget or the demand
             self.retry_budget.count_request()
             self.priority.record_demand(event.class_index, event.tenant_index)
         request = self.requests[event.id] = RequestState(event, self._settings, now_ns)
