--- a/lugtally/balancing/events.py
+++ b/lugtally/balancing/events.py
@@ -1,6 +1,7 @@
-"""The events that a balancer decides on.  Times are integer nanoseconds; endpoints are opaque integers.
+"""The events that a balancer handles.
 
-Classes, tenants and zones are positions in the :class:`~lugtally.balancing.settings.Settings`.
+Times are integer nanoseconds; endpoint ids are opaque integers.  Classes, tenants and zones are referred to
+by their positions in the :class:`~lugtally.balancing.settings.Settings`.
 """
 
 from __future__ import annotations
@@ -12,14 +13,14 @@
 
 
 class AttemptResult(Enum):
-    """How an attempt finished, as far as decisions depend on it."""
+    """How an attempt finished, in the detail that load balancing needs."""
 
     OK = "ok"
     ERROR = "error"
     DECLINED = "declined"
-    """The request itself is at fault; another endpoint would decline it as well."""
+    """The response reports a fault of the request; every other endpoint would decline it as well."""
     REJECTED = "rejected"
-    """The endpoint said that it did not process the request."""
+    """The endpoint answered that it did not process the request."""
     TIMEOUT = "timeout"
     NO_CONNECTION = "no_connection"
     RESET = "reset"
@@ -28,24 +29,24 @@
 
 
 NOT_PROCESSED = frozenset({AttemptResult.REJECTED, AttemptResult.NO_CONNECTION, AttemptResult.NEVER_SENT})
-"""Results that prove that the endpoint did not process the request."""
+"""Results after which it is certain that the endpoint did not process the request."""
 
 
 class EndpointUpdateKind(Enum):
     """What an :class:`EndpointUpdate` carries."""
 
     DELTA = "delta"
-    """Changes since the update before."""
+    """Only the entries that changed since the previous update."""
     FULL = "full"
-    """The complete list: endpoints that it does not contain are removed."""
+    """The complete list: endpoints that are missing from it are removed."""
     CACHED = "cached"
-    """The list as it was cached before a restart: the first event of every process."""
+    """The complete list from the cache of before a restart: the first event of every process."""
     FAILED = "failed"
-    """Nothing: discovery gave no list."""
+    """No entries: discovery failed to deliver a list."""
 
 
 class EndpointState(Enum):
-    """What the endpoint list says of an endpoint."""
+    """The state of an endpoint according to the endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -54,7 +55,7 @@
 
 @dataclass(slots=True)
 class Endpoint:
-    """One entry of the endpoint list.  ``started_ns`` is on the balancer's clock; 0: long ago."""
+    """One entry of the endpoint list.  ``started_ns`` is on the balancer's clock; 0: started long ago."""
 
     id: int
     zone: int = 0
@@ -65,7 +66,7 @@
 
 @dataclass(slots=True)
 class EndpointUpdate:
-    """An update of the endpoint list, or the failure to get one."""
+    """An update of the endpoint list, or the failure to receive one."""
 
     kind: EndpointUpdateKind
     endpoints: list[Endpoint]
@@ -73,26 +74,26 @@
 
 @dataclass(slots=True)
 class Request:
-    """A client's request has arrived; it gets exactly one final answer."""
+    """A client's request has arrived; it gets exactly one final answer, unless the client disconnects."""
 
     id: str
     class_index: int
     tenant_index: int
     time_left_ns: int
     is_retry: bool = False
-    """The client marked it as a repeat of an earlier request of its own."""
+    """Whether the client marked it as a retry of an earlier request of its own."""
 
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client has disconnected: the request ends without an answer."""
+    """The client has disconnected: the request ends without a final answer."""
 
     request_id: str
 
 
 @dataclass(slots=True)
 class AttemptFinished:
-    """An attempt has finished; ``request_finished`` says that the request has its final answer as well."""
+    """An attempt has finished; ``request_finished``: the request has its final answer as well."""
 
     request_id: str
     attempt: int
@@ -101,12 +102,12 @@
     request_finished: bool
     duration_ns: int
     load_report: tuple[float, ...] | None = None
-    """Values of ``Settings.load_report_fields`` in their order; ``None``: the response had no report."""
+    """Values of ``Settings.load_report_fields``, in that order; ``None``: the response had no report."""
 
 
 @dataclass(slots=True)
 class ResponseStarted:
-    """A response is being streamed to the client: no other attempt can serve the request."""
+    """A response has begun to stream to the client: no other attempt can serve the request."""
 
     request_id: str
     attempt: int
@@ -122,7 +123,7 @@
 
 @dataclass(slots=True)
 class HealthCheckFinished:
-    """The result of an active health check.  The balancer orders none; it ignores this event."""
+    """An active health check has finished.  The balancer requests none and ignores this event."""
 
     endpoint_id: int
     healthy: bool
@@ -130,7 +131,7 @@
 
 @dataclass(slots=True)
 class GossipReceived:
-    """A message of another balancer.  The balancer sends none; it ignores this event."""
+    """A message from another balancer has arrived.  The balancer sends none and ignores this event."""
 
     sender: int
     text: str
