--- a/lugtally/balancing/outcome_recorder.py
+++ b/lugtally/balancing/outcome_recorder.py
@@ -1,4 +1,4 @@
-"""Passes each finished attempt to the concerns that learn from it."""
+"""Passes each finished attempt to the components that use its result."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from lugtally.balancing.stale_connections import StaleConnectionDetector
 
 TIMED_RESULTS = (AttemptResult.OK, AttemptResult.TIMEOUT)
-"""Results whose duration says how slow the endpoint is."""
+"""Results whose duration shows how slow the endpoint is."""
 
 
 class OutcomeRecorder:
-    """The concerns that learn from attempts, in the order in which they do."""
+    """Passes the results of attempts to the components, always in the same order."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         self._limiter = limiter
 
     def record(self, now_ns: int, attempt: InFlightAttempt) -> None:
-        """Learn from an attempt that is no longer in flight at its endpoint."""
+        """Record the result of an attempt that is no longer in flight at its endpoint."""
         is_ok = attempt.result is AttemptResult.OK
         self._admission.record_outcome(now_ns, attempt)
         if is_ok:
