--- a/lugtally/balancing/overdue_attempts.py
+++ b/lugtally/balancing/overdue_attempts.py
@@ -1,6 +1,6 @@
-"""Overdue attempts: those in flight for longer than a part of their latency objective are judged.
+"""Overdue attempts: those without a response after a fraction of their latency objective.
 
-Their response is lost, their endpoint is slow, or it does not respond at all (docs/design.md, "Outlier
+Either the response is lost, or the endpoint is slow, or it does not respond at all (docs/design.md, "Outlier
 detection").
 """
 
@@ -21,16 +21,17 @@
 from lugtally.balancing.timers import OverdueTimer
 
 OVERDUE_SHARE = 0.5
-"""Part of the latency objective after which an attempt without a response is overdue."""
+"""Fraction of the latency objective after which an attempt without a response is overdue."""
 UNRESPONSIVE_RATIO = 3.0
-"""Expected response times without any response after which an endpoint counts as silent."""
+"""An endpoint counts as unresponsive after this multiple of its expected response time."""
 MAX_FAILURES_BEFORE_HEDGE = 2
-"""More failures in a row than this make the endpoint of an overdue attempt unlikely to respond."""
+"""After more consecutive failures than this, the endpoint of an overdue attempt will hardly respond."""
 NO_TIMER = 0
+"""Value of ``_timer_due_ns`` while no timer is set."""
 
 
 class OverdueMonitor:
-    """The attempts that may become overdue, and the one timer for the first of them."""
+    """Tracks the attempts that may become overdue, with one timer for the first of them."""
 
     def __init__(
         self,
@@ -49,13 +50,13 @@
         self._timer_due_ns = NO_TIMER
 
     def track(self, now_ns: int, request: RequestState, attempt_id: AttemptId) -> list[Action]:
-        """Watch an attempt that is sent at ``now_ns``."""
+        """Track an attempt that is sent at ``now_ns``; return the action that sets the timer, if any."""
         overdue_after_ns = int(request.request_class.latency_objective_ns * OVERDUE_SHARE)
         self._queue.push(now_ns + overdue_after_ns, attempt_id)
         return self.set_timer(now_ns)
 
     def set_timer(self, now_ns: int) -> list[Action]:
-        """Set the timer, unless it is set or nothing is in flight."""
+        """Set the timer, unless it is already set to fire in time or nothing is in flight."""
         due_ns = self._queue.next_due_ns(self._attempts.by_id)
         if due_ns is None or (self._timer_due_ns != NO_TIMER and due_ns >= self._timer_due_ns):
             return []
@@ -63,11 +64,11 @@
         return [SetTimer(max(1, due_ns - now_ns), OverdueTimer())]
 
     def is_due(self, now_ns: int) -> bool:
-        """Return whether a timer that fires at ``now_ns`` is the one that was set last."""
+        """Return whether the timer that was set last is due; timers that it replaced fire as well."""
         return now_ns >= self._timer_due_ns
 
     def check(self, now_ns: int) -> Iterator[AttemptId]:
-        """Judge what is overdue; yield each attempt to replace or hedge before judging the next."""
+        """Check the overdue attempts; yield each one to hedge or cancel before checking the next."""
         self._timer_due_ns = NO_TIMER
         while (attempt_id := self._queue.pop_due(now_ns)) is not None:
             attempt = self._attempts.by_id.get(attempt_id)
@@ -75,10 +76,11 @@
                 yield attempt_id
 
     def _check_attempt(self, now_ns: int, attempt: InFlightAttempt) -> bool:
-        """Learn from an overdue attempt; return whether to send its request elsewhere."""
+        """Record what an overdue attempt shows; return whether to hedge or cancel it."""
         responded_since = attempt.endpoint.last_response_ns >= attempt.sent_ns
         if responded_since and attempt.endpoint.slowness < self._latency.prompt_ratio:
-            self._attempts.mark_lost(attempt)  # later requests had prompt responses there: nothing queues
+            # Later requests got prompt responses there: it has no queue, so this response is lost.
+            self._attempts.mark_lost(attempt)
             return False
         if not attempt.is_overdue:
             self._record_timeout(now_ns, attempt)
@@ -91,7 +93,7 @@
         attempt.is_overdue = True
 
     def _check_unresponsive(self, now_ns: int, attempt: InFlightAttempt) -> bool:
-        """Learn from an endpoint without a response since the attempt; return whether to send elsewhere."""
+        """Record that the endpoint has not responded since the attempt; return whether to hedge or cancel."""
         self._stale_connections.record_no_response(attempt)
         may_be_slow = now_ns < attempt.sent_ns + self._unresponsive_after_ns(attempt)
         if may_be_slow and not self._stale_connections.suspects_stale_connections:
@@ -101,6 +103,6 @@
         return self._stale_connections.suspects_stale_connections or fails_repeatedly
 
     def _unresponsive_after_ns(self, attempt: InFlightAttempt) -> int:
-        """Return how long an endpoint may take before it counts as silent."""
+        """Return how long after an attempt is sent its endpoint counts as unresponsive."""
         expected_ns = self._latency.baseline_ns(attempt.class_index) * max(1.0, attempt.endpoint.slowness)
         return int(UNRESPONSIVE_RATIO * expected_ns)
