--- a/lugtally/balancing/request.py
+++ b/lugtally/balancing/request.py
@@ -1,4 +1,4 @@
-"""What a balancer knows of one request that still needs its final answer."""
+"""The state that a balancer keeps for a request until its final answer."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from lugtally.balancing.settings import DeduplicationScope, Idempotency, Settings
 
 SHARED_DOMAIN = 0
-"""The deduplication domain of a request whose key all endpoints know."""
+"""The deduplication domain of a request whose key is shared by all endpoints."""
 
 
 class RequestState:
-    """A request without a final answer."""
+    """A request that has no final answer yet, and its attempts."""
 
     __slots__ = (
         "id",
@@ -37,19 +37,19 @@
         self.request_class = settings.request_class(event.class_index)
         self.deadline_ns = now_ns + event.time_left_ns
         self.endpoint_ids: list[int] = []
-        """The endpoint of each attempt, by the attempt's number."""
+        """Endpoint id of each attempt, indexed by the attempt's number."""
         self.in_flight: set[int] = set()
         """Numbers of the attempts in flight."""
         self.first_sent_ns = 0
-        """Instant of the first of the attempts in ``possibly_processed``."""
+        """Time at which the first attempt in ``possibly_processed`` was sent."""
         self.first_deduplication_domain = -1
-        """Deduplication domain of the first of the attempts in ``possibly_processed``."""
+        """Deduplication domain of the first attempt in ``possibly_processed``; -1: there was none yet."""
         self.possibly_processed: set[int] = set()
-        """Numbers of the attempts that an endpoint may have processed."""
+        """Numbers of the attempts that their endpoints may have processed."""
         self.retries = 0
         self.awaiting_retry = False
         self.streaming = False
-        """Whether the client receives a streamed response: no other attempt or answer may follow."""
+        """Whether a response is being streamed to the client: no other attempt or answer may follow."""
 
     @property
     def has_idempotency_key(self) -> bool:
@@ -58,23 +58,23 @@
 
     @property
     def is_safe_to_retry(self) -> bool:
-        """Whether a repeat is safe at any endpoint and any time."""
+        """Whether a retry is safe at any endpoint and any time."""
         return not self.possibly_processed or self.request_class.idempotency is Idempotency.IDEMPOTENT
 
     @property
-    def deduplication_ends_ns(self) -> int:
-        """Instant until which endpoints recognise a repeat by its key."""
+    def deduplication_end_ns(self) -> int:
+        """Time until which endpoints recognise a retry by its key."""
         return self.first_sent_ns + self.request_class.deduplication_window_ns
 
     def deduplication_domain(self, endpoint: EndpointStats) -> int:
-        """Return the number of the domain that drops duplicates of this request at an endpoint."""
+        """Return the domain of an endpoint, within which duplicates of this request are dropped."""
         scope = self.request_class.deduplication_scope
         if scope is DeduplicationScope.ALL:
             return SHARED_DOMAIN
         return endpoint.zone if scope is DeduplicationScope.ZONE else endpoint.cell
 
     def add_attempt(self, now_ns: int, endpoint: EndpointStats) -> AttemptId:
-        """Record an attempt that is sent at ``now_ns``; return its id."""
+        """Record that the next attempt is sent at ``now_ns``; return its id."""
         number = len(self.endpoint_ids)
         self.endpoint_ids.append(endpoint.id)
         self.in_flight.add(number)
--- a/lugtally/balancing/retry_budget.py
+++ b/lugtally/balancing/retry_budget.py
@@ -74,7 +74,7 @@
         """Draw the delay before the next retry with full jitter; ``None`` if too little time would remain."""
         left_ns = request.deadline_ns - now_ns
         if request.has_idempotency_key and request.possibly_processed:
-            window_end_ns = request.deduplication_ends_ns - self._settings.timer_resolution_ns
+            window_end_ns = request.deduplication_end_ns - self._settings.timer_resolution_ns
             left_ns = min(left_ns, window_end_ns - now_ns)
         bound_ns = max(0, min(left_ns // 2, BASE_BACKOFF_NS << request.retries))
         delay_ns = int(self._rng.uniform(0, bound_ns))
--- a/lugtally/balancing/retry_rules.py
+++ b/lugtally/balancing/retry_rules.py
@@ -69,7 +69,7 @@
         if attempt.endpoint.started_ns != attempt.endpoint_started_ns:
             return False
         is_keyed_retry = request.has_idempotency_key and len(request.possibly_processed) > 1
-        return not is_keyed_retry or now_ns <= request.deduplication_ends_ns
+        return not is_keyed_retry or now_ns <= request.deduplication_end_ns
 
     def may_reject(self, request: RequestState) -> bool:
         """Return whether a rejection is allowed: it promises that a repeat is safe (rule 2)."""
@@ -79,7 +79,7 @@
     def _is_deduplicated(self, now_ns: int, request: RequestState) -> bool:
         """Return whether a repeat that is sent at ``now_ns`` arrives within the deduplication window."""
         latest_send_ns = now_ns + self._settings.timer_resolution_ns
-        return request.has_idempotency_key and latest_send_ns <= request.deduplication_ends_ns
+        return request.has_idempotency_key and latest_send_ns <= request.deduplication_end_ns
 
     def _is_leaving(self, endpoint: EndpointStats) -> bool:
         is_removed = endpoint.state is EndpointState.REMOVED and self._settings.removal_is_binding
