--- a/lugtally/balancing/balancer.py
+++ b/lugtally/balancing/balancer.py
@@ -130,8 +130,8 @@
         if self.subset.is_outdated or now_ns - self._limits_updated_ns >= UPDATE_INTERVAL_NS:
             self._refresh(now_ns)
         if self.admission.admits(request):
-            return self._handler.attempt(now_ns, request)
-        return self._handler.give_up(request)
+            return self._handler.send_attempt(now_ns, request)
+        return self._handler.reject_or_fail(request)
 
     def _on_response_started(self, now_ns: int, event: ResponseStarted) -> None:
         request = self.requests.get(event.request_id)
@@ -160,14 +160,14 @@
             request.possibly_processed.discard(event.attempt)
         if request.in_flight or request.awaiting_retry:
             return []
-        return self._handler.retry(now_ns, request)
+        return self._handler.schedule_retry(now_ns, request)
 
     def _on_timer(self, now_ns: int, timer: Timer) -> list[Action]:
         match timer:
             case RetryTimer(request_id):
                 request = self.requests.get(request_id)
                 if request is not None and request.awaiting_retry:
-                    return self._handler.attempt(now_ns, request)
+                    return self._handler.send_attempt(now_ns, request)
             case OverdueTimer():
                 if self.overdue.is_due(now_ns):
                     return self._check_overdue_attempts(now_ns)
--- a/lugtally/balancing/request_handler.py
+++ b/lugtally/balancing/request_handler.py
@@ -1,4 +1,4 @@
-"""Carries a request from its arrival to its final answer: attempts, retries, and the answer itself."""
+"""Handles a request from its admission to its final answer: attempts, retries and the answer."""
 
 from __future__ import annotations
 
@@ -28,26 +28,26 @@
         self._rules = rules
         self._retry_budget = retry_budget
 
-    def attempt(self, now_ns: int, request: RequestState) -> list[Action]:
-        """Send the next attempt, or give the final answer where no endpoint is available."""
+    def send_attempt(self, now_ns: int, request: RequestState) -> list[Action]:
+        """Send the next attempt; if no endpoint is available, reject or fail the request."""
         request.awaiting_retry = False
         endpoint = self._picker.pick(now_ns, request)
         if endpoint is None:
-            return self.give_up(request)
+            return self.reject_or_fail(request)
         return self._sender.send(now_ns, request, endpoint)
 
-    def retry(self, now_ns: int, request: RequestState) -> list[Action]:
-        """Retry after a backoff, within the budget; otherwise give the final answer at once."""
+    def schedule_retry(self, now_ns: int, request: RequestState) -> list[Action]:
+        """Schedule a retry after a backoff if rules and budget allow it; otherwise reject or fail."""
         delay_ns = self._retry_budget.draw_backoff_ns(now_ns, request)
         is_allowed = request.retries < MAX_RETRIES and self._rules.may_retry(now_ns, request)
         if delay_ns is None or not is_allowed or not self._retry_budget.try_spend():
-            return self.give_up(request)
+            return self.reject_or_fail(request)
         request.retries += 1
         request.awaiting_retry = True
         return [SetTimer(delay_ns, RetryTimer(request.id))]
 
-    def give_up(self, request: RequestState) -> list[Action]:
-        """Give the final answer: a rejection with advice where the rules allow it, otherwise a failure."""
+    def reject_or_fail(self, request: RequestState) -> list[Action]:
+        """Give the final answer: a rejection with a retry delay if the rules allow it, else a failure."""
         self._requests.pop(request.id, None)
         if not self._rules.may_reject(request):
             return [FailRequest(request.id)]
