--- a/lugtally/balancing/hedging.py
+++ b/lugtally/balancing/hedging.py
@@ -58,4 +58,4 @@
         """Return whether the attempt may be cancelled: a retry must still be allowed after the backoff."""
         if not self._settings.cancellation_allowed or not self._retry_budget.allows_retry():
             return False
-        return self._rules.may_retry(now_ns + BASE_BACKOFF_NS, request, replaces=True)
+        return self._rules.may_retry(now_ns + BASE_BACKOFF_NS, request, cancels_in_flight=True)
