--- a/lugtally/balancing/stale_connections.py
+++ b/lugtally/balancing/stale_connections.py
@@ -1,4 +1,4 @@
-"""Stale connections: idle connections that the other side has dropped without notice.
+"""Stale connections: idle connections that the other side has dropped without notifying the sidecar.
 
 The reasons are in docs/design.md, "Stale connections".
 """
@@ -11,31 +11,31 @@
 from lugtally.units import NS_PER_S
 
 MIN_STALE_IDLE_NS = NS_PER_S // 2
-"""A connection that was unused for longer may be stale."""
+"""A connection that has been idle for longer than this may be stale."""
 MIN_UNANSWERED_ATTEMPTS = 3
-"""Attempts in a row without a response on unused connections, after which these are closed before use."""
+"""Consecutive attempts without a response on idle connections before stale ones are suspected."""
 PROBE_SHARE = 0.06
-"""Part of the requests that use such a connection all the same, to learn whether it is stale."""
+"""Fraction of the requests that reuse a suspected connection, to find out whether it is stale."""
 
 
 def may_be_stale(attempt: InFlightAttempt) -> bool:
-    """Return whether the attempt used a connection that had been unused for long."""
+    """Return whether the attempt may have used a stale connection."""
     return attempt.idle_ns > MIN_STALE_IDLE_NS
 
 
 class StaleConnectionDetector:
-    """How long connections may be unused before they are closed instead of reused."""
+    """Learns after what idle time connections must be closed instead of reused."""
 
     def __init__(self, rng: Random) -> None:
         self._rng = rng
         self._max_reuse_idle_ns = 0
-        """Connections unused for longer are closed before use; 0: none are."""
+        """Connections that have been idle for longer are closed, not reused; 0: all are reused."""
         self._unanswered_attempts = 0
-        """Attempts in a row without a response on unused connections."""
+        """Consecutive attempts without a response on idle connections."""
 
     @property
     def suspects_stale_connections(self) -> bool:
-        """Whether unused connections are closed before use."""
+        """Whether idle connections may be closed instead of reused."""
         return self._max_reuse_idle_ns > 0
 
     def should_close_idle(self, idle_ns: int, is_retry: bool) -> bool:
@@ -45,16 +45,16 @@
         return is_retry or (idle_ns > self._max_reuse_idle_ns and self._rng.random() > PROBE_SHARE)
 
     def record_no_response(self, attempt: InFlightAttempt) -> None:
-        """Learn from an attempt whose endpoint has sent no response to anyone since."""
+        """Record an attempt since which its endpoint has sent this balancer no response at all."""
         if not may_be_stale(attempt):
             return
         self._unanswered_attempts += 1
         if self._unanswered_attempts >= MIN_UNANSWERED_ATTEMPTS:
-            bound_ns = max(MIN_STALE_IDLE_NS, attempt.idle_ns // 2)
-            self._max_reuse_idle_ns = min(self._max_reuse_idle_ns or attempt.idle_ns, bound_ns)
+            max_idle_ns = max(MIN_STALE_IDLE_NS, attempt.idle_ns // 2)
+            self._max_reuse_idle_ns = min(self._max_reuse_idle_ns or attempt.idle_ns, max_idle_ns)
 
     def record_response(self, attempt: InFlightAttempt) -> None:
-        """Learn from a response: one on an unused connection disproves the suspicion."""
+        """Record a response: if its connection was idle for longer than the limit, the limit is lifted."""
         if not attempt.idle_ns:
             return
         self._unanswered_attempts = 0
