--- a/lugtally/balancing/timers.py
+++ b/lugtally/balancing/timers.py
@@ -1,4 +1,4 @@
-"""The timers of a balancer, as values: what ``SetTimer`` carries, ``TimerFired`` brings back."""
+"""The timers of a balancer: ``SetTimer`` carries one, and ``TimerFired`` returns the same one."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryTimer:
-    """The backoff of a request has passed."""
+    """Fires when the backoff before a request's next retry has passed."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class OverdueTimer:
-    """An attempt in flight may be overdue."""
+    """Fires when an attempt in flight may have become overdue."""
 
 
 @dataclass(frozen=True, slots=True)
 class PollTimer:
-    """The backoff after a failed poll of the endpoint list has passed."""
+    """Fires when the backoff after a failed poll of the endpoint list has passed."""
 
 
 Timer = RetryTimer | OverdueTimer | PollTimer
