--- a/lugtally/balancing/settings.py
+++ b/lugtally/balancing/settings.py
@@ -57,7 +57,6 @@
 
     The defaults suit a request about which nothing is known: it is never retried once it may have run.
 
-
     Raises:
         ValueError: a field is not a number or out of its range; the text names the field.
     """
