--- a/lugtally/simulator/__init__.py
+++ b/lugtally/simulator/__init__.py
@@ -1,4 +1,4 @@
-"""The simulator's side of the balancer: many balancers behind one line protocol on standard input and output.
+"""Adapter for the simulator: runs many balancers behind a line protocol on standard input and output.
 
-It owns the simulator's wire.  It must not know the daemon: no socket, no event loop.
+The package owns that protocol.  It must not depend on the daemon: it uses no socket and no event loop.
 """
