--- a/lugtally/simulator/__main__.py
+++ b/lugtally/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m lugtally.simulator``: serve the simulator until its input ends."""
+"""``python -m lugtally.simulator``: reply to the simulator on standard output until standard input ends."""
 
 from __future__ import annotations
 
