--- a/lugtally/simulator/adapter.py
+++ b/lugtally/simulator/adapter.py
@@ -1,7 +1,7 @@
 """Runs many balancers for the simulator, over standard input and output.
 
-``python -m lugtally.simulator`` reads batches of events, one JSON array a line, and writes the actions
-that follow from each batch.  Exit status: 0 at the end of input, 2 on a malformed line.
+``python -m lugtally.simulator`` reads batches of messages, one JSON array a line, and writes the actions that the
+balancers return for each batch.  Exit status: 0 at the end of the input, 2 after a malformed line.
 """
 
 from __future__ import annotations
@@ -15,22 +15,23 @@
 from lugtally.config.balancing_settings import read_settings
 from lugtally.simulator.wire import EVENT_READERS, UPDATE_KINDS, Message, read_endpoints, write_action
 
-MALFORMED_STATUS = 2
+EXIT_MALFORMED_INPUT = 2
 BATCH_END = '["done"]\n'
+"""Last line of the reply to a batch."""
 
 
 class SimulatorAdapter:
-    """The balancers of one process, which share nothing, and the actions of the batch in progress."""
+    """The balancers of one process, which share no state, and the reply to the current batch."""
 
-    def __init__(self, errors: TextIO) -> None:
+    def __init__(self, error_output: TextIO) -> None:
         self._balancers: dict[int, Balancer] = {}
         self._endpoint_lists: dict[int, list[Message]] = {}
         self._now_ns = 0
-        self._reply: list[str] = []
-        self._errors = errors
+        self._reply_lines: list[str] = []
+        self._error_output = error_output
 
     def handle_message(self, message: Message) -> bool:
-        """Handle one message; return whether it ended the batch.
+        """Handle one message; return whether it ends the batch.
 
         Raises:
             ValueError, KeyError, IndexError, TypeError, AttributeError: the message is malformed.
@@ -52,14 +53,14 @@
         elif name == "teardown":
             self._balancers.pop(message[1], None)
         elif isinstance(name, str):
-            print(f"skipped an unknown event: {name!r}", file=self._errors)
+            print(f"skipped an unknown event: {name!r}", file=self._error_output)
         else:
-            raise ValueError("the name of the message is no text")
+            raise ValueError("the message name is not a string")
         return False
 
     def take_reply(self) -> bytes:
-        """Return the reply to the batch that ended, and start the next one."""
-        lines, self._reply = [*self._reply, BATCH_END], []
+        """Return the reply to the batch that has ended, and start an empty one for the next batch."""
+        lines, self._reply_lines = [*self._reply_lines, BATCH_END], []
         return "\n".join(lines).encode()
 
     def _update_endpoints(self, message: Message) -> None:
@@ -69,30 +70,30 @@
         self._handle_event(message[1], balancing.EndpointUpdate(kind, endpoints))
 
     def _handle_event(self, instance: int, event: balancing.Event | None) -> None:
-        """Pass an event to its balancer; an exception in the balancer is reported as a ``bug``."""
+        """Pass an event to the balancer of an instance; report an exception in the balancer as a ``bug``."""
         balancer = self._balancers.get(instance)
         if balancer is None or event is None:
             return
         try:
             for action in balancer.handle(self._now_ns, event):
-                self._reply.append(json.dumps(write_action(instance, action), separators=(",", ":")))
+                self._reply_lines.append(json.dumps(write_action(instance, action), separators=(",", ":")))
         except Exception as error:
-            traceback.print_exc(file=self._errors)
-            self._reply.append(json.dumps(["bug", instance, f"{type(error).__name__}: {error}"]))
+            traceback.print_exc(file=self._error_output)
+            self._reply_lines.append(json.dumps(["bug", instance, f"{type(error).__name__}: {error}"]))
 
 
-def run(source: BinaryIO, out: BinaryIO, errors: TextIO) -> int:
-    """Reply to batches until the input ends; return the exit status."""
-    adapter = SimulatorAdapter(errors)
+def run(source: BinaryIO, out: BinaryIO, error_output: TextIO) -> int:
+    """Reply to each batch until the input ends; return the exit status."""
+    adapter = SimulatorAdapter(error_output)
     for line_number, line in enumerate(source, 1):
         try:
             message = json.loads(line)
             if not isinstance(message, list) or not message:
-                raise ValueError("not a message")
+                raise ValueError("a message must be a non-empty JSON array")
             ended = adapter.handle_message(message)
         except (ValueError, KeyError, IndexError, TypeError, AttributeError) as error:
-            print(f"line {line_number}: {type(error).__name__}: {error}", file=errors)
-            return MALFORMED_STATUS
+            print(f"line {line_number}: {type(error).__name__}: {error}", file=error_output)
+            return EXIT_MALFORMED_INPUT
         if ended:
             out.write(adapter.take_reply())
             out.flush()
