--- a/lugtally/simulator/wire.py
+++ b/lugtally/simulator/wire.py
@@ -1,7 +1,8 @@
-"""The simulator's wire: its names and positions, and their translation from and to the balancer's types.
+"""The simulator's wire format: translates messages to events of the balancer, and its actions to messages.
 
-Each message is a JSON array of its name, mostly an instance, and its fields by position.  What is malformed
-raises ``ValueError``, ``KeyError``, ``IndexError``, ``TypeError`` or ``AttributeError``.
+Each message is a JSON array: its name, in most messages the number of a balancer instance, and then its fields by
+position.  A malformed message raises ``ValueError``, ``KeyError``, ``IndexError``, ``TypeError`` or
+``AttributeError``.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
     "cordoned": balancing.EndpointState.DRAINING,
     "deregistered": balancing.EndpointState.REMOVED,
 }
-"""States of an endpoint; any other counts as removed."""
+"""States of an endpoint on the wire; any other state counts as removed."""
 
 UPDATE_KINDS = {
     "diff": balancing.EndpointUpdateKind.DELTA,
@@ -39,16 +40,18 @@
 }
 
 TIMER_TEXTS: dict[balancing.Timer, str] = {balancing.OverdueTimer(): "due", balancing.PollTimer(): "watch"}
-"""The texts of the timers that carry nothing."""
+"""The texts that stand for the timers without fields."""
 RETRY_TIMER_PREFIX = "r"
-"""The text of a retry timer is this and the id of its request."""
+"""The text of a retry timer is this prefix and the id of its request."""
 
 HEALTHY = "GOOD"
+"""Result of a health check that succeeded."""
 CLIENT_RETRY_FLAG = 2
+"""Bit in the flags of ``req``: the request is a retry by the client."""
 
 
 def read_endpoints(rows: list[Message]) -> list[balancing.Endpoint]:
-    """Translate the rows of a ``define_list``: id, zone, (unused), cell, state, (unused), start."""
+    """Translate the rows of ``define_list``: id, zone, (ignored), cell, state, (ignored), start time."""
     return [
         balancing.Endpoint(
             row[0],
@@ -62,7 +65,7 @@
 
 
 def write_action(instance: int, action: balancing.Action) -> Message:
-    """Translate one action of an instance."""
+    """Return the message for an action of an instance."""
     match action:
         case balancing.SendAttempt(request_id, endpoint_id, timeout_ns):
             return ["dispatch", instance, request_id, endpoint_id, timeout_ns]
@@ -81,14 +84,14 @@
 
 
 def write_timer(timer: balancing.Timer) -> str:
-    """Return the text that stands for a timer."""
+    """Return the text that stands for a timer on the wire."""
     if isinstance(timer, balancing.RetryTimer):
         return RETRY_TIMER_PREFIX + timer.request_id
     return TIMER_TEXTS[timer]
 
 
 def _read_timer(message: Message) -> balancing.Event | None:
-    """Translate ``timer``: its text; ``None`` for a text that no balancer sets."""
+    """Translate ``timer``: text from position 2 on; ``None`` if no timer has this text."""
     text = message[2]
     for timer, timer_text in TIMER_TEXTS.items():
         if text == timer_text:
@@ -99,13 +102,13 @@
 
 
 def _read_request(message: Message) -> balancing.Event:
-    """Translate ``req``: request, class, tenant, (key), time left, (unused), flags from position 2 on."""
+    """Translate ``req``: request, class, tenant, (key), time left, (ignored), flags from position 2 on."""
     is_retry = bool((message[8] or 0) & CLIENT_RETRY_FLAG)
     return balancing.Request(message[2], message[3] or 0, message[4] or 0, message[6], is_retry)
 
 
 def _read_attempt_finished(message: Message) -> balancing.Event:
-    """Translate ``answer``: request, finished, duration, result, attempt, endpoint, load report."""
+    """Translate ``answer``: request, finished, duration, result, attempt, endpoint, load report from position 2 on."""
     load_report = tuple(message[8]) if len(message) > 8 and message[8] is not None else None
     return balancing.AttemptFinished(
         request_id=message[2],
@@ -127,4 +130,4 @@
     "health": lambda message: balancing.HealthCheckFinished(message[3], message[2] == HEALTHY),
     "message": lambda message: balancing.GossipReceived(message[2], message[3]),
 }
-"""Readers of the events for one instance, by the name of the message; ``None`` is ignored."""
+"""Functions that read the events for one instance, by message name; they return ``None`` for ignored events."""
