--- a/tests/balancing/congested_fleet.py
+++ b/tests/balancing/congested_fleet.py
@@ -18,7 +18,7 @@
 from lugtally.units import NS_PER_MS, NS_PER_S
 from tests.balancing.fleet import Fleet
 from tests.balancing.fleet_records import FleetSettings, LoadReportTiming, RequestOutcome
-from tests.balancing.world import settings
+from tests.balancing.harness import settings
 
 # Three typical classes: short reads, saves of twice their weight, and long submits with an idempotency key.
 CLASSES = (
--- a/tests/balancing/world.py
+++ b/tests/balancing/harness.py
@@ -81,7 +81,7 @@
         return self.finished or self.streaming
 
 
-class World:
+class BalancerHarness:
     """Feed a balancer with events and check each of its actions against the four rules."""
 
     def __init__(self, configured: balancing.Settings, seed: int = 1) -> None:
@@ -231,11 +231,13 @@
             assert request.final_answers <= 1
 
 
-def start_world(configured: balancing.Settings, endpoints: list[balancing.Endpoint], seed: int = 1) -> World:
-    """Return a world whose balancer has been given its first endpoint list."""
-    world = World(configured, seed)
-    world.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.CACHED, endpoints))
-    return world
+def start_harness(
+    configured: balancing.Settings, endpoints: list[balancing.Endpoint], seed: int = 1
+) -> BalancerHarness:
+    """Return a harness whose balancer has been given its first endpoint list."""
+    harness = BalancerHarness(configured, seed)
+    harness.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.CACHED, endpoints))
+    return harness
 
 
 def sent_endpoint_ids(actions: list[balancing.Action]) -> list[int]:
@@ -243,22 +245,24 @@
     return [action.endpoint_id for action in actions if isinstance(action, balancing.SendAttempt)]
 
 
-def age_connections(world: World) -> None:
+def age_connections(harness: BalancerHarness) -> None:
     """Let two consecutive requests time out on connections that were idle for a second."""
-    serve_requests(world, 60)
-    world.pass_time(NS_PER_S)
+    serve_requests(harness, 60)
+    harness.pass_time(NS_PER_S)
     for number in range(2):
-        world.send_request(f"aged{number}")
-        world.pass_time(200 * NS_PER_MS)
+        harness.send_request(f"aged{number}")
+        harness.pass_time(200 * NS_PER_MS)
 
 
-def serve_requests(world: World, count: int, duration_ns: int = 40 * NS_PER_MS, gap_ns: int = 10 * NS_PER_MS) -> None:
+def serve_requests(
+    harness: BalancerHarness, count: int, duration_ns: int = 40 * NS_PER_MS, gap_ns: int = 10 * NS_PER_MS
+) -> None:
     """Send ``count`` requests, each answered after ``duration_ns``, before the next one is sent."""
-    first = len(world.requests)
+    first = len(harness.requests)
     for number in range(first, first + count):
         name = f"warm{number}"
-        if sent_endpoint_ids(world.send_request(name)):
-            world.pass_time(duration_ns)
-            if not world.requests[name].finished:
-                world.end(name, 0, balancing.AttemptResult.OK)
-        world.pass_time(gap_ns)
+        if sent_endpoint_ids(harness.send_request(name)):
+            harness.pass_time(duration_ns)
+            if not harness.requests[name].finished:
+                harness.end(name, 0, balancing.AttemptResult.OK)
+        harness.pass_time(gap_ns)
--- a/tests/balancing/test_admission.py
+++ b/tests/balancing/test_admission.py
@@ -6,81 +6,81 @@
 
 from lugtally import balancing
 from lugtally.units import NS_PER_MS, NS_PER_S
-from tests.balancing.world import IDEMPOTENT, make_endpoints, serve_requests, settings, start_world
+from tests.balancing.harness import IDEMPOTENT, make_endpoints, serve_requests, settings, start_harness
 
 
 def test_latency_baseline_stays_through_congestion() -> None:
     """The baseline rises by less than 30% while responses take ten times as long."""
-    world = start_world(settings(), make_endpoints(10))
-    serve_requests(world, 100, duration_ns=40 * NS_PER_MS)
-    before = world.balancer.latency.baselines_ns[0]
-    serve_requests(world, 20, duration_ns=400 * NS_PER_MS)
-    assert before <= world.balancer.latency.baselines_ns[0] < 1.3 * before
+    harness = start_harness(settings(), make_endpoints(10))
+    serve_requests(harness, 100, duration_ns=40 * NS_PER_MS)
+    before = harness.balancer.latency.baselines_ns[0]
+    serve_requests(harness, 20, duration_ns=400 * NS_PER_MS)
+    assert before <= harness.balancer.latency.baselines_ns[0] < 1.3 * before
 
 
 def test_concurrency_limit_rejects_when_no_attempt_finishes() -> None:
     """The limit counts all attempts of the balancer: at most four for each server in its share of the fleet."""
-    world = start_world(settings(max_attempts=1, fleet_size=6), make_endpoints(54))
-    serve_requests(world, 150)
-    sends = len(world.sends)
+    harness = start_harness(settings(max_attempts=1, fleet_size=6), make_endpoints(54))
+    serve_requests(harness, 150)
+    sends = len(harness.sends)
     for number in range(400):  # no attempt finishes any more
-        world.send_request(f"queued{number}", time_left_ns=20 * NS_PER_S)
-        world.pass_time(5 * NS_PER_MS)
-    assert len(world.sends) - sends <= 4 * 54 / 6
-    rejected = [action for action in world.actions if isinstance(action, balancing.RejectRequest)]
+        harness.send_request(f"queued{number}", time_left_ns=20 * NS_PER_S)
+        harness.pass_time(5 * NS_PER_MS)
+    assert len(harness.sends) - sends <= 4 * 54 / 6
+    rejected = [action for action in harness.actions if isinstance(action, balancing.RejectRequest)]
     assert rejected
     assert all(action.retry_after_ns > 0 for action in rejected)
 
 
 def test_lost_responses_do_not_lower_admission() -> None:
     """Servers that lose one response in four and answer the others quickly are not treated as congested."""
-    world = start_world(settings(max_attempts=1, fleet_size=2), make_endpoints(10))
-    serve_requests(world, 100)
+    harness = start_harness(settings(max_attempts=1, fleet_size=2), make_endpoints(10))
+    serve_requests(harness, 100)
     for number in range(60):
-        world.send_request(f"x{number}", time_left_ns=2 * NS_PER_S)
-        world.pass_time(20 * NS_PER_MS)
-        if number % 4 and world.requests[f"x{number}"].attempts:
-            world.end(f"x{number}", 0, balancing.AttemptResult.OK)
-    sent = sum(bool(world.requests[f"x{number}"].attempts) for number in range(60))
+        harness.send_request(f"x{number}", time_left_ns=2 * NS_PER_S)
+        harness.pass_time(20 * NS_PER_MS)
+        if number % 4 and harness.requests[f"x{number}"].attempts:
+            harness.end(f"x{number}", 0, balancing.AttemptResult.OK)
+    sent = sum(bool(harness.requests[f"x{number}"].attempts) for number in range(60))
     assert sent == 60
-    assert world.balancer.attempts.lost_responses >= 4
-    assert world.balancer.admission.log_probability > 0
-    world.pass_time(3 * NS_PER_S)
-    assert world.balancer.attempts.lost_responses == 0
-    assert not any(endpoint.lost_responses for endpoint in world.balancer.subset.members)
+    assert harness.balancer.attempts.lost_responses >= 4
+    assert harness.balancer.admission.log_probability > 0
+    harness.pass_time(3 * NS_PER_S)
+    assert harness.balancer.attempts.lost_responses == 0
+    assert not any(endpoint.lost_responses for endpoint in harness.balancer.subset.members)
 
 
 def test_concurrency_limit_follows_the_latency_objective() -> None:
     """Responses of 2 ms under an objective of 300 ms raise the limit above its floor."""
-    world = start_world(settings(max_attempts=1, fleet_size=2), make_endpoints(10))
+    harness = start_harness(settings(max_attempts=1, fleet_size=2), make_endpoints(10))
     for number in range(600):
-        world.send_request(f"x{number}")
-        world.now += 2 * NS_PER_MS
-        world.end(f"x{number}", 0, balancing.AttemptResult.OK)
-    assert world.balancer.limiter.limit > 30, "the floor is 20"
+        harness.send_request(f"x{number}")
+        harness.now += 2 * NS_PER_MS
+        harness.end(f"x{number}", 0, balancing.AttemptResult.OK)
+    assert harness.balancer.limiter.limit > 30, "the floor is 20"
 
 
 def test_late_responses_shed_low_priority_classes_first() -> None:
     """In a large fleet no sidecar reaches its concurrency limit, so that late responses must lower admission."""
     valuable = replace(IDEMPOTENT, name="valuable", priority_weight=20.0)
-    world = start_world(settings(IDEMPOTENT, valuable, max_attempts=1, fleet_size=100), make_endpoints(12))
+    harness = start_harness(settings(IDEMPOTENT, valuable, max_attempts=1, fleet_size=100), make_endpoints(12))
     admitted = [0, 0]
     for number in range(120):
         for class_index in (0, 1):
-            world.send_request(f"{class_index}-{number}", class_index)
-            if world.requests[f"{class_index}-{number}"].attempts and number > 40:
+            harness.send_request(f"{class_index}-{number}", class_index)
+            if harness.requests[f"{class_index}-{number}"].attempts and number > 40:
                 admitted[class_index] += 1
-        world.pass_time(240 * NS_PER_MS if number > 20 else 40 * NS_PER_MS)
+        harness.pass_time(240 * NS_PER_MS if number > 20 else 40 * NS_PER_MS)
         for class_index in (0, 1):
             if (
-                world.requests[f"{class_index}-{number}"].attempts
-                and not world.requests[f"{class_index}-{number}"].finished
+                harness.requests[f"{class_index}-{number}"].attempts
+                and not harness.requests[f"{class_index}-{number}"].finished
             ):
-                world.end(f"{class_index}-{number}", 0, balancing.AttemptResult.OK)
+                harness.end(f"{class_index}-{number}", 0, balancing.AttemptResult.OK)
     assert admitted[0] < 30
     assert admitted[1] > 60
-    serve_requests(world, 60)
-    assert all(world.requests[f"warm{len(world.requests) - 1 - number}"].attempts for number in range(5)), (
+    serve_requests(harness, 60)
+    assert all(harness.requests[f"warm{len(harness.requests) - 1 - number}"].attempts for number in range(5)), (
         "admission does not recover"
     )
 
@@ -88,31 +88,31 @@
 def test_latency_far_below_the_objective_is_not_congestion() -> None:
     """Responses at eight times the baseline are accepted while they take a thirtieth of the objective."""
     relaxed = replace(IDEMPOTENT, latency_objective_ns=500 * NS_PER_MS, deadline_ns=2 * NS_PER_S)
-    world = start_world(settings(relaxed, max_attempts=1), make_endpoints(10))
-    serve_requests(world, 100, duration_ns=2 * NS_PER_MS)
+    harness = start_harness(settings(relaxed, max_attempts=1), make_endpoints(10))
+    serve_requests(harness, 100, duration_ns=2 * NS_PER_MS)
     for turn in range(200):  # the number in flight grows slowly
         names = [f"busy{turn}.{number}" for number in range(min(24, 2 + turn // 5))]
         for name in names:
-            world.send_request(name)
-        world.pass_time(16 * NS_PER_MS)  # eight times the baseline, and a thirtieth of the objective
+            harness.send_request(name)
+        harness.pass_time(16 * NS_PER_MS)  # eight times the baseline, and a thirtieth of the objective
         for name in names:
-            for index in range(len(world.requests[name].attempts)):
-                if not world.requests[name].finished:
-                    world.end(name, index, balancing.AttemptResult.OK)
-    rejected = sum(isinstance(action, balancing.RejectRequest) for action in world.actions)
-    assert rejected <= 10, f"{rejected} of {len(world.requests)} rejected though every response met its objective"
-    assert all(endpoint.ejected_until_ns <= world.now for endpoint in world.balancer.subset.members)
+            for index in range(len(harness.requests[name].attempts)):
+                if not harness.requests[name].finished:
+                    harness.end(name, index, balancing.AttemptResult.OK)
+    rejected = sum(isinstance(action, balancing.RejectRequest) for action in harness.actions)
+    assert rejected <= 10, f"{rejected} of {len(harness.requests)} rejected though every response met its objective"
+    assert all(endpoint.ejected_until_ns <= harness.now for endpoint in harness.balancer.subset.members)
 
 
 def test_class_demand_stays_positive_after_a_long_idle_time() -> None:
     """The demand is a divisor: it must not decay to zero."""
-    world = start_world(
+    harness = start_harness(
         settings(IDEMPOTENT, tenants=(balancing.Tenant("a", 10.0),), load_report_fields=("inflight",)),
         make_endpoints(4),
     )
-    serve_requests(world, 20)
-    world.balancer.quota.own_load = world.balancer.quota.fleet_load = 1.0  # as set by load reports
-    world.now += 100 * 3600 * NS_PER_S
-    serve_requests(world, 5)
-    assert all(demand > 0 for demand in world.balancer.priority.demand.values())
-    assert 0 < world.balancer.priority.lowest <= 1.0
+    serve_requests(harness, 20)
+    harness.balancer.quota.own_load = harness.balancer.quota.fleet_load = 1.0  # as set by load reports
+    harness.now += 100 * 3600 * NS_PER_S
+    serve_requests(harness, 5)
+    assert all(demand > 0 for demand in harness.balancer.priority.demand.values())
+    assert 0 < harness.balancer.priority.lowest <= 1.0
--- a/tests/balancing/test_endpoint_list.py
+++ b/tests/balancing/test_endpoint_list.py
@@ -4,22 +4,22 @@
 
 from lugtally import balancing
 from lugtally.units import NS_PER_S
-from tests.balancing.world import make_endpoints, settings, start_world
+from tests.balancing.harness import make_endpoints, settings, start_harness
 
 
 def test_request_without_usable_endpoint_is_rejected_at_once() -> None:
     for servers in ([], make_endpoints(3, state=balancing.EndpointState.DRAINING)):
-        world = start_world(settings(), servers)
-        assert [type(action) for action in world.send_request("a")] == [balancing.RejectRequest]
+        harness = start_harness(settings(), servers)
+        assert [type(action) for action in harness.send_request("a")] == [balancing.RejectRequest]
 
 
 def test_failed_endpoint_update_is_followed_by_a_new_watch() -> None:
-    world = start_world(settings(subscribe_to_endpoints=True), make_endpoints(4))
-    assert balancing.WatchEndpoints() in world.actions
-    world.actions.clear()
-    world.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FAILED, []))
-    world.pass_time(3 * NS_PER_S)
-    assert balancing.WatchEndpoints() in world.actions
+    harness = start_harness(settings(subscribe_to_endpoints=True), make_endpoints(4))
+    assert balancing.WatchEndpoints() in harness.actions
+    harness.actions.clear()
+    harness.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FAILED, []))
+    harness.pass_time(3 * NS_PER_S)
+    assert balancing.WatchEndpoints() in harness.actions
 
 
 def test_failed_discovery_is_polled_at_the_configured_interval() -> None:
@@ -29,14 +29,14 @@
         (0, 8 * NS_PER_S),
         (60 * NS_PER_S, 8 * NS_PER_S),
     ):
-        world = start_world(
+        harness = start_harness(
             settings(subscribe_to_endpoints=True, max_poll_interval_ns=max_poll_interval_ns), make_endpoints(4)
         )
         delays = []
         for _ in range(60):
-            world.timers.clear()
-            world.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FAILED, []))
-            delays += [due_ns - world.now for due_ns, timer in world.timers if timer == balancing.PollTimer()]
+            harness.timers.clear()
+            harness.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FAILED, []))
+            delays += [due_ns - harness.now for due_ns, timer in harness.timers if timer == balancing.PollTimer()]
         assert len(delays) == 60
         assert 0.7 * max_backoff_ns < max(delays) <= max_backoff_ns
         assert len(set(delays)) > 50, "forty sidecars must not poll at the same moments"
--- a/tests/balancing/test_fleet.py
+++ b/tests/balancing/test_fleet.py
@@ -14,7 +14,7 @@
 from tests.balancing.congested_fleet import CHOKING, TenantTraffic, congested_fleet, play
 from tests.balancing.fleet import Fleet
 from tests.balancing.fleet_records import TRAITS, FleetServer, FleetSettings, RequestOutcome
-from tests.balancing.world import IDEMPOTENT, make_endpoints, sent_endpoint_ids, settings, start_world
+from tests.balancing.harness import IDEMPOTENT, make_endpoints, sent_endpoint_ids, settings, start_harness
 
 SLOW_START = {
     "slow_start_window_ns": int(TRAITS.warm_up_s * NS_PER_S),
@@ -90,13 +90,13 @@
 
 def test_small_burst_at_a_quiet_sidecar_is_admitted() -> None:
     """A sidecar with two requests in flight on average admits seven more at once."""
-    world = start_world(settings(IDEMPOTENT, fleet_size=40, max_attempts=1), make_endpoints(60))
+    harness = start_harness(settings(IDEMPOTENT, fleet_size=40, max_attempts=1), make_endpoints(60))
     for number in range(80):  # twenty a second, each answered after 100 ms: two in flight
-        world.send_request(f"quiet{number}")
-        world.pass_time(50 * NS_PER_MS)
+        harness.send_request(f"quiet{number}")
+        harness.pass_time(50 * NS_PER_MS)
         if number:
-            world.end(f"quiet{number - 1}", 0, balancing.AttemptResult.OK)
-    burst = sum(bool(sent_endpoint_ids(world.send_request(f"burst{number}"))) for number in range(7))
+            harness.end(f"quiet{number - 1}", 0, balancing.AttemptResult.OK)
+    burst = sum(bool(sent_endpoint_ids(harness.send_request(f"burst{number}"))) for number in range(7))
     assert burst == 7
 
 
--- a/tests/balancing/test_outlier_detection.py
+++ b/tests/balancing/test_outlier_detection.py
@@ -6,123 +6,123 @@
 from lugtally.balancing.latency import CONGESTED_RATIO
 from lugtally.balancing.outlier_detection import MAX_EJECTED_SHARE
 from lugtally.units import NS_PER_MS, NS_PER_S
-from tests.balancing.world import World, make_endpoints, serve_requests, settings, start_world
+from tests.balancing.harness import BalancerHarness, make_endpoints, serve_requests, settings, start_harness
 
 
-def keep_silent(world: World, endpoint_id: int, count: int) -> None:
+def keep_silent(harness: BalancerHarness, endpoint_id: int, count: int) -> None:
     """Send requests until about ``count`` attempts at ``endpoint_id`` timed out; answer all other attempts."""
     for _ in range(count * 12):
-        name = f"s{len(world.requests)}"
-        world.send_request(name, time_left_ns=400 * NS_PER_MS)
-        for index, attempt in enumerate(world.requests[name].attempts):
+        name = f"s{len(harness.requests)}"
+        harness.send_request(name, time_left_ns=400 * NS_PER_MS)
+        for index, attempt in enumerate(harness.requests[name].attempts):
             if attempt.endpoint_id != endpoint_id:
-                world.pass_time(30 * NS_PER_MS)
-                if not world.requests[name].finished:
-                    world.end(name, index, balancing.AttemptResult.OK)
-        world.pass_time(10 * NS_PER_MS)
+                harness.pass_time(30 * NS_PER_MS)
+                if not harness.requests[name].finished:
+                    harness.end(name, index, balancing.AttemptResult.OK)
+        harness.pass_time(10 * NS_PER_MS)
 
 
 def test_silent_server_is_ejected_and_retried_after_ejection() -> None:
     """The ejection expires although no request to the server is in flight."""
-    world = start_world(settings(hedging_allowed=False), make_endpoints(10))
-    serve_requests(world, 60)
-    start = world.now
-    keep_silent(world, 3, 20)
-    sent = [sent_ns for sent_ns, endpoint_id in world.sends if endpoint_id == 3 and sent_ns > start]
+    harness = start_harness(settings(hedging_allowed=False), make_endpoints(10))
+    serve_requests(harness, 60)
+    start = harness.now
+    keep_silent(harness, 3, 20)
+    sent = [sent_ns for sent_ns, endpoint_id in harness.sends if endpoint_id == 3 and sent_ns > start]
     assert 1 <= len(sent) <= 5, "of 240 requests; an equal share would be 24"
-    world.pass_time(60 * NS_PER_S)
-    serve_requests(world, 120)
-    assert any(endpoint_id == 3 for sent_ns, endpoint_id in world.sends if sent_ns > world.now - 20 * NS_PER_S)
+    harness.pass_time(60 * NS_PER_S)
+    serve_requests(harness, 120)
+    assert any(endpoint_id == 3 for sent_ns, endpoint_id in harness.sends if sent_ns > harness.now - 20 * NS_PER_S)
 
 
 def test_repeated_ejection_lasts_five_seconds_at_most() -> None:
     """The ejection time does not grow beyond 5 s with further ejections."""
-    world = start_world(settings(max_attempts=1), make_endpoints(10))
-    endpoint = world.balancer.subset.members[0]
+    harness = start_harness(settings(max_attempts=1), make_endpoints(10))
+    endpoint = harness.balancer.subset.members[0]
     for _ in range(9):
-        world.now = max(world.now, endpoint.ejected_until_ns)
-        world.balancer.outliers.record_failure(world.now, endpoint)
-        assert world.now < endpoint.ejected_until_ns <= world.now + 5 * NS_PER_S
+        harness.now = max(harness.now, endpoint.ejected_until_ns)
+        harness.balancer.outliers.record_failure(harness.now, endpoint)
+        assert harness.now < endpoint.ejected_until_ns <= harness.now + 5 * NS_PER_S
 
 
 def test_failing_server_is_ejected_with_half_the_fleet_ejected() -> None:
     """A server that refuses or rejects every request is ejected although the maximum share is ejected already."""
     for result in balancing.AttemptResult.NO_CONNECTION, balancing.AttemptResult.REJECTED:
-        world = start_world(settings(max_attempts=1), make_endpoints(10))
-        for endpoint in world.balancer.subset.members[:5]:
-            endpoint.ejected_until_ns = world.now + 60 * NS_PER_S
-        dead = world.balancer.subset.members[5].id
+        harness = start_harness(settings(max_attempts=1), make_endpoints(10))
+        for endpoint in harness.balancer.subset.members[:5]:
+            endpoint.ejected_until_ns = harness.now + 60 * NS_PER_S
+        dead = harness.balancer.subset.members[5].id
         for number in range(60):
-            world.send_request(f"x{number}")
-            world.now += 5 * NS_PER_MS
-            for attempt in world.requests[f"x{number}"].attempts:
-                world.end(f"x{number}", 0, result if attempt.endpoint_id == dead else balancing.AttemptResult.OK)
-        assert sum(endpoint_id == dead for _, endpoint_id in world.sends) <= 2
+            harness.send_request(f"x{number}")
+            harness.now += 5 * NS_PER_MS
+            for attempt in harness.requests[f"x{number}"].attempts:
+                harness.end(f"x{number}", 0, result if attempt.endpoint_id == dead else balancing.AttemptResult.OK)
+        assert sum(endpoint_id == dead for _, endpoint_id in harness.sends) <= 2
 
 
 def test_late_responses_of_all_servers_eject_none() -> None:
     """Late responses are congestion, not outliers, where each server still responds to other requests."""
-    world = start_world(settings(hedging_allowed=False, max_attempts=1), make_endpoints(10))
-    serve_requests(world, 40)
+    harness = start_harness(settings(hedging_allowed=False, max_attempts=1), make_endpoints(10))
+    serve_requests(harness, 40)
     for number in range(30):
-        world.send_request(f"late{number}", time_left_ns=100 * NS_PER_MS)
-        world.send_request(f"good{number}", time_left_ns=NS_PER_S)
-        world.pass_time(60 * NS_PER_MS)
-        for attempt in world.requests[f"good{number}"].attempts:
-            world.balancer.endpoints.by_id[attempt.endpoint_id].last_response_ns = world.now
+        harness.send_request(f"late{number}", time_left_ns=100 * NS_PER_MS)
+        harness.send_request(f"good{number}", time_left_ns=NS_PER_S)
+        harness.pass_time(60 * NS_PER_MS)
+        for attempt in harness.requests[f"good{number}"].attempts:
+            harness.balancer.endpoints.by_id[attempt.endpoint_id].last_response_ns = harness.now
         for name in [f"late{number}"]:
-            for attempt in world.requests[name].attempts:  # its server responds to another request meanwhile
-                world.balancer.endpoints.by_id[attempt.endpoint_id].last_response_ns = world.now
-        world.pass_time(60 * NS_PER_MS)
-    assert not any(endpoint.ejected_until_ns > world.now for endpoint in world.balancer.subset.members)
+            for attempt in harness.requests[name].attempts:  # its server responds to another request meanwhile
+                harness.balancer.endpoints.by_id[attempt.endpoint_id].last_response_ns = harness.now
+        harness.pass_time(60 * NS_PER_MS)
+    assert not any(endpoint.ejected_until_ns > harness.now for endpoint in harness.balancer.subset.members)
 
 
 def test_consecutive_errors_eject_up_to_the_maximum_share() -> None:
-    world = start_world(settings(max_attempts=1), make_endpoints(10))
+    harness = start_harness(settings(max_attempts=1), make_endpoints(10))
     for number in range(200):
         name = f"e{number}"
-        world.send_request(name)
-        if world.requests[name].attempts:
-            world.end(name, 0, balancing.AttemptResult.RESET)
-        world.pass_time(5 * NS_PER_MS)
-    ejected = sum(endpoint.ejected_until_ns > world.now for endpoint in world.balancer.subset.members)
+        harness.send_request(name)
+        if harness.requests[name].attempts:
+            harness.end(name, 0, balancing.AttemptResult.RESET)
+        harness.pass_time(5 * NS_PER_MS)
+    ejected = sum(endpoint.ejected_until_ns > harness.now for endpoint in harness.balancer.subset.members)
     assert 0 < ejected <= MAX_EJECTED_SHARE * 10
 
 
 def test_single_resets_among_good_responses_eject_none() -> None:
     """One reset in twenty responses, spread over all servers, ejects next to none."""
-    world = start_world(settings(max_attempts=1), make_endpoints(10))
+    harness = start_harness(settings(max_attempts=1), make_endpoints(10))
     ejected = 0
     for number in range(300):
-        world.send_request(f"x{number}")
-        world.now += 20 * NS_PER_MS
-        world.end(f"x{number}", 0, balancing.AttemptResult.RESET if number % 20 == 0 else balancing.AttemptResult.OK)
-        ejected += any(endpoint.ejected_until_ns > world.now for endpoint in world.balancer.subset.members)
+        harness.send_request(f"x{number}")
+        harness.now += 20 * NS_PER_MS
+        harness.end(f"x{number}", 0, balancing.AttemptResult.RESET if number % 20 == 0 else balancing.AttemptResult.OK)
+        ejected += any(endpoint.ejected_until_ns > harness.now for endpoint in harness.balancer.subset.members)
     assert ejected < 15
 
 
 def test_refused_connection_ejects_for_about_a_second() -> None:
-    world = start_world(settings(max_attempts=1), make_endpoints(10))
-    world.send_request("a")
-    world.end("a", 0, balancing.AttemptResult.NO_CONNECTION)
-    until = [endpoint.ejected_until_ns for endpoint in world.balancer.subset.members if endpoint.ejected_until_ns]
+    harness = start_harness(settings(max_attempts=1), make_endpoints(10))
+    harness.send_request("a")
+    harness.end("a", 0, balancing.AttemptResult.NO_CONNECTION)
+    until = [endpoint.ejected_until_ns for endpoint in harness.balancer.subset.members if endpoint.ejected_until_ns]
     assert len(until) == 1
-    assert until[0] <= world.now + 1.2 * NS_PER_S
+    assert until[0] <= harness.now + 1.2 * NS_PER_S
 
 
 def test_slow_servers_are_ejected_lowest_id_first() -> None:
     """Servers that are slow without concurrency are ejected by ascending id: the same ones at every balancer."""
-    world = start_world(settings(), make_endpoints(10))
-    serve_requests(world, 40)
-    for endpoint in world.balancer.subset.members:
+    harness = start_harness(settings(), make_endpoints(10))
+    serve_requests(harness, 40)
+    for endpoint in harness.balancer.subset.members:
         endpoint.concurrency_limit, endpoint.slowness, endpoint.samples, endpoint.last_response_ns = (
             1.0,
             2 * CONGESTED_RATIO,
             20,
-            world.now,
+            harness.now,
         )
-    world.balancer._refresh(world.now)
-    assert {endpoint.id for endpoint in world.balancer.subset.members if endpoint.ejected_until_ns > world.now} == {
+    harness.balancer._refresh(harness.now)
+    assert {endpoint.id for endpoint in harness.balancer.subset.members if endpoint.ejected_until_ns > harness.now} == {
         1,
         2,
         3,
--- a/tests/balancing/test_picker.py
+++ b/tests/balancing/test_picker.py
@@ -4,21 +4,21 @@
 
 from lugtally import balancing
 from lugtally.units import NS_PER_MS, NS_PER_S
-from tests.balancing.world import IDEMPOTENT, make_endpoints, settings, start_world
+from tests.balancing.harness import IDEMPOTENT, make_endpoints, settings, start_harness
 
 
 def test_subset_of_ten_replaces_draining_members_only() -> None:
-    world = start_world(settings(fleet_size=20), make_endpoints(40))
-    first = {endpoint.id for endpoint in world.balancer.subset.members}
+    harness = start_harness(settings(fleet_size=20), make_endpoints(40))
+    first = {endpoint.id for endpoint in harness.balancer.subset.members}
     assert len(first) == 10
     draining = sorted(first)[:3]
-    world.feed(
+    harness.feed(
         balancing.EndpointUpdate(
             balancing.EndpointUpdateKind.DELTA,
             [balancing.Endpoint(number, state=balancing.EndpointState.DRAINING) for number in draining],
         )
     )
-    second = {endpoint.id for endpoint in world.balancer.subset.members}
+    second = {endpoint.id for endpoint in harness.balancer.subset.members}
     assert len(second) == 10
     assert not second & set(draining)
     assert first - set(draining) < second
@@ -26,18 +26,18 @@
 
 def test_subset_grows_with_own_requests_in_flight() -> None:
     """A balancer with much traffic needs more than the ten members of the smallest subset."""
-    world = start_world(settings(fleet_size=20), make_endpoints(40))
+    harness = start_harness(settings(fleet_size=20), make_endpoints(40))
     for number in range(14):
-        world.send_request(f"a{number}", time_left_ns=5 * NS_PER_S)
-        world.pass_time(100 * NS_PER_MS)
-    assert len(world.balancer.subset.members) > 10
+        harness.send_request(f"a{number}", time_left_ns=5 * NS_PER_S)
+        harness.pass_time(100 * NS_PER_MS)
+    assert len(harness.balancer.subset.members) > 10
 
 
 def test_pick_prefers_fewer_own_requests_in_flight() -> None:
-    world = start_world(settings(fleet_size=1), make_endpoints(10))
+    harness = start_harness(settings(fleet_size=1), make_endpoints(10))
     for number in range(10):
-        world.send_request(f"a{number}")
-    spread = [len(endpoint.in_flight) for endpoint in world.balancer.subset.members]
+        harness.send_request(f"a{number}")
+    spread = [len(endpoint.in_flight) for endpoint in harness.balancer.subset.members]
     assert sum(spread) == 10
     assert max(spread) <= 2
 
@@ -46,15 +46,15 @@
     """Load reports decide between servers with equal requests in flight, unless the latency contradicts them."""
 
     def send_share(report: float, duration_ns: int) -> float:
-        world = start_world(settings(load_report_fields=("queue",)), make_endpoints(10))
+        harness = start_harness(settings(load_report_fields=("queue",)), make_endpoints(10))
         sends = 0
         for number in range(400):
-            world.send_request(f"a{number}")
-            for attempt in world.requests[f"a{number}"].attempts:
+            harness.send_request(f"a{number}")
+            for attempt in harness.requests[f"a{number}"].attempts:
                 differs = attempt.endpoint_id == 1
-                world.now += duration_ns if differs else 40 * NS_PER_MS
-                world.requests[f"a{number}"].finished = True
-                world.feed(
+                harness.now += duration_ns if differs else 40 * NS_PER_MS
+                harness.requests[f"a{number}"].finished = True
+                harness.feed(
                     balancing.AttemptFinished(
                         f"a{number}",
                         0,
@@ -74,9 +74,9 @@
 
 def test_pick_uses_other_zones_when_own_zone_is_full() -> None:
     """The preference for the own zone ends once its servers have many requests in flight."""
-    world = start_world(settings(IDEMPOTENT, cross_zone_cost=0.1, fleet_size=1), make_endpoints(12))
+    harness = start_harness(settings(IDEMPOTENT, cross_zone_cost=0.1, fleet_size=1), make_endpoints(12))
     for number in range(20):
-        world.send_request(f"a{number}")
-    zones = [world.endpoints[endpoint_id].zone for _, endpoint_id in world.sends]
+        harness.send_request(f"a{number}")
+    zones = [harness.endpoints[endpoint_id].zone for _, endpoint_id in harness.sends]
     assert zones.count(0) >= 6
     assert len(zones) - zones.count(0) >= 6
--- a/tests/balancing/test_retries.py
+++ b/tests/balancing/test_retries.py
@@ -6,13 +6,13 @@
 
 from lugtally import balancing
 from lugtally.units import NS_PER_MS, NS_PER_S
-from tests.balancing.world import (
+from tests.balancing.harness import (
     IDEMPOTENT,
     NON_IDEMPOTENT,
     make_endpoints,
     serve_requests,
     settings,
-    start_world,
+    start_harness,
     with_idempotency_key,
 )
 
@@ -29,18 +29,18 @@
 def test_backoff_is_full_jitter_up_to_half_the_time_left() -> None:
     delays = []
     for seed in range(200):
-        world = start_world(settings(), make_endpoints(12), seed)
-        world.send_request("a")
-        delays += retry_delays_ns(world.end("a", 0, balancing.AttemptResult.ERROR))
+        harness = start_harness(settings(), make_endpoints(12), seed)
+        harness.send_request("a")
+        delays += retry_delays_ns(harness.end("a", 0, balancing.AttemptResult.ERROR))
     assert len(delays) == 200
     assert max(delays) <= 100 * NS_PER_MS
     assert min(delays) < 10 * NS_PER_MS, "full jitter covers the entire range"
     assert max(delays) > 90 * NS_PER_MS, "full jitter covers the entire range"
     short = []
     for seed in range(100):
-        world = start_world(settings(), make_endpoints(12), seed)
-        world.send_request("a", time_left_ns=80 * NS_PER_MS)
-        short += retry_delays_ns(world.end("a", 0, balancing.AttemptResult.ERROR))
+        harness = start_harness(settings(), make_endpoints(12), seed)
+        harness.send_request("a", time_left_ns=80 * NS_PER_MS)
+        short += retry_delays_ns(harness.end("a", 0, balancing.AttemptResult.ERROR))
     assert short
     assert max(short) <= 40 * NS_PER_MS
 
@@ -48,40 +48,40 @@
 def test_backoff_doubles_and_each_retry_goes_to_another_server() -> None:
     late = []
     for seed in range(60):
-        world = start_world(settings(replace(IDEMPOTENT, deadline_ns=10 * NS_PER_S)), make_endpoints(12), seed)
-        serve_requests(world, 40)
-        world.send_request("a", time_left_ns=10 * NS_PER_S)
-        world.end("a", 0, balancing.AttemptResult.ERROR)
-        world.pass_time(110 * NS_PER_MS)
-        late += retry_delays_ns(world.end("a", 1, balancing.AttemptResult.ERROR))
-        world.pass_time(210 * NS_PER_MS)
-        used = [attempt.endpoint_id for attempt in world.requests["a"].attempts]
+        harness = start_harness(settings(replace(IDEMPOTENT, deadline_ns=10 * NS_PER_S)), make_endpoints(12), seed)
+        serve_requests(harness, 40)
+        harness.send_request("a", time_left_ns=10 * NS_PER_S)
+        harness.end("a", 0, balancing.AttemptResult.ERROR)
+        harness.pass_time(110 * NS_PER_MS)
+        late += retry_delays_ns(harness.end("a", 1, balancing.AttemptResult.ERROR))
+        harness.pass_time(210 * NS_PER_MS)
+        used = [attempt.endpoint_id for attempt in harness.requests["a"].attempts]
         assert len(used) == len(set(used))
     assert max(late) > 120 * NS_PER_MS
     assert max(late) <= 200 * NS_PER_MS
 
 
 def test_request_gets_three_retries_at_most() -> None:
-    world = start_world(settings(max_attempts=9), make_endpoints(12))
-    serve_requests(world, 100, gap_ns=5 * NS_PER_MS)
-    world.send_request("a", time_left_ns=10 * NS_PER_S)
+    harness = start_harness(settings(max_attempts=9), make_endpoints(12))
+    serve_requests(harness, 100, gap_ns=5 * NS_PER_MS)
+    harness.send_request("a", time_left_ns=10 * NS_PER_S)
     for attempt in range(4):
-        world.end("a", attempt, balancing.AttemptResult.ERROR)
-        world.pass_time(NS_PER_S)
-    assert len(world.requests["a"].attempts) == 4
-    assert world.requests["a"].finished
+        harness.end("a", attempt, balancing.AttemptResult.ERROR)
+        harness.pass_time(NS_PER_S)
+    assert len(harness.requests["a"].attempts) == 4
+    assert harness.requests["a"].finished
 
 
 def test_retry_budget_is_a_tenth_of_requests_and_at_least_one() -> None:
-    world = start_world(settings(), make_endpoints(12))
+    harness = start_harness(settings(), make_endpoints(12))
     retried = 0
     for number in range(60):
-        world.send_request(f"q{number}")
-        if world.requests[f"q{number}"].attempts:
-            retried += bool(retry_delays_ns(world.end(f"q{number}", 0, balancing.AttemptResult.ERROR)))
-        world.pass_time(100 * NS_PER_MS)
+        harness.send_request(f"q{number}")
+        if harness.requests[f"q{number}"].attempts:
+            retried += bool(retry_delays_ns(harness.end(f"q{number}", 0, balancing.AttemptResult.ERROR)))
+        harness.pass_time(100 * NS_PER_MS)
     assert 1 <= retried <= 6
-    quiet = start_world(settings(), make_endpoints(12))
+    quiet = start_harness(settings(), make_endpoints(12))
     quiet.send_request("one")
     assert retry_delays_ns(quiet.end("one", 0, balancing.AttemptResult.ERROR))
     quiet.send_request("two")
@@ -97,11 +97,11 @@
         (with_idempotency_key(balancing.DeduplicationScope.ZONE), balancing.FailRequest),
         (with_idempotency_key(balancing.DeduplicationScope.ALL), balancing.RejectRequest),
     ):
-        world = start_world(settings(request_class, max_attempts=1), make_endpoints(12))
-        world.send_request("a")
+        harness = start_harness(settings(request_class, max_attempts=1), make_endpoints(12))
+        harness.send_request("a")
         answer = [
             action
-            for action in world.end("a", 0, balancing.AttemptResult.ERROR)
+            for action in harness.end("a", 0, balancing.AttemptResult.ERROR)
             if isinstance(action, balancing.RejectRequest | balancing.FailRequest)
         ]
         assert [type(action) for action in answer] == [kind]
--- a/tests/balancing/test_rules.py
+++ b/tests/balancing/test_rules.py
@@ -6,41 +6,41 @@
 
 from lugtally import balancing
 from lugtally.units import NS_PER_MS, NS_PER_S
-from tests.balancing.world import (
+from tests.balancing.harness import (
     IDEMPOTENT,
     NON_IDEMPOTENT,
-    World,
+    BalancerHarness,
     age_connections,
     make_endpoints,
     sent_endpoint_ids,
     settings,
-    start_world,
+    start_harness,
     with_idempotency_key,
 )
 
 
 def test_request_is_not_retried_after_client_disconnect() -> None:
-    world = start_world(settings(), make_endpoints(12))
-    world.send_request("a")
-    world.end("a", 0, balancing.AttemptResult.ERROR)
-    world.feed(balancing.ClientDisconnected("a"))
-    world.pass_time(NS_PER_S)
-    assert len(world.requests["a"].attempts) == 1
-    assert world.requests["a"].final_answers == 0
+    harness = start_harness(settings(), make_endpoints(12))
+    harness.send_request("a")
+    harness.end("a", 0, balancing.AttemptResult.ERROR)
+    harness.feed(balancing.ClientDisconnected("a"))
+    harness.pass_time(NS_PER_S)
+    assert len(harness.requests["a"].attempts) == 1
+    assert harness.requests["a"].final_answers == 0
 
 
 def test_disconnect_after_the_last_attempt_has_no_effect() -> None:
-    world = start_world(settings(), make_endpoints(12))
-    world.send_request("a")
-    world.end("a", 0, balancing.AttemptResult.TIMEOUT, finishes_request=True)
-    assert world.feed(balancing.ClientDisconnected("a")) == []
+    harness = start_harness(settings(), make_endpoints(12))
+    harness.send_request("a")
+    harness.end("a", 0, balancing.AttemptResult.TIMEOUT, finishes_request=True)
+    assert harness.feed(balancing.ClientDisconnected("a")) == []
 
 
 def test_timeout_at_the_deadline_gets_one_final_answer() -> None:
-    world = start_world(settings(NON_IDEMPOTENT), make_endpoints(12))
-    world.send_request("a", time_left_ns=200 * NS_PER_MS)
-    world.pass_time(300 * NS_PER_MS)
-    assert world.requests["a"].final_answers == 1
+    harness = start_harness(settings(NON_IDEMPOTENT), make_endpoints(12))
+    harness.send_request("a", time_left_ns=200 * NS_PER_MS)
+    harness.pass_time(300 * NS_PER_MS)
+    assert harness.requests["a"].final_answers == 1
 
 
 def test_non_idempotent_request_is_retried_only_if_unprocessed() -> None:
@@ -50,145 +50,147 @@
         (balancing.AttemptResult.REJECTED, 2),
         (balancing.AttemptResult.NO_CONNECTION, 2),
     ):
-        world = start_world(settings(NON_IDEMPOTENT), make_endpoints(12))
-        world.send_request("a")
-        world.end("a", 0, result)
-        world.pass_time(120 * NS_PER_MS)
-        assert len(world.requests["a"].attempts) == attempts, result
+        harness = start_harness(settings(NON_IDEMPOTENT), make_endpoints(12))
+        harness.send_request("a")
+        harness.end("a", 0, result)
+        harness.pass_time(120 * NS_PER_MS)
+        assert len(harness.requests["a"].attempts) == attempts, result
 
 
 def test_keyed_retry_stays_in_deduplication_scope_and_window() -> None:
     for scope, field in ((balancing.DeduplicationScope.ZONE, "zone"), (balancing.DeduplicationScope.CELL, "cell")):
         for seed in range(20):
-            world = start_world(settings(with_idempotency_key(scope)), make_endpoints(12), seed)
-            world.send_request("a")
-            world.end("a", 0, balancing.AttemptResult.ERROR)
-            world.pass_time(120 * NS_PER_MS)
-            used = [getattr(world.endpoints[attempt.endpoint_id], field) for attempt in world.requests["a"].attempts]
+            harness = start_harness(settings(with_idempotency_key(scope)), make_endpoints(12), seed)
+            harness.send_request("a")
+            harness.end("a", 0, balancing.AttemptResult.ERROR)
+            harness.pass_time(120 * NS_PER_MS)
+            used = [
+                getattr(harness.endpoints[attempt.endpoint_id], field) for attempt in harness.requests["a"].attempts
+            ]
             assert len(used) == 2
             assert len(set(used)) == 1
-    world = start_world(
+    harness = start_harness(
         settings(with_idempotency_key(balancing.DeduplicationScope.ALL, 200 * NS_PER_MS)), make_endpoints(12)
     )
-    world.send_request("a")
-    world.pass_time(195 * NS_PER_MS)
-    world.end("a", 0, balancing.AttemptResult.ERROR)
-    world.pass_time(300 * NS_PER_MS)
-    assert len(world.requests["a"].attempts) == 1
-    assert world.requests["a"].final_answers == 1
+    harness.send_request("a")
+    harness.pass_time(195 * NS_PER_MS)
+    harness.end("a", 0, balancing.AttemptResult.ERROR)
+    harness.pass_time(300 * NS_PER_MS)
+    assert len(harness.requests["a"].attempts) == 1
+    assert harness.requests["a"].final_answers == 1
 
 
 def test_hedged_request_is_sent_only_where_allowed() -> None:
     for allowed in (False, True):
-        world = start_world(settings(hedging_allowed=allowed), make_endpoints(12))
-        age_connections(world)
-        world.send_request("a")
-        world.pass_time(900 * NS_PER_MS)
-        assert (len(world.requests["a"].attempts) > 1) is allowed
+        harness = start_harness(settings(hedging_allowed=allowed), make_endpoints(12))
+        age_connections(harness)
+        harness.send_request("a")
+        harness.pass_time(900 * NS_PER_MS)
+        assert (len(harness.requests["a"].attempts) > 1) is allowed
 
 
 def test_retry_without_hedging_cancels_the_first_attempt() -> None:
-    world = start_world(settings(hedging_allowed=False), make_endpoints(12))
-    age_connections(world)
-    world.send_request("a")
-    actions_before = len(world.actions)
-    world.pass_time(200 * NS_PER_MS)
-    assert balancing.CancelAttempt("a", 0) in world.actions[actions_before:]
-    world.end("a", 0, balancing.AttemptResult.CANCELLED)
-    world.pass_time(150 * NS_PER_MS)
-    assert len(world.requests["a"].attempts) == 2
+    harness = start_harness(settings(hedging_allowed=False), make_endpoints(12))
+    age_connections(harness)
+    harness.send_request("a")
+    actions_before = len(harness.actions)
+    harness.pass_time(200 * NS_PER_MS)
+    assert balancing.CancelAttempt("a", 0) in harness.actions[actions_before:]
+    harness.end("a", 0, balancing.AttemptResult.CANCELLED)
+    harness.pass_time(150 * NS_PER_MS)
+    assert len(harness.requests["a"].attempts) == 2
 
 
 def test_draining_and_removed_servers_get_no_attempts() -> None:
-    world = start_world(settings(), make_endpoints(4))
-    world.feed(
+    harness = start_harness(settings(), make_endpoints(4))
+    harness.feed(
         balancing.EndpointUpdate(
             balancing.EndpointUpdateKind.DELTA, [balancing.Endpoint(1, state=balancing.EndpointState.DRAINING)]
         )
     )
-    world.feed(
+    harness.feed(
         balancing.EndpointUpdate(
             balancing.EndpointUpdateKind.FULL, [endpoint for endpoint in make_endpoints(4) if endpoint.id not in (1, 2)]
         )
     )
     for number in range(6):
-        world.send_request(f"a{number}")
-    assert {endpoint_id for _, endpoint_id in world.sends} <= {3, 4}
+        harness.send_request(f"a{number}")
+    assert {endpoint_id for _, endpoint_id in harness.sends} <= {3, 4}
 
 
 def test_non_binding_removal_still_excludes_draining_servers() -> None:
-    world = start_world(settings(removal_is_binding=False), make_endpoints(3))
-    world.feed(
+    harness = start_harness(settings(removal_is_binding=False), make_endpoints(3))
+    harness.feed(
         balancing.EndpointUpdate(
             balancing.EndpointUpdateKind.DELTA, [balancing.Endpoint(1, state=balancing.EndpointState.DRAINING)]
         )
     )
-    world.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FULL, []))
+    harness.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FULL, []))
     for number in range(4):
-        world.send_request(f"a{number}")
-    assert {endpoint_id for _, endpoint_id in world.sends} == {2, 3}
+        harness.send_request(f"a{number}")
+    assert {endpoint_id for _, endpoint_id in harness.sends} == {2, 3}
 
 
 def test_removed_server_is_used_after_it_is_ready_again() -> None:
-    world = start_world(settings(), make_endpoints(1))
-    world.feed(
+    harness = start_harness(settings(), make_endpoints(1))
+    harness.feed(
         balancing.EndpointUpdate(
             balancing.EndpointUpdateKind.DELTA, [balancing.Endpoint(1, state=balancing.EndpointState.REMOVED)]
         )
     )
-    assert not sent_endpoint_ids(world.send_request("a"))
-    world.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.DELTA, [balancing.Endpoint(1)]))
-    assert sent_endpoint_ids(world.send_request("b")) == [1]
+    assert not sent_endpoint_ids(harness.send_request("a"))
+    harness.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.DELTA, [balancing.Endpoint(1)]))
+    assert sent_endpoint_ids(harness.send_request("b")) == [1]
 
 
 def test_new_balancer_sends_nothing_to_a_cold_server() -> None:
-    world = World(settings(), 1)
+    harness = BalancerHarness(settings(), 1)
     cold = [
-        replace(endpoint, started_ns=world.now - 10 * NS_PER_MS) if endpoint.id == 1 else endpoint
+        replace(endpoint, started_ns=harness.now - 10 * NS_PER_MS) if endpoint.id == 1 else endpoint
         for endpoint in make_endpoints(10)
     ]
-    world.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.CACHED, cold))
+    harness.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.CACHED, cold))
     for number in range(15):
-        world.send_request(f"a{number}")
-        world.pass_time(20 * NS_PER_MS)
-    assert 1 not in {endpoint_id for _, endpoint_id in world.sends}
+        harness.send_request(f"a{number}")
+        harness.pass_time(20 * NS_PER_MS)
+    assert 1 not in {endpoint_id for _, endpoint_id in harness.sends}
 
 
 def test_retry_is_not_sent_to_the_only_other_draining_server() -> None:
-    world = start_world(settings(IDEMPOTENT), make_endpoints(2))
-    first = sent_endpoint_ids(world.send_request("a"))[0]
+    harness = start_harness(settings(IDEMPOTENT), make_endpoints(2))
+    first = sent_endpoint_ids(harness.send_request("a"))[0]
     other = 3 - first
-    world.feed(
+    harness.feed(
         balancing.EndpointUpdate(
             balancing.EndpointUpdateKind.DELTA, [balancing.Endpoint(other, state=balancing.EndpointState.DRAINING)]
         )
     )
-    world.end("a", 0, balancing.AttemptResult.ERROR)
-    world.pass_time(150 * NS_PER_MS)
-    assert len(world.requests["a"].attempts) == 1
-    assert world.requests["a"].final_answers == 1
+    harness.end("a", 0, balancing.AttemptResult.ERROR)
+    harness.pass_time(150 * NS_PER_MS)
+    assert len(harness.requests["a"].attempts) == 1
+    assert harness.requests["a"].final_answers == 1
 
 
 def test_streamed_response_is_not_hedged() -> None:
-    world = start_world(settings(replace(IDEMPOTENT, stream=True)), make_endpoints(12))
-    age_connections(world)
-    world.send_request("a")
-    world.feed(balancing.ResponseStarted("a", 0, world.requests["a"].attempts[0].endpoint_id))
-    world.pass_time(900 * NS_PER_MS)
-    assert len(world.requests["a"].attempts) == 1
-    assert world.requests["a"].final_answers == 0
+    harness = start_harness(settings(replace(IDEMPOTENT, stream=True)), make_endpoints(12))
+    age_connections(harness)
+    harness.send_request("a")
+    harness.feed(balancing.ResponseStarted("a", 0, harness.requests["a"].attempts[0].endpoint_id))
+    harness.pass_time(900 * NS_PER_MS)
+    assert len(harness.requests["a"].attempts) == 1
+    assert harness.requests["a"].final_answers == 0
 
 
 def test_keyed_request_is_hedged_only_in_its_window() -> None:
     """A key whose window ends before the attempt is overdue forbids the hedged request."""
-    world = start_world(
+    harness = start_harness(
         settings(with_idempotency_key(balancing.DeduplicationScope.ALL, 120 * NS_PER_MS)), make_endpoints(12)
     )
-    age_connections(world)
-    world.send_request("a")
-    world.pass_time(900 * NS_PER_MS)
-    assert len(world.requests["a"].attempts) == 1
-    longer = start_world(
+    age_connections(harness)
+    harness.send_request("a")
+    harness.pass_time(900 * NS_PER_MS)
+    assert len(harness.requests["a"].attempts) == 1
+    longer = start_harness(
         settings(with_idempotency_key(balancing.DeduplicationScope.ALL, 800 * NS_PER_MS)), make_endpoints(12)
     )
     age_connections(longer)
@@ -198,25 +200,25 @@
 
 
 def test_late_retry_timer_sends_nothing_after_the_deadline() -> None:
-    world = start_world(settings(), make_endpoints(12))
-    world.send_request("a", time_left_ns=100 * NS_PER_MS)
-    world.end("a", 0, balancing.AttemptResult.REJECTED)
-    world.now += 105 * NS_PER_MS
-    for _, timer in list(world.timers):
-        world.feed(balancing.TimerFired(timer))
-    assert len(world.requests["a"].attempts) == 1
-    assert world.requests["a"].final_answers == 1
+    harness = start_harness(settings(), make_endpoints(12))
+    harness.send_request("a", time_left_ns=100 * NS_PER_MS)
+    harness.end("a", 0, balancing.AttemptResult.REJECTED)
+    harness.now += 105 * NS_PER_MS
+    for _, timer in list(harness.timers):
+        harness.feed(balancing.TimerFired(timer))
+    assert len(harness.requests["a"].attempts) == 1
+    assert harness.requests["a"].final_answers == 1
 
 
 def test_may_send_to_requires_ready_server_and_open_request() -> None:
     """The rule does not rely on the picker, which offers no such server or request."""
-    world = start_world(settings(), make_endpoints(4))
-    world.send_request("a")
-    balancer = world.balancer
+    harness = start_harness(settings(), make_endpoints(4))
+    harness.send_request("a")
+    balancer = harness.balancer
     request = balancer.requests["a"]
-    assert balancer.rules.may_send_to(world.now, request, balancer.endpoints.by_id[1])
+    assert balancer.rules.may_send_to(harness.now, request, balancer.endpoints.by_id[1])
     for state in (balancing.EndpointState.DRAINING, balancing.EndpointState.REMOVED):
         balancer.endpoints.by_id[1].state = state
-        assert not balancer.rules.may_send_to(world.now, request, balancer.endpoints.by_id[1])
+        assert not balancer.rules.may_send_to(harness.now, request, balancer.endpoints.by_id[1])
     del balancer.requests["a"]
-    assert not balancer.rules.may_send_to(world.now, request, balancer.endpoints.by_id[2])
+    assert not balancer.rules.may_send_to(harness.now, request, balancer.endpoints.by_id[2])
--- a/tests/balancing/test_rules_random.py
+++ b/tests/balancing/test_rules_random.py
@@ -11,8 +11,8 @@
 
 from lugtally import balancing
 from lugtally.units import NS_PER_MS, NS_PER_S
-from tests.balancing.world import IDEMPOTENT, NON_IDEMPOTENT, World, make_endpoints, with_idempotency_key
-from tests.balancing.world import settings as make_settings
+from tests.balancing.harness import IDEMPOTENT, NON_IDEMPOTENT, BalancerHarness, make_endpoints, with_idempotency_key
+from tests.balancing.harness import settings as make_settings
 
 HYPOTHESIS_SEED = 1  # a fixed seed: by default hypothesis derives the examples from the text of the test
 
@@ -39,36 +39,36 @@
 )
 
 
-def play(world: World, operations: list[tuple[str, int, int]]) -> None:
+def play(harness: BalancerHarness, operations: list[tuple[str, int, int]]) -> None:
     """Carry out the drawn operations; each has two drawn numbers, whose meaning depends on the operation."""
     for number, (kind, first_draw, second_draw) in enumerate(operations):
         open_attempts = [
             (name, index)
-            for name, request in world.requests.items()
+            for name, request in harness.requests.items()
             for index, attempt in enumerate(request.attempts)
             if attempt.is_open
         ]
-        unanswered = [name for name, request in world.requests.items() if not request.is_answered]
+        unanswered = [name for name, request in harness.requests.items() if not request.is_answered]
         if kind == "request":
-            world.send_request(f"r{number}", first_draw, second_draw * NS_PER_MS)
+            harness.send_request(f"r{number}", first_draw, second_draw * NS_PER_MS)
         elif kind == "end" and open_attempts:
             name, index = open_attempts[first_draw % len(open_attempts)]
-            world.end(name, index, RESULTS[second_draw])
+            harness.end(name, index, RESULTS[second_draw])
         elif kind == "wait":
-            world.pass_time(first_draw * NS_PER_MS)
+            harness.pass_time(first_draw * NS_PER_MS)
         elif kind == "disconnect" and unanswered:
-            world.feed(balancing.ClientDisconnected(unanswered[first_draw % len(unanswered)]))
+            harness.feed(balancing.ClientDisconnected(unanswered[first_draw % len(unanswered)]))
         elif kind == "response" and open_attempts:
             name, index = open_attempts[first_draw % len(open_attempts)]
-            if not world.requests[name].is_answered:
-                world.feed(balancing.ResponseStarted(name, index, world.requests[name].attempts[index].endpoint_id))
+            if not harness.requests[name].is_answered:
+                harness.feed(balancing.ResponseStarted(name, index, harness.requests[name].attempts[index].endpoint_id))
         elif kind == "list":
-            update_endpoints(world, first_draw, second_draw)
+            update_endpoints(harness, first_draw, second_draw)
         elif kind == "unknown":
-            feed_unknown(world, first_draw)
+            feed_unknown(harness, first_draw)
 
 
-def update_endpoints(world: World, number: int, kind: int) -> None:
+def update_endpoints(harness: BalancerHarness, number: int, kind: int) -> None:
     """Deliver an update of the endpoint list: a failure, a full list, a restart or a change of state."""
     endpoint = balancing.Endpoint(1 + number % 14, zone=number % 3, cell=number % 3)
     if kind == 0:
@@ -77,16 +77,16 @@
         listed = [other for other in make_endpoints(12) if other.id % 5 != number % 5]
         update = balancing.EndpointUpdate(balancing.EndpointUpdateKind.FULL, listed)
     elif kind == 2:
-        restarted = replace(endpoint, started_ns=world.now - number * NS_PER_MS)
+        restarted = replace(endpoint, started_ns=harness.now - number * NS_PER_MS)
         update = balancing.EndpointUpdate(balancing.EndpointUpdateKind.DELTA, [restarted])
     else:
         states = (balancing.EndpointState.DRAINING, balancing.EndpointState.REMOVED, balancing.EndpointState.READY)
         changed = replace(endpoint, state=states[kind - 3])
         update = balancing.EndpointUpdate(balancing.EndpointUpdateKind.DELTA, [changed])
-    world.feed(update)
+    harness.feed(update)
 
 
-def feed_unknown(world: World, number: int) -> None:
+def feed_unknown(harness: BalancerHarness, number: int) -> None:
     """Deliver an event about an unknown request, timer or endpoint; it causes no attempt and no final answer."""
     events: list[balancing.Event] = [
         balancing.ClientDisconnected("nobody"),
@@ -99,7 +99,7 @@
     ]
     assert not [
         action
-        for action in world.feed(events[number])
+        for action in harness.feed(events[number])
         if isinstance(action, balancing.SendAttempt | balancing.RejectRequest | balancing.FailRequest)
     ]
 
@@ -125,10 +125,10 @@
     configured = make_settings(
         *CLASSES, hedging_allowed=hedging_allowed, removal_is_binding=removal_is_binding, max_attempts=max_attempts
     )
-    world = World(configured, seed)
-    world.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.CACHED, make_endpoints(endpoint_count)))
-    play(world, operations)
-    world.run_to_deadlines()
+    harness = BalancerHarness(configured, seed)
+    harness.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.CACHED, make_endpoints(endpoint_count)))
+    play(harness, operations)
+    harness.run_to_deadlines()
 
 
 @hypothesis_seed(HYPOTHESIS_SEED)
@@ -138,13 +138,13 @@
     st.integers(0, 9),
 )
 def test_random_gossip_keeps_the_four_rules(messages: list[tuple[int, str]], seed: int) -> None:
-    world = World(make_settings(*CLASSES, fleet_size=3), seed)
-    world.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.CACHED, make_endpoints(9)))
+    harness = BalancerHarness(make_settings(*CLASSES, fleet_size=3), seed)
+    harness.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.CACHED, make_endpoints(9)))
     for number, (peer, text) in enumerate(messages):
-        world.feed(balancing.GossipReceived(peer, text))
-        world.send_request(f"m{number}", number % len(CLASSES))
-        world.pass_time(40 * NS_PER_MS)
-    world.run_to_deadlines()
+        harness.feed(balancing.GossipReceived(peer, text))
+        harness.send_request(f"m{number}", number % len(CLASSES))
+        harness.pass_time(40 * NS_PER_MS)
+    harness.run_to_deadlines()
 
 
 @hypothesis_seed(HYPOTHESIS_SEED)
@@ -153,10 +153,10 @@
 def test_same_seed_and_events_give_same_actions(operations: list[tuple[str, int, int]], seed: int) -> None:
     runs = []
     for _ in range(2):
-        world = World(make_settings(*CLASSES), seed)
-        world.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.CACHED, make_endpoints(9)))
-        play(world, operations)
-        runs.append(world.actions)
+        harness = BalancerHarness(make_settings(*CLASSES), seed)
+        harness.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.CACHED, make_endpoints(9)))
+        play(harness, operations)
+        runs.append(harness.actions)
     assert runs[0] == runs[1]
 
 
@@ -171,18 +171,18 @@
     Each of the 12 warm servers gets 1/12 of the traffic and is assumed to be fully loaded by it, so that the limit is
     3 x ramp x the mean rate at a server.
     """
-    world = World(make_settings(IDEMPOTENT), seed)
-    world.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.CACHED, make_endpoints(12)))
+    harness = BalancerHarness(make_settings(IDEMPOTENT), seed)
+    harness.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.CACHED, make_endpoints(12)))
     if not restarted:
-        send_evenly(world, 3 * NS_PER_S, gap_ms)
-    started_ns = world.now - age_s * NS_PER_S
+        send_evenly(harness, 3 * NS_PER_S, gap_ms)
+    started_ns = harness.now - age_s * NS_PER_S
     fresh = [replace(endpoint, started_ns=started_ns) for endpoint in make_endpoints(12) if endpoint.id <= cold_count]
-    world.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.DELTA, fresh))
-    start = world.now
-    send_evenly(world, 4 * NS_PER_S, gap_ms)
+    harness.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.DELTA, fresh))
+    start = harness.now
+    send_evenly(harness, 4 * NS_PER_S, gap_ms)
     mean = 1000 / gap_ms / 12
     for server in range(1, cold_count + 1):
-        send_times = [sent_ns for sent_ns, endpoint_id in world.sends if endpoint_id == server and sent_ns > start]
+        send_times = [sent_ns for sent_ns, endpoint_id in harness.sends if endpoint_id == server and sent_ns > start]
         for first in send_times:
             sends = sum(first <= sent_ns < first + 2 * NS_PER_S for sent_ns in send_times)
             ramp = min(1.0, 0.12 + 0.88 * (first + 2 * NS_PER_S - started_ns) / (20 * NS_PER_S))
@@ -198,32 +198,37 @@
     The limit applies from the moment at which the endpoint list names the cold server: 6 s into the run for an update.
     """
     count, rate = 30, 240.0
-    worlds = [World(make_settings(IDEMPOTENT, fleet_size=count), seed * 100 + number) for number in range(count)]
+    harnesses = [
+        BalancerHarness(make_settings(IDEMPOTENT, fleet_size=count), seed * 100 + number) for number in range(count)
+    ]
     rates = [rate / 2] + [rate / 2 / (count - 1)] * (count - 1)
     random = Random(seed)
     due: list[float] = [random.expovariate(each) for each in rates]
-    informed = worlds[0].now + 6 * NS_PER_S
+    informed = harnesses[0].now + 6 * NS_PER_S
     started_ns = informed - age_s * NS_PER_S
     fresh = [
         replace(endpoint, started_ns=started_ns) if endpoint.id == 1 else endpoint for endpoint in make_endpoints(12)
     ]
-    for world in worlds:
-        world.feed(
+    for harness in harnesses:
+        harness.feed(
             balancing.EndpointUpdate(balancing.EndpointUpdateKind.CACHED, fresh if restarted else make_endpoints(12))
         )
     for tick in range(2000):
-        for index, world in enumerate(worlds):
+        for index, harness in enumerate(harnesses):
             if tick == 1200 and not restarted:
-                world.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.DELTA, [fresh[0]]))
+                harness.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.DELTA, [fresh[0]]))
             while due[index] * NS_PER_S < tick * 5 * NS_PER_MS:
                 due[index] += random.expovariate(rates[index])
-                name = f"c{len(world.requests)}"
-                if is_sent(world, name):
-                    world.end(name, 0, balancing.AttemptResult.OK)
-            world.now += 5 * NS_PER_MS
+                name = f"c{len(harness.requests)}"
+                if is_sent(harness, name):
+                    harness.end(name, 0, balancing.AttemptResult.OK)
+            harness.now += 5 * NS_PER_MS
     since = started_ns if restarted else informed
     send_times = sorted(
-        sent_ns for world in worlds for sent_ns, endpoint_id in world.sends if endpoint_id == 1 and sent_ns >= since
+        sent_ns
+        for harness in harnesses
+        for sent_ns, endpoint_id in harness.sends
+        if endpoint_id == 1 and sent_ns >= since
     )
     for first in send_times:
         sends = sum(first <= sent_ns < first + 2 * NS_PER_S for sent_ns in send_times)
@@ -231,23 +236,23 @@
         assert sends <= 3 + 3 * ramp * rate / 12 * 2
 
 
-def send_evenly(world: World, duration_ns: int, gap_ms: int) -> None:
+def send_evenly(harness: BalancerHarness, duration_ns: int, gap_ms: int) -> None:
     """Send requests at a constant rate, each answered 40 ms later."""
-    until = world.now + duration_ns
+    until = harness.now + duration_ns
     ends: list[tuple[int, str]] = []
-    number = len(world.requests)
-    while world.now < until:
+    number = len(harness.requests)
+    while harness.now < until:
         number += 1
-        if is_sent(world, f"d{number}"):
-            ends.append((world.now + 40 * NS_PER_MS, f"d{number}"))
-        world.pass_time(gap_ms * NS_PER_MS, gap_ms * NS_PER_MS)
+        if is_sent(harness, f"d{number}"):
+            ends.append((harness.now + 40 * NS_PER_MS, f"d{number}"))
+        harness.pass_time(gap_ms * NS_PER_MS, gap_ms * NS_PER_MS)
         for due_ns, name in list(ends):
-            if due_ns <= world.now:
+            if due_ns <= harness.now:
                 ends.remove((due_ns, name))
-                if not world.requests[name].finished:
-                    world.end(name, 0, balancing.AttemptResult.OK)
+                if not harness.requests[name].finished:
+                    harness.end(name, 0, balancing.AttemptResult.OK)
 
 
-def is_sent(world: World, name: str) -> bool:
+def is_sent(harness: BalancerHarness, name: str) -> bool:
     """Send a request; return whether an attempt was sent for it."""
-    return any(isinstance(action, balancing.SendAttempt) for action in world.send_request(name))
+    return any(isinstance(action, balancing.SendAttempt) for action in harness.send_request(name))
--- a/tests/balancing/test_settings.py
+++ b/tests/balancing/test_settings.py
@@ -6,7 +6,7 @@
 
 from lugtally import Balancer, balancing
 from lugtally.units import NS_PER_S
-from tests.balancing.world import make_endpoints
+from tests.balancing.harness import make_endpoints
 
 
 @pytest.mark.parametrize(
--- a/tests/balancing/test_stale_connections.py
+++ b/tests/balancing/test_stale_connections.py
@@ -4,23 +4,25 @@
 
 from lugtally import balancing
 from lugtally.units import NS_PER_MS
-from tests.balancing.world import age_connections, make_endpoints, settings, start_world
+from tests.balancing.harness import age_connections, make_endpoints, settings, start_harness
 
 
 def test_stale_idle_connections_are_closed_before_a_send() -> None:
     """After timeouts on idle connections, the idle connections of each endpoint that is sent to are closed."""
-    world = start_world(settings(), make_endpoints(12))
-    age_connections(world)
-    assert not [action for action in world.actions if isinstance(action, balancing.CloseIdleConnections)]
-    world.send_request("a")
-    world.pass_time(1200 * NS_PER_MS)
-    world.actions.clear()
+    harness = start_harness(settings(), make_endpoints(12))
+    age_connections(harness)
+    assert not [action for action in harness.actions if isinstance(action, balancing.CloseIdleConnections)]
+    harness.send_request("a")
+    harness.pass_time(1200 * NS_PER_MS)
+    harness.actions.clear()
     for number in range(6):
-        world.send_request(f"b{number}")
-        world.pass_time(10 * NS_PER_MS)
-    closed = [action.endpoint_id for action in world.actions if isinstance(action, balancing.CloseIdleConnections)]
+        harness.send_request(f"b{number}")
+        harness.pass_time(10 * NS_PER_MS)
+    closed = [action.endpoint_id for action in harness.actions if isinstance(action, balancing.CloseIdleConnections)]
     assert closed
     assert (
         closed
-        == [action.endpoint_id for action in world.actions if isinstance(action, balancing.SendAttempt)][: len(closed)]
+        == [action.endpoint_id for action in harness.actions if isinstance(action, balancing.SendAttempt)][
+            : len(closed)
+        ]
     )
