--- a/tests/balancing/congested_fleet.py
+++ b/tests/balancing/congested_fleet.py
@@ -18,7 +18,7 @@
 from lugtally.units import NS_PER_MS, NS_PER_S
 from tests.balancing.fleet import Fleet
 from tests.balancing.fleet_records import FleetSettings, LoadReportTiming, RequestOutcome
-from tests.balancing.harness import settings
+from tests.balancing.harness import make_settings
 
 # Three typical classes: short reads, saves of twice their weight, and long submits with an idempotency key.
 CLASSES = (
@@ -91,7 +91,7 @@
 ) -> Fleet:
     """Return a fleet at ``load`` times its capacity; load reports are refreshed every 0.7 s, published 0.2 s late."""
     total = capacity(servers, server_traits)
-    configured = settings(
+    configured = make_settings(
         *CLASSES,
         fleet_size=sidecars,
         max_attempts=5,
--- a/tests/balancing/harness.py
+++ b/tests/balancing/harness.py
@@ -30,7 +30,7 @@
     )
 
 
-def settings(*classes: balancing.RequestClass, **overrides: Any) -> balancing.Settings:
+def make_settings(*classes: balancing.RequestClass, **overrides: Any) -> balancing.Settings:
     """Return permissive settings: hedging, cancellation, Retry-After and several attempts are allowed."""
     defaults = balancing.Settings(
         classes=classes or (IDEMPOTENT,),
--- a/tests/balancing/test_admission.py
+++ b/tests/balancing/test_admission.py
@@ -6,12 +6,12 @@
 
 from lugtally import balancing
 from lugtally.units import NS_PER_MS, NS_PER_S
-from tests.balancing.harness import IDEMPOTENT, make_endpoints, serve_requests, settings, start_harness
+from tests.balancing.harness import IDEMPOTENT, make_endpoints, make_settings, serve_requests, start_harness
 
 
 def test_latency_baseline_stays_through_congestion() -> None:
     """The baseline rises by less than 30% while responses take ten times as long."""
-    harness = start_harness(settings(), make_endpoints(10))
+    harness = start_harness(make_settings(), make_endpoints(10))
     serve_requests(harness, 100, duration_ns=40 * NS_PER_MS)
     before = harness.balancer.latency.baselines_ns[0]
     serve_requests(harness, 20, duration_ns=400 * NS_PER_MS)
@@ -20,7 +20,7 @@
 
 def test_concurrency_limit_rejects_when_no_attempt_finishes() -> None:
     """The limit counts all attempts of the balancer: at most four for each server in its share of the fleet."""
-    harness = start_harness(settings(max_attempts=1, fleet_size=6), make_endpoints(54))
+    harness = start_harness(make_settings(max_attempts=1, fleet_size=6), make_endpoints(54))
     serve_requests(harness, 150)
     sends = len(harness.sends)
     for number in range(400):  # no attempt finishes any more
@@ -34,7 +34,7 @@
 
 def test_lost_responses_do_not_lower_admission() -> None:
     """Servers that lose one response in four and answer the others quickly are not treated as congested."""
-    harness = start_harness(settings(max_attempts=1, fleet_size=2), make_endpoints(10))
+    harness = start_harness(make_settings(max_attempts=1, fleet_size=2), make_endpoints(10))
     serve_requests(harness, 100)
     for number in range(60):
         harness.send_request(f"x{number}", time_left_ns=2 * NS_PER_S)
@@ -52,7 +52,7 @@
 
 def test_concurrency_limit_follows_the_latency_objective() -> None:
     """Responses of 2 ms under an objective of 300 ms raise the limit above its floor."""
-    harness = start_harness(settings(max_attempts=1, fleet_size=2), make_endpoints(10))
+    harness = start_harness(make_settings(max_attempts=1, fleet_size=2), make_endpoints(10))
     for number in range(600):
         harness.send_request(f"x{number}")
         harness.now += 2 * NS_PER_MS
@@ -63,7 +63,7 @@
 def test_late_responses_shed_low_priority_classes_first() -> None:
     """In a large fleet no sidecar reaches its concurrency limit, so that late responses must lower admission."""
     valuable = replace(IDEMPOTENT, name="valuable", priority_weight=20.0)
-    harness = start_harness(settings(IDEMPOTENT, valuable, max_attempts=1, fleet_size=100), make_endpoints(12))
+    harness = start_harness(make_settings(IDEMPOTENT, valuable, max_attempts=1, fleet_size=100), make_endpoints(12))
     admitted = [0, 0]
     for number in range(120):
         for class_index in (0, 1):
@@ -88,7 +88,7 @@
 def test_latency_far_below_the_objective_is_not_congestion() -> None:
     """Responses at eight times the baseline are accepted while they take a thirtieth of the objective."""
     relaxed = replace(IDEMPOTENT, latency_objective_ns=500 * NS_PER_MS, deadline_ns=2 * NS_PER_S)
-    harness = start_harness(settings(relaxed, max_attempts=1), make_endpoints(10))
+    harness = start_harness(make_settings(relaxed, max_attempts=1), make_endpoints(10))
     serve_requests(harness, 100, duration_ns=2 * NS_PER_MS)
     for turn in range(200):  # the number in flight grows slowly
         names = [f"busy{turn}.{number}" for number in range(min(24, 2 + turn // 5))]
@@ -107,7 +107,7 @@
 def test_class_demand_stays_positive_after_a_long_idle_time() -> None:
     """The demand is a divisor: it must not decay to zero."""
     harness = start_harness(
-        settings(IDEMPOTENT, tenants=(balancing.Tenant("a", 10.0),), load_report_fields=("inflight",)),
+        make_settings(IDEMPOTENT, tenants=(balancing.Tenant("a", 10.0),), load_report_fields=("inflight",)),
         make_endpoints(4),
     )
     serve_requests(harness, 20)
--- a/tests/balancing/test_endpoint_list.py
+++ b/tests/balancing/test_endpoint_list.py
@@ -4,17 +4,17 @@
 
 from lugtally import balancing
 from lugtally.units import NS_PER_S
-from tests.balancing.harness import make_endpoints, settings, start_harness
+from tests.balancing.harness import make_endpoints, make_settings, start_harness
 
 
 def test_request_without_usable_endpoint_is_rejected_at_once() -> None:
     for servers in ([], make_endpoints(3, state=balancing.EndpointState.DRAINING)):
-        harness = start_harness(settings(), servers)
+        harness = start_harness(make_settings(), servers)
         assert [type(action) for action in harness.send_request("a")] == [balancing.RejectRequest]
 
 
 def test_failed_endpoint_update_is_followed_by_a_new_watch() -> None:
-    harness = start_harness(settings(subscribe_to_endpoints=True), make_endpoints(4))
+    harness = start_harness(make_settings(subscribe_to_endpoints=True), make_endpoints(4))
     assert balancing.WatchEndpoints() in harness.actions
     harness.actions.clear()
     harness.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FAILED, []))
@@ -30,7 +30,7 @@
         (60 * NS_PER_S, 8 * NS_PER_S),
     ):
         harness = start_harness(
-            settings(subscribe_to_endpoints=True, max_poll_interval_ns=max_poll_interval_ns), make_endpoints(4)
+            make_settings(subscribe_to_endpoints=True, max_poll_interval_ns=max_poll_interval_ns), make_endpoints(4)
         )
         delays = []
         for _ in range(60):
--- a/tests/balancing/test_fleet.py
+++ b/tests/balancing/test_fleet.py
@@ -14,7 +14,7 @@
 from tests.balancing.congested_fleet import CHOKING, TenantTraffic, congested_fleet, play
 from tests.balancing.fleet import Fleet
 from tests.balancing.fleet_records import TRAITS, FleetServer, FleetSettings, RequestOutcome
-from tests.balancing.harness import IDEMPOTENT, make_endpoints, sent_endpoint_ids, settings, start_harness
+from tests.balancing.harness import IDEMPOTENT, make_endpoints, make_settings, sent_endpoint_ids, start_harness
 
 SLOW_START = {
     "slow_start_window_ns": int(TRAITS.warm_up_s * NS_PER_S),
@@ -26,7 +26,7 @@
 
 def make_fleet(sidecars: int, servers: int, load: float = 0.6, seed: int = 1) -> Fleet:
     """Return a fleet whose servers are loaded to that part of their cores."""
-    configured = settings(IDEMPOTENT, fleet_size=sidecars, **SLOW_START)
+    configured = make_settings(IDEMPOTENT, fleet_size=sidecars, **SLOW_START)
     request_rate = servers * TRAITS.cores * load / WORK_S
     return Fleet(FleetSettings(configured, sidecars, servers, request_rate, (WORK_S,), seed=seed))
 
@@ -90,7 +90,7 @@
 
 def test_small_burst_at_a_quiet_sidecar_is_admitted() -> None:
     """A sidecar with two requests in flight on average admits seven more at once."""
-    harness = start_harness(settings(IDEMPOTENT, fleet_size=40, max_attempts=1), make_endpoints(60))
+    harness = start_harness(make_settings(IDEMPOTENT, fleet_size=40, max_attempts=1), make_endpoints(60))
     for number in range(80):  # twenty a second, each answered after 100 ms: two in flight
         harness.send_request(f"quiet{number}")
         harness.pass_time(50 * NS_PER_MS)
@@ -109,7 +109,7 @@
     submit = replace(
         IDEMPOTENT, name="long", priority_weight=2.0, latency_objective_ns=1000 * NS_PER_MS, deadline_ns=3 * NS_PER_S
     )
-    configured = settings(read, submit, fleet_size=40, **SLOW_START)
+    configured = make_settings(read, submit, fleet_size=40, **SLOW_START)
     work_s, shares = (0.04, 0.24), (0.7, 0.3)
     mean_work_s = sum(work * share for work, share in zip(work_s, shares, strict=True))
     request_rate = 60 * TRAITS.cores * 1.1 / mean_work_s
--- a/tests/balancing/test_outlier_detection.py
+++ b/tests/balancing/test_outlier_detection.py
@@ -6,7 +6,7 @@
 from lugtally.balancing.latency import CONGESTED_RATIO
 from lugtally.balancing.outlier_detection import MAX_EJECTED_SHARE
 from lugtally.units import NS_PER_MS, NS_PER_S
-from tests.balancing.harness import BalancerHarness, make_endpoints, serve_requests, settings, start_harness
+from tests.balancing.harness import BalancerHarness, make_endpoints, make_settings, serve_requests, start_harness
 
 
 def keep_silent(harness: BalancerHarness, endpoint_id: int, count: int) -> None:
@@ -24,7 +24,7 @@
 
 def test_silent_server_is_ejected_and_retried_after_ejection() -> None:
     """The ejection expires although no request to the server is in flight."""
-    harness = start_harness(settings(hedging_allowed=False), make_endpoints(10))
+    harness = start_harness(make_settings(hedging_allowed=False), make_endpoints(10))
     serve_requests(harness, 60)
     start = harness.now
     keep_silent(harness, 3, 20)
@@ -37,7 +37,7 @@
 
 def test_repeated_ejection_lasts_five_seconds_at_most() -> None:
     """The ejection time does not grow beyond 5 s with further ejections."""
-    harness = start_harness(settings(max_attempts=1), make_endpoints(10))
+    harness = start_harness(make_settings(max_attempts=1), make_endpoints(10))
     endpoint = harness.balancer.subset.members[0]
     for _ in range(9):
         harness.now = max(harness.now, endpoint.ejected_until_ns)
@@ -48,7 +48,7 @@
 def test_failing_server_is_ejected_with_half_the_fleet_ejected() -> None:
     """A server that refuses or rejects every request is ejected although the maximum share is ejected already."""
     for result in balancing.AttemptResult.NO_CONNECTION, balancing.AttemptResult.REJECTED:
-        harness = start_harness(settings(max_attempts=1), make_endpoints(10))
+        harness = start_harness(make_settings(max_attempts=1), make_endpoints(10))
         for endpoint in harness.balancer.subset.members[:5]:
             endpoint.ejected_until_ns = harness.now + 60 * NS_PER_S
         dead = harness.balancer.subset.members[5].id
@@ -62,7 +62,7 @@
 
 def test_late_responses_of_all_servers_eject_none() -> None:
     """Late responses are congestion, not outliers, where each server still responds to other requests."""
-    harness = start_harness(settings(hedging_allowed=False, max_attempts=1), make_endpoints(10))
+    harness = start_harness(make_settings(hedging_allowed=False, max_attempts=1), make_endpoints(10))
     serve_requests(harness, 40)
     for number in range(30):
         harness.send_request(f"late{number}", time_left_ns=100 * NS_PER_MS)
@@ -78,7 +78,7 @@
 
 
 def test_consecutive_errors_eject_up_to_the_maximum_share() -> None:
-    harness = start_harness(settings(max_attempts=1), make_endpoints(10))
+    harness = start_harness(make_settings(max_attempts=1), make_endpoints(10))
     for number in range(200):
         name = f"e{number}"
         harness.send_request(name)
@@ -91,7 +91,7 @@
 
 def test_single_resets_among_good_responses_eject_none() -> None:
     """One reset in twenty responses, spread over all servers, ejects next to none."""
-    harness = start_harness(settings(max_attempts=1), make_endpoints(10))
+    harness = start_harness(make_settings(max_attempts=1), make_endpoints(10))
     ejected = 0
     for number in range(300):
         harness.send_request(f"x{number}")
@@ -102,7 +102,7 @@
 
 
 def test_refused_connection_ejects_for_about_a_second() -> None:
-    harness = start_harness(settings(max_attempts=1), make_endpoints(10))
+    harness = start_harness(make_settings(max_attempts=1), make_endpoints(10))
     harness.send_request("a")
     harness.end("a", 0, balancing.AttemptResult.NO_CONNECTION)
     until = [endpoint.ejected_until_ns for endpoint in harness.balancer.subset.members if endpoint.ejected_until_ns]
@@ -112,7 +112,7 @@
 
 def test_slow_servers_are_ejected_lowest_id_first() -> None:
     """Servers that are slow without concurrency are ejected by ascending id: the same ones at every balancer."""
-    harness = start_harness(settings(), make_endpoints(10))
+    harness = start_harness(make_settings(), make_endpoints(10))
     serve_requests(harness, 40)
     for endpoint in harness.balancer.subset.members:
         endpoint.concurrency_limit, endpoint.slowness, endpoint.samples, endpoint.last_response_ns = (
--- a/tests/balancing/test_picker.py
+++ b/tests/balancing/test_picker.py
@@ -4,11 +4,11 @@
 
 from lugtally import balancing
 from lugtally.units import NS_PER_MS, NS_PER_S
-from tests.balancing.harness import IDEMPOTENT, make_endpoints, settings, start_harness
+from tests.balancing.harness import IDEMPOTENT, make_endpoints, make_settings, start_harness
 
 
 def test_subset_of_ten_replaces_draining_members_only() -> None:
-    harness = start_harness(settings(fleet_size=20), make_endpoints(40))
+    harness = start_harness(make_settings(fleet_size=20), make_endpoints(40))
     first = {endpoint.id for endpoint in harness.balancer.subset.members}
     assert len(first) == 10
     draining = sorted(first)[:3]
@@ -26,7 +26,7 @@
 
 def test_subset_grows_with_own_requests_in_flight() -> None:
     """A balancer with much traffic needs more than the ten members of the smallest subset."""
-    harness = start_harness(settings(fleet_size=20), make_endpoints(40))
+    harness = start_harness(make_settings(fleet_size=20), make_endpoints(40))
     for number in range(14):
         harness.send_request(f"a{number}", time_left_ns=5 * NS_PER_S)
         harness.pass_time(100 * NS_PER_MS)
@@ -34,7 +34,7 @@
 
 
 def test_pick_prefers_fewer_own_requests_in_flight() -> None:
-    harness = start_harness(settings(fleet_size=1), make_endpoints(10))
+    harness = start_harness(make_settings(fleet_size=1), make_endpoints(10))
     for number in range(10):
         harness.send_request(f"a{number}")
     spread = [len(endpoint.in_flight) for endpoint in harness.balancer.subset.members]
@@ -46,7 +46,7 @@
     """Load reports decide between servers with equal requests in flight, unless the latency contradicts them."""
 
     def send_share(report: float, duration_ns: int) -> float:
-        harness = start_harness(settings(load_report_fields=("queue",)), make_endpoints(10))
+        harness = start_harness(make_settings(load_report_fields=("queue",)), make_endpoints(10))
         sends = 0
         for number in range(400):
             harness.send_request(f"a{number}")
@@ -74,7 +74,7 @@
 
 def test_pick_uses_other_zones_when_own_zone_is_full() -> None:
     """The preference for the own zone ends once its servers have many requests in flight."""
-    harness = start_harness(settings(IDEMPOTENT, cross_zone_cost=0.1, fleet_size=1), make_endpoints(12))
+    harness = start_harness(make_settings(IDEMPOTENT, cross_zone_cost=0.1, fleet_size=1), make_endpoints(12))
     for number in range(20):
         harness.send_request(f"a{number}")
     zones = [harness.endpoints[endpoint_id].zone for _, endpoint_id in harness.sends]
--- a/tests/balancing/test_retries.py
+++ b/tests/balancing/test_retries.py
@@ -10,8 +10,8 @@
     IDEMPOTENT,
     NON_IDEMPOTENT,
     make_endpoints,
+    make_settings,
     serve_requests,
-    settings,
     start_harness,
     with_idempotency_key,
 )
@@ -29,7 +29,7 @@
 def test_backoff_is_full_jitter_up_to_half_the_time_left() -> None:
     delays = []
     for seed in range(200):
-        harness = start_harness(settings(), make_endpoints(12), seed)
+        harness = start_harness(make_settings(), make_endpoints(12), seed)
         harness.send_request("a")
         delays += retry_delays_ns(harness.end("a", 0, balancing.AttemptResult.ERROR))
     assert len(delays) == 200
@@ -38,7 +38,7 @@
     assert max(delays) > 90 * NS_PER_MS, "full jitter covers the entire range"
     short = []
     for seed in range(100):
-        harness = start_harness(settings(), make_endpoints(12), seed)
+        harness = start_harness(make_settings(), make_endpoints(12), seed)
         harness.send_request("a", time_left_ns=80 * NS_PER_MS)
         short += retry_delays_ns(harness.end("a", 0, balancing.AttemptResult.ERROR))
     assert short
@@ -48,7 +48,7 @@
 def test_backoff_doubles_and_each_retry_goes_to_another_server() -> None:
     late = []
     for seed in range(60):
-        harness = start_harness(settings(replace(IDEMPOTENT, deadline_ns=10 * NS_PER_S)), make_endpoints(12), seed)
+        harness = start_harness(make_settings(replace(IDEMPOTENT, deadline_ns=10 * NS_PER_S)), make_endpoints(12), seed)
         serve_requests(harness, 40)
         harness.send_request("a", time_left_ns=10 * NS_PER_S)
         harness.end("a", 0, balancing.AttemptResult.ERROR)
@@ -62,7 +62,7 @@
 
 
 def test_request_gets_three_retries_at_most() -> None:
-    harness = start_harness(settings(max_attempts=9), make_endpoints(12))
+    harness = start_harness(make_settings(max_attempts=9), make_endpoints(12))
     serve_requests(harness, 100, gap_ns=5 * NS_PER_MS)
     harness.send_request("a", time_left_ns=10 * NS_PER_S)
     for attempt in range(4):
@@ -73,7 +73,7 @@
 
 
 def test_retry_budget_is_a_tenth_of_requests_and_at_least_one() -> None:
-    harness = start_harness(settings(), make_endpoints(12))
+    harness = start_harness(make_settings(), make_endpoints(12))
     retried = 0
     for number in range(60):
         harness.send_request(f"q{number}")
@@ -81,7 +81,7 @@
             retried += bool(retry_delays_ns(harness.end(f"q{number}", 0, balancing.AttemptResult.ERROR)))
         harness.pass_time(100 * NS_PER_MS)
     assert 1 <= retried <= 6
-    quiet = start_harness(settings(), make_endpoints(12))
+    quiet = start_harness(make_settings(), make_endpoints(12))
     quiet.send_request("one")
     assert retry_delays_ns(quiet.end("one", 0, balancing.AttemptResult.ERROR))
     quiet.send_request("two")
@@ -97,7 +97,7 @@
         (with_idempotency_key(balancing.DeduplicationScope.ZONE), balancing.FailRequest),
         (with_idempotency_key(balancing.DeduplicationScope.ALL), balancing.RejectRequest),
     ):
-        harness = start_harness(settings(request_class, max_attempts=1), make_endpoints(12))
+        harness = start_harness(make_settings(request_class, max_attempts=1), make_endpoints(12))
         harness.send_request("a")
         answer = [
             action
--- a/tests/balancing/test_rules.py
+++ b/tests/balancing/test_rules.py
@@ -12,15 +12,15 @@
     BalancerHarness,
     age_connections,
     make_endpoints,
+    make_settings,
     sent_endpoint_ids,
-    settings,
     start_harness,
     with_idempotency_key,
 )
 
 
 def test_request_is_not_retried_after_client_disconnect() -> None:
-    harness = start_harness(settings(), make_endpoints(12))
+    harness = start_harness(make_settings(), make_endpoints(12))
     harness.send_request("a")
     harness.end("a", 0, balancing.AttemptResult.ERROR)
     harness.feed(balancing.ClientDisconnected("a"))
@@ -30,14 +30,14 @@
 
 
 def test_disconnect_after_the_last_attempt_has_no_effect() -> None:
-    harness = start_harness(settings(), make_endpoints(12))
+    harness = start_harness(make_settings(), make_endpoints(12))
     harness.send_request("a")
     harness.end("a", 0, balancing.AttemptResult.TIMEOUT, finishes_request=True)
     assert harness.feed(balancing.ClientDisconnected("a")) == []
 
 
 def test_timeout_at_the_deadline_gets_one_final_answer() -> None:
-    harness = start_harness(settings(NON_IDEMPOTENT), make_endpoints(12))
+    harness = start_harness(make_settings(NON_IDEMPOTENT), make_endpoints(12))
     harness.send_request("a", time_left_ns=200 * NS_PER_MS)
     harness.pass_time(300 * NS_PER_MS)
     assert harness.requests["a"].final_answers == 1
@@ -50,7 +50,7 @@
         (balancing.AttemptResult.REJECTED, 2),
         (balancing.AttemptResult.NO_CONNECTION, 2),
     ):
-        harness = start_harness(settings(NON_IDEMPOTENT), make_endpoints(12))
+        harness = start_harness(make_settings(NON_IDEMPOTENT), make_endpoints(12))
         harness.send_request("a")
         harness.end("a", 0, result)
         harness.pass_time(120 * NS_PER_MS)
@@ -60,7 +60,7 @@
 def test_keyed_retry_stays_in_deduplication_scope_and_window() -> None:
     for scope, field in ((balancing.DeduplicationScope.ZONE, "zone"), (balancing.DeduplicationScope.CELL, "cell")):
         for seed in range(20):
-            harness = start_harness(settings(with_idempotency_key(scope)), make_endpoints(12), seed)
+            harness = start_harness(make_settings(with_idempotency_key(scope)), make_endpoints(12), seed)
             harness.send_request("a")
             harness.end("a", 0, balancing.AttemptResult.ERROR)
             harness.pass_time(120 * NS_PER_MS)
@@ -70,7 +70,7 @@
             assert len(used) == 2
             assert len(set(used)) == 1
     harness = start_harness(
-        settings(with_idempotency_key(balancing.DeduplicationScope.ALL, 200 * NS_PER_MS)), make_endpoints(12)
+        make_settings(with_idempotency_key(balancing.DeduplicationScope.ALL, 200 * NS_PER_MS)), make_endpoints(12)
     )
     harness.send_request("a")
     harness.pass_time(195 * NS_PER_MS)
@@ -82,7 +82,7 @@
 
 def test_hedged_request_is_sent_only_where_allowed() -> None:
     for allowed in (False, True):
-        harness = start_harness(settings(hedging_allowed=allowed), make_endpoints(12))
+        harness = start_harness(make_settings(hedging_allowed=allowed), make_endpoints(12))
         age_connections(harness)
         harness.send_request("a")
         harness.pass_time(900 * NS_PER_MS)
@@ -90,7 +90,7 @@
 
 
 def test_retry_without_hedging_cancels_the_first_attempt() -> None:
-    harness = start_harness(settings(hedging_allowed=False), make_endpoints(12))
+    harness = start_harness(make_settings(hedging_allowed=False), make_endpoints(12))
     age_connections(harness)
     harness.send_request("a")
     actions_before = len(harness.actions)
@@ -102,7 +102,7 @@
 
 
 def test_draining_and_removed_servers_get_no_attempts() -> None:
-    harness = start_harness(settings(), make_endpoints(4))
+    harness = start_harness(make_settings(), make_endpoints(4))
     harness.feed(
         balancing.EndpointUpdate(
             balancing.EndpointUpdateKind.DELTA, [balancing.Endpoint(1, state=balancing.EndpointState.DRAINING)]
@@ -119,7 +119,7 @@
 
 
 def test_non_binding_removal_still_excludes_draining_servers() -> None:
-    harness = start_harness(settings(removal_is_binding=False), make_endpoints(3))
+    harness = start_harness(make_settings(removal_is_binding=False), make_endpoints(3))
     harness.feed(
         balancing.EndpointUpdate(
             balancing.EndpointUpdateKind.DELTA, [balancing.Endpoint(1, state=balancing.EndpointState.DRAINING)]
@@ -132,7 +132,7 @@
 
 
 def test_removed_server_is_used_after_it_is_ready_again() -> None:
-    harness = start_harness(settings(), make_endpoints(1))
+    harness = start_harness(make_settings(), make_endpoints(1))
     harness.feed(
         balancing.EndpointUpdate(
             balancing.EndpointUpdateKind.DELTA, [balancing.Endpoint(1, state=balancing.EndpointState.REMOVED)]
@@ -144,7 +144,7 @@
 
 
 def test_new_balancer_sends_nothing_to_a_cold_server() -> None:
-    harness = BalancerHarness(settings(), 1)
+    harness = BalancerHarness(make_settings(), 1)
     cold = [
         replace(endpoint, started_ns=harness.now - 10 * NS_PER_MS) if endpoint.id == 1 else endpoint
         for endpoint in make_endpoints(10)
@@ -157,7 +157,7 @@
 
 
 def test_retry_is_not_sent_to_the_only_other_draining_server() -> None:
-    harness = start_harness(settings(IDEMPOTENT), make_endpoints(2))
+    harness = start_harness(make_settings(IDEMPOTENT), make_endpoints(2))
     first = sent_endpoint_ids(harness.send_request("a"))[0]
     other = 3 - first
     harness.feed(
@@ -172,7 +172,7 @@
 
 
 def test_streamed_response_is_not_hedged() -> None:
-    harness = start_harness(settings(replace(IDEMPOTENT, stream=True)), make_endpoints(12))
+    harness = start_harness(make_settings(replace(IDEMPOTENT, stream=True)), make_endpoints(12))
     age_connections(harness)
     harness.send_request("a")
     harness.feed(balancing.ResponseStarted("a", 0, harness.requests["a"].attempts[0].endpoint_id))
@@ -184,14 +184,14 @@
 def test_keyed_request_is_hedged_only_in_its_window() -> None:
     """A key whose window ends before the attempt is overdue forbids the hedged request."""
     harness = start_harness(
-        settings(with_idempotency_key(balancing.DeduplicationScope.ALL, 120 * NS_PER_MS)), make_endpoints(12)
+        make_settings(with_idempotency_key(balancing.DeduplicationScope.ALL, 120 * NS_PER_MS)), make_endpoints(12)
     )
     age_connections(harness)
     harness.send_request("a")
     harness.pass_time(900 * NS_PER_MS)
     assert len(harness.requests["a"].attempts) == 1
     longer = start_harness(
-        settings(with_idempotency_key(balancing.DeduplicationScope.ALL, 800 * NS_PER_MS)), make_endpoints(12)
+        make_settings(with_idempotency_key(balancing.DeduplicationScope.ALL, 800 * NS_PER_MS)), make_endpoints(12)
     )
     age_connections(longer)
     longer.send_request("a")
@@ -200,7 +200,7 @@
 
 
 def test_late_retry_timer_sends_nothing_after_the_deadline() -> None:
-    harness = start_harness(settings(), make_endpoints(12))
+    harness = start_harness(make_settings(), make_endpoints(12))
     harness.send_request("a", time_left_ns=100 * NS_PER_MS)
     harness.end("a", 0, balancing.AttemptResult.REJECTED)
     harness.now += 105 * NS_PER_MS
@@ -212,7 +212,7 @@
 
 def test_may_send_to_requires_ready_server_and_open_request() -> None:
     """The rule does not rely on the picker, which offers no such server or request."""
-    harness = start_harness(settings(), make_endpoints(4))
+    harness = start_harness(make_settings(), make_endpoints(4))
     harness.send_request("a")
     balancer = harness.balancer
     request = balancer.requests["a"]
--- a/tests/balancing/test_rules_random.py
+++ b/tests/balancing/test_rules_random.py
@@ -11,8 +11,14 @@
 
 from lugtally import balancing
 from lugtally.units import NS_PER_MS, NS_PER_S
-from tests.balancing.harness import IDEMPOTENT, NON_IDEMPOTENT, BalancerHarness, make_endpoints, with_idempotency_key
-from tests.balancing.harness import settings as make_settings
+from tests.balancing.harness import (
+    IDEMPOTENT,
+    NON_IDEMPOTENT,
+    BalancerHarness,
+    make_endpoints,
+    make_settings,
+    with_idempotency_key,
+)
 
 HYPOTHESIS_SEED = 1  # a fixed seed: by default hypothesis derives the examples from the text of the test
 
