--- a/tests/balancing/congested_fleet.py
+++ b/tests/balancing/congested_fleet.py
@@ -91,7 +91,7 @@
 ) -> Fleet:
     """Return a fleet at ``load`` times its capacity; load reports are refreshed every 0.7 s, published 0.2 s late."""
     total = capacity(servers, server_traits)
-    configured = make_settings(
+    balancer_settings = make_settings(
         *CLASSES,
         fleet_size=sidecars,
         max_attempts=5,
@@ -105,7 +105,7 @@
     )
     return Fleet(
         FleetSettings(
-            configured,
+            balancer_settings,
             sidecars,
             servers,
             request_rate=load * total,
--- a/tests/balancing/harness.py
+++ b/tests/balancing/harness.py
@@ -84,9 +84,9 @@
 class BalancerHarness:
     """Feed a balancer with events and check each of its actions against the four rules."""
 
-    def __init__(self, configured: balancing.Settings, seed: int = 1) -> None:
-        self.configured = configured
-        self.balancer = Balancer(configured, seed)
+    def __init__(self, settings: balancing.Settings, seed: int = 1) -> None:
+        self.settings = settings
+        self.balancer = Balancer(settings, seed)
         self.now = START_NS
         self.requests: dict[str, TrackedRequest] = {}
         self.endpoints: dict[int, balancing.Endpoint] = {}
@@ -101,8 +101,8 @@
             self._apply_update(event)
         elif isinstance(event, balancing.Request):
             request_class = (
-                self.configured.classes[event.class_index]
-                if event.class_index < len(self.configured.classes)
+                self.settings.classes[event.class_index]
+                if event.class_index < len(self.settings.classes)
                 else balancing.RequestClass()
             )
             self.requests[event.id] = TrackedRequest(request_class, self.now + event.time_left_ns)
@@ -145,7 +145,7 @@
                 self._check_rejection(action, request)
 
     def _check_rejection(self, action: balancing.RejectRequest, request: TrackedRequest) -> None:
-        assert 0 <= action.retry_after_ns <= self.configured.max_retry_after_ns
+        assert 0 <= action.retry_after_ns <= self.settings.max_retry_after_ns
         request_class = request.request_class
         may_have_run = any(attempt.may_have_run for attempt in request.attempts)
         if may_have_run and request_class.idempotency is not balancing.Idempotency.IDEMPOTENT:
@@ -162,11 +162,11 @@
         assert not request.streaming, "sent a request whose response is streamed"
         assert self.now < request.deadline_ns, "sent after the deadline"
         assert 0 < action.timeout_ns <= request.deadline_ns - self.now
-        assert len(request.attempts) < self.configured.max_attempts
+        assert len(request.attempts) < self.settings.max_attempts
         if any(attempt.is_open for attempt in request.attempts):
-            assert self.configured.hedging_allowed, "two attempts at once"
+            assert self.settings.hedging_allowed, "two attempts at once"
         assert endpoint.id not in self.drained, "sent to a draining server"
-        assert endpoint.state is balancing.EndpointState.READY or not self.configured.removal_is_binding, (
+        assert endpoint.state is balancing.EndpointState.READY or not self.settings.removal_is_binding, (
             "sent to a removed server"
         )
         self._check_retry(request, endpoint)
@@ -231,11 +231,9 @@
             assert request.final_answers <= 1
 
 
-def start_harness(
-    configured: balancing.Settings, endpoints: list[balancing.Endpoint], seed: int = 1
-) -> BalancerHarness:
+def start_harness(settings: balancing.Settings, endpoints: list[balancing.Endpoint], seed: int = 1) -> BalancerHarness:
     """Return a harness whose balancer has been given its first endpoint list."""
-    harness = BalancerHarness(configured, seed)
+    harness = BalancerHarness(settings, seed)
     harness.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.CACHED, endpoints))
     return harness
 
--- a/tests/balancing/test_fleet.py
+++ b/tests/balancing/test_fleet.py
@@ -26,9 +26,9 @@
 
 def make_fleet(sidecars: int, servers: int, load: float = 0.6, seed: int = 1) -> Fleet:
     """Return a fleet whose servers are loaded to that part of their cores."""
-    configured = make_settings(IDEMPOTENT, fleet_size=sidecars, **SLOW_START)
+    balancer_settings = make_settings(IDEMPOTENT, fleet_size=sidecars, **SLOW_START)
     request_rate = servers * TRAITS.cores * load / WORK_S
-    return Fleet(FleetSettings(configured, sidecars, servers, request_rate, (WORK_S,), seed=seed))
+    return Fleet(FleetSettings(balancer_settings, sidecars, servers, request_rate, (WORK_S,), seed=seed))
 
 
 @pytest.mark.parametrize(("sidecars", "servers"), [(4, 12), (40, 60), (200, 60)])
@@ -109,11 +109,11 @@
     submit = replace(
         IDEMPOTENT, name="long", priority_weight=2.0, latency_objective_ns=1000 * NS_PER_MS, deadline_ns=3 * NS_PER_S
     )
-    configured = make_settings(read, submit, fleet_size=40, **SLOW_START)
+    balancer_settings = make_settings(read, submit, fleet_size=40, **SLOW_START)
     work_s, shares = (0.04, 0.24), (0.7, 0.3)
     mean_work_s = sum(work * share for work, share in zip(work_s, shares, strict=True))
     request_rate = 60 * TRAITS.cores * 1.1 / mean_work_s
-    fleet = Fleet(FleetSettings(configured, 40, 60, request_rate, work_s, shares))
+    fleet = Fleet(FleetSettings(balancer_settings, 40, 60, request_rate, work_s, shares))
     fleet.run(12 * NS_PER_S)
     counts = fleet.class_counts
     rejected = [counts[RequestOutcome.REJECTED, index] / counts[RequestOutcome.ARRIVED, index] for index in (0, 1)]
--- a/tests/balancing/test_rules_random.py
+++ b/tests/balancing/test_rules_random.py
@@ -128,10 +128,10 @@
     endpoint_count: int,
     seed: int,
 ) -> None:
-    configured = make_settings(
+    balancer_settings = make_settings(
         *CLASSES, hedging_allowed=hedging_allowed, removal_is_binding=removal_is_binding, max_attempts=max_attempts
     )
-    harness = BalancerHarness(configured, seed)
+    harness = BalancerHarness(balancer_settings, seed)
     harness.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.CACHED, make_endpoints(endpoint_count)))
     play(harness, operations)
     harness.run_to_deadlines()
