--- a/tests/balancing/fleet.py
+++ b/tests/balancing/fleet.py
@@ -29,7 +29,7 @@
     """Sidecars, servers, and the events between them."""
 
     def __init__(self, settings: FleetSettings) -> None:
-        self.settings, self.random, self.now = settings, Random(settings.seed), 1000 * NS_PER_S
+        self.settings, self.random, self.now_ns = settings, Random(settings.seed), 1000 * NS_PER_S
         self.servers = {number: self._make_server(number) for number in range(1, settings.servers + 1)}
         self.requests: dict[tuple[int, str], FleetRequest] = {}
         self.class_counts: Counter[tuple[RequestOutcome, int]] = Counter()
@@ -52,18 +52,18 @@
 
     def run(self, duration_ns: int) -> None:
         """Advance the clock and run the events that are due."""
-        until = self.now + duration_ns
+        until = self.now_ns + duration_ns
         while self._events and self._events[0][0] <= until:
-            self.now, _, event = heappop(self._events)
+            self.now_ns, _, event = heappop(self._events)
             event()
-        self.now = until
+        self.now_ns = until
 
     def replace(self, old: list[int], new: list[int]) -> None:
         """Replace servers by cold ones that start now; every sidecar gets the new list immediately."""
         for number in old:
             del self.servers[number]
         for number in new:
-            self.servers[number] = self._make_server(number, self.now)
+            self.servers[number] = self._make_server(number, self.now_ns)
             if self.settings.load_reports is not None:
                 self._refresh_load_report(self.servers[number])
         for sidecar in range(len(self.balancers)):
@@ -102,7 +102,7 @@
     def _make_server(self, number: int, started_ns: int = 0) -> FleetServer:
         endpoint = balancing.Endpoint(number, zone=number % 2, started_ns=started_ns)
         traits = self.settings.server_traits[number % len(self.settings.server_traits)]
-        return FleetServer(endpoint, ServerModel(traits, self.now / NS_PER_S, cold=started_ns > 0))
+        return FleetServer(endpoint, ServerModel(traits, self.now_ns / NS_PER_S, cold=started_ns > 0))
 
     def _refresh_load_report(self, server: FleetServer) -> None:
         """Read a server's load now, publish it after the delay, and schedule the next refresh."""
@@ -130,7 +130,7 @@
 
     def _schedule(self, delay_ns: int, event: Callable[[], None]) -> None:
         self._sequence += 1
-        heappush(self._events, (self.now + delay_ns, self._sequence, event))
+        heappush(self._events, (self.now_ns + delay_ns, self._sequence, event))
 
     def _draw_gap_ns(self, sidecar: int) -> int:
         return int(self.random.expovariate(self.request_rates[sidecar]) * NS_PER_S)
@@ -152,7 +152,7 @@
         self._feed(sidecar, balancing.Request(request_id, class_index, tenant, time_left_ns))
 
     def _feed(self, sidecar: int, event: balancing.Event) -> None:
-        for action in self.balancers[sidecar].handle(self.now, event):
+        for action in self.balancers[sidecar].handle(self.now_ns, event):
             if isinstance(action, balancing.SendAttempt):
                 self._send(sidecar, action)
             elif isinstance(action, balancing.RejectRequest):
@@ -173,14 +173,14 @@
         self.attempt_count += 1
         server = self.servers.get(action.endpoint_id)
         if server is None:
-            request.open_attempts[key.attempt] = SentAttempt(self.now, None)
+            request.open_attempts[key.attempt] = SentAttempt(self.now_ns, None)
             self._finish_attempt_after(NS_PER_MS, key, balancing.AttemptResult.NO_CONNECTION)
             return
         job = Job(f"{sidecar} {key.request_id} {key.attempt}", request.work_s, sidecar=sidecar)
-        request.open_attempts[key.attempt] = SentAttempt(self.now, job)
-        server.send_times_ns.append(self.now)
+        request.open_attempts[key.attempt] = SentAttempt(self.now_ns, job)
+        server.send_times_ns.append(self.now_ns)
         self._advance(server)
-        if server.model.offer(self.now / NS_PER_S, job) is not Admission.ADMITTED:
+        if server.model.offer(self.now_ns / NS_PER_S, job) is not Admission.ADMITTED:
             self._finish_attempt_after(NS_PER_MS, key, balancing.AttemptResult.REJECTED)
             return
         server.attempts[job] = key
@@ -189,7 +189,7 @@
 
     def _advance(self, server: FleetServer) -> None:
         """Advance a server's model to the present time and deliver the responses of finished jobs."""
-        for job in server.model.advance(self.now / NS_PER_S):
+        for job in server.model.advance(self.now_ns / NS_PER_S):
             if job in server.attempts:  # else it was cancelled at the same time
                 self._finish_attempt(server.attempts.pop(job), balancing.AttemptResult.OK)
 
@@ -206,7 +206,7 @@
             self._advance(server)
             self._schedule_wake(server)
 
-        self._schedule(max(0, int((due_s - self.now / NS_PER_S) * NS_PER_S) + 1), wake)
+        self._schedule(max(0, int((due_s - self.now_ns / NS_PER_S) * NS_PER_S) + 1), wake)
 
     def _finish_attempt_after(self, delay_ns: int, key: AttemptKey, result: balancing.AttemptResult) -> None:
         self._schedule(delay_ns, lambda: self._finish_attempt(key, result))
@@ -223,14 +223,14 @@
         if not succeeded and server is not None and job in server.attempts:
             del server.attempts[job]
             self._advance(server)
-            server.model.cancel(self.now / NS_PER_S, job)
+            server.model.cancel(self.now_ns / NS_PER_S, job)
             self._schedule_wake(server)
         is_first_answer = succeeded and request.outcome is None
         report = None
         if server is not None and server.reported_in_flight is not None and succeeded:
             report = (server.reported_in_flight,)
         finished = is_first_answer or request.outcome is not None
-        duration_ns = self.now - sent_ns
+        duration_ns = self.now_ns - sent_ns
         event = balancing.AttemptFinished(
             key.request_id, key.attempt, endpoint_id, result, finished, duration_ns, report
         )
--- a/tests/balancing/harness.py
+++ b/tests/balancing/harness.py
@@ -87,7 +87,7 @@
     def __init__(self, settings: balancing.Settings, seed: int = 1) -> None:
         self.settings = settings
         self.balancer = Balancer(settings, seed)
-        self.now = START_NS
+        self.now_ns = START_NS
         self.requests: dict[str, TrackedRequest] = {}
         self.endpoints: dict[int, balancing.Endpoint] = {}
         self.drained: set[int] = set()
@@ -105,12 +105,12 @@
                 if event.class_index < len(self.settings.classes)
                 else balancing.RequestClass()
             )
-            self.requests[event.id] = TrackedRequest(request_class, self.now + event.time_left_ns)
+            self.requests[event.id] = TrackedRequest(request_class, self.now_ns + event.time_left_ns)
         elif isinstance(event, balancing.ClientDisconnected) and event.request_id in self.requests:
             self.requests[event.request_id].finished = True
         elif isinstance(event, balancing.ResponseStarted) and event.request_id in self.requests:
             self.requests[event.request_id].streaming = True
-        actions = self.balancer.handle(self.now, event)
+        actions = self.balancer.handle(self.now_ns, event)
         for action in actions:
             self._check(action)
         self.actions += actions
@@ -132,14 +132,14 @@
     def _check(self, action: balancing.Action) -> None:
         if isinstance(action, balancing.SetTimer):
             assert action.delay_ns >= 0
-            self.timers.append((self.now + action.delay_ns, action.timer))
+            self.timers.append((self.now_ns + action.delay_ns, action.timer))
         elif isinstance(action, balancing.SendAttempt):
             self._check_send(action)
         elif isinstance(action, balancing.RejectRequest | balancing.FailRequest):
             request = self.requests[action.request_id]
             assert not request.finished, "a second final answer"
             assert not request.streaming, "a second final answer"
-            assert self.now <= request.deadline_ns + 20 * NS_PER_MS, "a late final answer"
+            assert self.now_ns <= request.deadline_ns + 20 * NS_PER_MS, "a late final answer"
             request.finished, request.final_answers = True, request.final_answers + 1
             if isinstance(action, balancing.RejectRequest):
                 self._check_rejection(action, request)
@@ -160,8 +160,8 @@
         request, endpoint = self.requests[action.request_id], self.endpoints[action.endpoint_id]
         assert not request.finished, "sent a finished request"
         assert not request.streaming, "sent a request whose response is streamed"
-        assert self.now < request.deadline_ns, "sent after the deadline"
-        assert 0 < action.timeout_ns <= request.deadline_ns - self.now
+        assert self.now_ns < request.deadline_ns, "sent after the deadline"
+        assert 0 < action.timeout_ns <= request.deadline_ns - self.now_ns
         assert len(request.attempts) < self.settings.max_attempts
         if any(attempt.is_open for attempt in request.attempts):
             assert self.settings.hedging_allowed, "two attempts at once"
@@ -170,8 +170,8 @@
             "sent to a removed server"
         )
         self._check_retry(request, endpoint)
-        request.attempts.append(TrackedAttempt(action.endpoint_id, self.now, endpoint.zone, endpoint.cell))
-        self.sends.append((self.now, action.endpoint_id))
+        request.attempts.append(TrackedAttempt(action.endpoint_id, self.now_ns, endpoint.zone, endpoint.cell))
+        self.sends.append((self.now_ns, action.endpoint_id))
 
     def _check_retry(self, request: TrackedRequest, endpoint: balancing.Endpoint) -> None:
         """Check that a request that may have run is retried only within its deduplication window and scope."""
@@ -181,7 +181,7 @@
             raise AssertionError("a non-idempotent request was retried")
         if earlier and request_class.idempotency is balancing.Idempotency.IDEMPOTENCY_KEY:
             first = earlier[0]
-            assert self.now - first.sent_ns <= request_class.deduplication_window_ns, "retried after the window"
+            assert self.now_ns - first.sent_ns <= request_class.deduplication_window_ns, "retried after the window"
             if request_class.deduplication_scope is not balancing.DeduplicationScope.ALL:
                 scope = request_class.deduplication_scope.value
                 assert getattr(endpoint, scope) == getattr(first, scope), "left the deduplication scope"
@@ -203,29 +203,29 @@
             attempt.may_have_run = False
         ends = result is balancing.AttemptResult.OK or request.streaming
         request.finished = request.finished or (ends if finishes_request is None else finishes_request)
-        duration_ns = self.now - attempt.sent_ns
+        duration_ns = self.now_ns - attempt.sent_ns
         return self.feed(
             balancing.AttemptFinished(name, attempt_index, attempt.endpoint_id, result, request.finished, duration_ns)
         )
 
     def pass_time(self, duration_ns: int, interval_ns: int = 5 * NS_PER_MS) -> None:
         """Advance the clock; deliver due timers and time out attempts at their deadlines."""
-        until = self.now + duration_ns
-        while self.now < until:
-            self.now += interval_ns
-            due = [timer for timer in self.timers if timer[0] <= self.now]
-            self.timers = [timer for timer in self.timers if timer[0] > self.now]
+        until = self.now_ns + duration_ns
+        while self.now_ns < until:
+            self.now_ns += interval_ns
+            due = [timer for timer in self.timers if timer[0] <= self.now_ns]
+            self.timers = [timer for timer in self.timers if timer[0] > self.now_ns]
             for _, timer in due:
                 self.feed(balancing.TimerFired(timer))
             for name, request in list(self.requests.items()):
                 for index, attempt in enumerate(request.attempts):
-                    if attempt.is_open and self.now >= request.deadline_ns and not request.streaming:
+                    if attempt.is_open and self.now_ns >= request.deadline_ns and not request.streaming:
                         self.end(name, index, balancing.AttemptResult.TIMEOUT)
 
     def run_to_deadlines(self) -> None:
         """Advance past every deadline and check that each request has at most one final answer and is not lost."""
         last_deadline_ns = max([0, *(request.deadline_ns for request in self.requests.values())])
-        self.pass_time(last_deadline_ns - self.now + 50 * NS_PER_MS)
+        self.pass_time(last_deadline_ns - self.now_ns + 50 * NS_PER_MS)
         for name, request in self.requests.items():
             assert request.is_answered, f"{name} was lost"
             assert request.final_answers <= 1
--- a/tests/balancing/test_admission.py
+++ b/tests/balancing/test_admission.py
@@ -55,7 +55,7 @@
     harness = start_harness(make_settings(max_attempts=1, fleet_size=2), make_endpoints(10))
     for number in range(600):
         harness.send_request(f"x{number}")
-        harness.now += 2 * NS_PER_MS
+        harness.now_ns += 2 * NS_PER_MS
         harness.end(f"x{number}", 0, balancing.AttemptResult.OK)
     assert harness.balancer.limiter.limit > 30, "the floor is 20"
 
@@ -101,7 +101,7 @@
                     harness.end(name, index, balancing.AttemptResult.OK)
     rejected = sum(isinstance(action, balancing.RejectRequest) for action in harness.actions)
     assert rejected <= 10, f"{rejected} of {len(harness.requests)} rejected though every response met its objective"
-    assert all(endpoint.ejected_until_ns <= harness.now for endpoint in harness.balancer.subset.members)
+    assert all(endpoint.ejected_until_ns <= harness.now_ns for endpoint in harness.balancer.subset.members)
 
 
 def test_class_demand_stays_positive_after_a_long_idle_time() -> None:
@@ -112,7 +112,7 @@
     )
     serve_requests(harness, 20)
     harness.balancer.quota.own_load = harness.balancer.quota.fleet_load = 1.0  # as set by load reports
-    harness.now += 100 * 3600 * NS_PER_S
+    harness.now_ns += 100 * 3600 * NS_PER_S
     serve_requests(harness, 5)
     assert all(demand > 0 for demand in harness.balancer.priority.demand.values())
     assert 0 < harness.balancer.priority.lowest <= 1.0
--- a/tests/balancing/test_endpoint_list.py
+++ b/tests/balancing/test_endpoint_list.py
@@ -36,7 +36,7 @@
         for _ in range(60):
             harness.timers.clear()
             harness.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.FAILED, []))
-            delays += [due_ns - harness.now for due_ns, timer in harness.timers if timer == balancing.PollTimer()]
+            delays += [due_ns - harness.now_ns for due_ns, timer in harness.timers if timer == balancing.PollTimer()]
         assert len(delays) == 60
         assert 0.7 * max_backoff_ns < max(delays) <= max_backoff_ns
         assert len(set(delays)) > 50, "forty sidecars must not poll at the same moments"
--- a/tests/balancing/test_fleet.py
+++ b/tests/balancing/test_fleet.py
@@ -76,7 +76,7 @@
     fleet = make_fleet(sidecars, servers, load=load, seed=2)
     fleet.run(6 * NS_PER_S)
     fleet.restart(0.7)
-    replaced_count, started_ns = servers // 3, fleet.now
+    replaced_count, started_ns = servers // 3, fleet.now_ns
     new = range(1001, 1001 + replaced_count)
     fleet.replace(list(range(1, replaced_count + 1)), list(new))
     fleet.run(5 * NS_PER_S)
--- a/tests/balancing/test_outlier_detection.py
+++ b/tests/balancing/test_outlier_detection.py
@@ -26,13 +26,13 @@
     """The ejection expires although no request to the server is in flight."""
     harness = start_harness(make_settings(hedging_allowed=False), make_endpoints(10))
     serve_requests(harness, 60)
-    start = harness.now
+    start = harness.now_ns
     keep_silent(harness, 3, 20)
     sent = [sent_ns for sent_ns, endpoint_id in harness.sends if endpoint_id == 3 and sent_ns > start]
     assert 1 <= len(sent) <= 5, "of 240 requests; an equal share would be 24"
     harness.pass_time(60 * NS_PER_S)
     serve_requests(harness, 120)
-    assert any(endpoint_id == 3 for sent_ns, endpoint_id in harness.sends if sent_ns > harness.now - 20 * NS_PER_S)
+    assert any(endpoint_id == 3 for sent_ns, endpoint_id in harness.sends if sent_ns > harness.now_ns - 20 * NS_PER_S)
 
 
 def test_repeated_ejection_lasts_five_seconds_at_most() -> None:
@@ -40,9 +40,9 @@
     harness = start_harness(make_settings(max_attempts=1), make_endpoints(10))
     endpoint = harness.balancer.subset.members[0]
     for _ in range(9):
-        harness.now = max(harness.now, endpoint.ejected_until_ns)
-        harness.balancer.outliers.record_failure(harness.now, endpoint)
-        assert harness.now < endpoint.ejected_until_ns <= harness.now + 5 * NS_PER_S
+        harness.now_ns = max(harness.now_ns, endpoint.ejected_until_ns)
+        harness.balancer.outliers.record_failure(harness.now_ns, endpoint)
+        assert harness.now_ns < endpoint.ejected_until_ns <= harness.now_ns + 5 * NS_PER_S
 
 
 def test_failing_server_is_ejected_with_half_the_fleet_ejected() -> None:
@@ -50,11 +50,11 @@
     for result in balancing.AttemptResult.NO_CONNECTION, balancing.AttemptResult.REJECTED:
         harness = start_harness(make_settings(max_attempts=1), make_endpoints(10))
         for endpoint in harness.balancer.subset.members[:5]:
-            endpoint.ejected_until_ns = harness.now + 60 * NS_PER_S
+            endpoint.ejected_until_ns = harness.now_ns + 60 * NS_PER_S
         dead = harness.balancer.subset.members[5].id
         for number in range(60):
             harness.send_request(f"x{number}")
-            harness.now += 5 * NS_PER_MS
+            harness.now_ns += 5 * NS_PER_MS
             for attempt in harness.requests[f"x{number}"].attempts:
                 harness.end(f"x{number}", 0, result if attempt.endpoint_id == dead else balancing.AttemptResult.OK)
         assert sum(endpoint_id == dead for _, endpoint_id in harness.sends) <= 2
@@ -69,12 +69,12 @@
         harness.send_request(f"good{number}", time_left_ns=NS_PER_S)
         harness.pass_time(60 * NS_PER_MS)
         for attempt in harness.requests[f"good{number}"].attempts:
-            harness.balancer.endpoints.by_id[attempt.endpoint_id].last_response_ns = harness.now
+            harness.balancer.endpoints.by_id[attempt.endpoint_id].last_response_ns = harness.now_ns
         for name in [f"late{number}"]:
             for attempt in harness.requests[name].attempts:  # its server responds to another request meanwhile
-                harness.balancer.endpoints.by_id[attempt.endpoint_id].last_response_ns = harness.now
+                harness.balancer.endpoints.by_id[attempt.endpoint_id].last_response_ns = harness.now_ns
         harness.pass_time(60 * NS_PER_MS)
-    assert not any(endpoint.ejected_until_ns > harness.now for endpoint in harness.balancer.subset.members)
+    assert not any(endpoint.ejected_until_ns > harness.now_ns for endpoint in harness.balancer.subset.members)
 
 
 def test_consecutive_errors_eject_up_to_the_maximum_share() -> None:
@@ -85,7 +85,7 @@
         if harness.requests[name].attempts:
             harness.end(name, 0, balancing.AttemptResult.RESET)
         harness.pass_time(5 * NS_PER_MS)
-    ejected = sum(endpoint.ejected_until_ns > harness.now for endpoint in harness.balancer.subset.members)
+    ejected = sum(endpoint.ejected_until_ns > harness.now_ns for endpoint in harness.balancer.subset.members)
     assert 0 < ejected <= MAX_EJECTED_SHARE * 10
 
 
@@ -95,9 +95,9 @@
     ejected = 0
     for number in range(300):
         harness.send_request(f"x{number}")
-        harness.now += 20 * NS_PER_MS
+        harness.now_ns += 20 * NS_PER_MS
         harness.end(f"x{number}", 0, balancing.AttemptResult.RESET if number % 20 == 0 else balancing.AttemptResult.OK)
-        ejected += any(endpoint.ejected_until_ns > harness.now for endpoint in harness.balancer.subset.members)
+        ejected += any(endpoint.ejected_until_ns > harness.now_ns for endpoint in harness.balancer.subset.members)
     assert ejected < 15
 
 
@@ -107,7 +107,7 @@
     harness.end("a", 0, balancing.AttemptResult.NO_CONNECTION)
     until = [endpoint.ejected_until_ns for endpoint in harness.balancer.subset.members if endpoint.ejected_until_ns]
     assert len(until) == 1
-    assert until[0] <= harness.now + 1.2 * NS_PER_S
+    assert until[0] <= harness.now_ns + 1.2 * NS_PER_S
 
 
 def test_slow_servers_are_ejected_lowest_id_first() -> None:
@@ -119,10 +119,12 @@
             1.0,
             2 * CONGESTED_RATIO,
             20,
-            harness.now,
+            harness.now_ns,
         )
-    harness.balancer._refresh(harness.now)
-    assert {endpoint.id for endpoint in harness.balancer.subset.members if endpoint.ejected_until_ns > harness.now} == {
+    harness.balancer._refresh(harness.now_ns)
+    assert {
+        endpoint.id for endpoint in harness.balancer.subset.members if endpoint.ejected_until_ns > harness.now_ns
+    } == {
         1,
         2,
         3,
--- a/tests/balancing/test_picker.py
+++ b/tests/balancing/test_picker.py
@@ -52,7 +52,7 @@
             harness.send_request(f"a{number}")
             for attempt in harness.requests[f"a{number}"].attempts:
                 differs = attempt.endpoint_id == 1
-                harness.now += duration_ns if differs else 40 * NS_PER_MS
+                harness.now_ns += duration_ns if differs else 40 * NS_PER_MS
                 harness.requests[f"a{number}"].finished = True
                 harness.feed(
                     balancing.AttemptFinished(
--- a/tests/balancing/test_rules.py
+++ b/tests/balancing/test_rules.py
@@ -146,7 +146,7 @@
 def test_new_balancer_sends_nothing_to_a_cold_server() -> None:
     harness = BalancerHarness(make_settings(), 1)
     cold = [
-        replace(endpoint, started_ns=harness.now - 10 * NS_PER_MS) if endpoint.id == 1 else endpoint
+        replace(endpoint, started_ns=harness.now_ns - 10 * NS_PER_MS) if endpoint.id == 1 else endpoint
         for endpoint in make_endpoints(10)
     ]
     harness.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.CACHED, cold))
@@ -203,7 +203,7 @@
     harness = start_harness(make_settings(), make_endpoints(12))
     harness.send_request("a", time_left_ns=100 * NS_PER_MS)
     harness.end("a", 0, balancing.AttemptResult.REJECTED)
-    harness.now += 105 * NS_PER_MS
+    harness.now_ns += 105 * NS_PER_MS
     for _, timer in list(harness.timers):
         harness.feed(balancing.TimerFired(timer))
     assert len(harness.requests["a"].attempts) == 1
@@ -216,9 +216,9 @@
     harness.send_request("a")
     balancer = harness.balancer
     request = balancer.requests["a"]
-    assert balancer.rules.may_send_to(harness.now, request, balancer.endpoints.by_id[1])
+    assert balancer.rules.may_send_to(harness.now_ns, request, balancer.endpoints.by_id[1])
     for state in (balancing.EndpointState.DRAINING, balancing.EndpointState.REMOVED):
         balancer.endpoints.by_id[1].state = state
-        assert not balancer.rules.may_send_to(harness.now, request, balancer.endpoints.by_id[1])
+        assert not balancer.rules.may_send_to(harness.now_ns, request, balancer.endpoints.by_id[1])
     del balancer.requests["a"]
-    assert not balancer.rules.may_send_to(harness.now, request, balancer.endpoints.by_id[2])
+    assert not balancer.rules.may_send_to(harness.now_ns, request, balancer.endpoints.by_id[2])
--- a/tests/balancing/test_rules_random.py
+++ b/tests/balancing/test_rules_random.py
@@ -83,7 +83,7 @@
         listed = [other for other in make_endpoints(12) if other.id % 5 != number % 5]
         update = balancing.EndpointUpdate(balancing.EndpointUpdateKind.FULL, listed)
     elif kind == 2:
-        restarted = replace(endpoint, started_ns=harness.now - number * NS_PER_MS)
+        restarted = replace(endpoint, started_ns=harness.now_ns - number * NS_PER_MS)
         update = balancing.EndpointUpdate(balancing.EndpointUpdateKind.DELTA, [restarted])
     else:
         states = (balancing.EndpointState.DRAINING, balancing.EndpointState.REMOVED, balancing.EndpointState.READY)
@@ -181,10 +181,10 @@
     harness.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.CACHED, make_endpoints(12)))
     if not restarted:
         send_evenly(harness, 3 * NS_PER_S, gap_ms)
-    started_ns = harness.now - age_s * NS_PER_S
+    started_ns = harness.now_ns - age_s * NS_PER_S
     fresh = [replace(endpoint, started_ns=started_ns) for endpoint in make_endpoints(12) if endpoint.id <= cold_count]
     harness.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.DELTA, fresh))
-    start = harness.now
+    start = harness.now_ns
     send_evenly(harness, 4 * NS_PER_S, gap_ms)
     mean = 1000 / gap_ms / 12
     for server in range(1, cold_count + 1):
@@ -210,7 +210,7 @@
     rates = [rate / 2] + [rate / 2 / (count - 1)] * (count - 1)
     random = Random(seed)
     due: list[float] = [random.expovariate(each) for each in rates]
-    informed = harnesses[0].now + 6 * NS_PER_S
+    informed = harnesses[0].now_ns + 6 * NS_PER_S
     started_ns = informed - age_s * NS_PER_S
     fresh = [
         replace(endpoint, started_ns=started_ns) if endpoint.id == 1 else endpoint for endpoint in make_endpoints(12)
@@ -228,7 +228,7 @@
                 name = f"c{len(harness.requests)}"
                 if is_sent(harness, name):
                     harness.end(name, 0, balancing.AttemptResult.OK)
-            harness.now += 5 * NS_PER_MS
+            harness.now_ns += 5 * NS_PER_MS
     since = started_ns if restarted else informed
     send_times = sorted(
         sent_ns
@@ -244,16 +244,16 @@
 
 def send_evenly(harness: BalancerHarness, duration_ns: int, gap_ms: int) -> None:
     """Send requests at a constant rate, each answered 40 ms later."""
-    until = harness.now + duration_ns
+    until = harness.now_ns + duration_ns
     ends: list[tuple[int, str]] = []
     number = len(harness.requests)
-    while harness.now < until:
+    while harness.now_ns < until:
         number += 1
         if is_sent(harness, f"d{number}"):
-            ends.append((harness.now + 40 * NS_PER_MS, f"d{number}"))
+            ends.append((harness.now_ns + 40 * NS_PER_MS, f"d{number}"))
         harness.pass_time(gap_ms * NS_PER_MS, gap_ms * NS_PER_MS)
         for due_ns, name in list(ends):
-            if due_ns <= harness.now:
+            if due_ns <= harness.now_ns:
                 ends.remove((due_ns, name))
                 if not harness.requests[name].finished:
                     harness.end(name, 0, balancing.AttemptResult.OK)
