--- a/tests/balancing/harness.py
+++ b/tests/balancing/harness.py
@@ -192,7 +192,7 @@
         """Let a request arrive."""
         return self.feed(balancing.Request(name, class_index, tenant, time_left_ns))
 
-    def end(
+    def finish_attempt(
         self, name: str, attempt_index: int, result: balancing.AttemptResult, finishes_request: bool | None = None
     ) -> list[balancing.Action]:
         """Finish an attempt; ``finishes_request`` overrides whether the request finishes with it."""
@@ -220,7 +220,7 @@
             for name, request in list(self.requests.items()):
                 for index, attempt in enumerate(request.attempts):
                     if attempt.is_open and self.now_ns >= request.deadline_ns and not request.streaming:
-                        self.end(name, index, balancing.AttemptResult.TIMEOUT)
+                        self.finish_attempt(name, index, balancing.AttemptResult.TIMEOUT)
 
     def run_to_deadlines(self) -> None:
         """Advance past every deadline and check that each request has at most one final answer and is not lost."""
@@ -262,5 +262,5 @@
         if sent_endpoint_ids(harness.send_request(name)):
             harness.pass_time(duration_ns)
             if not harness.requests[name].finished:
-                harness.end(name, 0, balancing.AttemptResult.OK)
+                harness.finish_attempt(name, 0, balancing.AttemptResult.OK)
         harness.pass_time(gap_ns)
--- a/tests/balancing/test_admission.py
+++ b/tests/balancing/test_admission.py
@@ -40,7 +40,7 @@
         harness.send_request(f"x{number}", time_left_ns=2 * NS_PER_S)
         harness.pass_time(20 * NS_PER_MS)
         if number % 4 and harness.requests[f"x{number}"].attempts:
-            harness.end(f"x{number}", 0, balancing.AttemptResult.OK)
+            harness.finish_attempt(f"x{number}", 0, balancing.AttemptResult.OK)
     sent = sum(bool(harness.requests[f"x{number}"].attempts) for number in range(60))
     assert sent == 60
     assert harness.balancer.attempts.lost_responses >= 4
@@ -56,7 +56,7 @@
     for number in range(600):
         harness.send_request(f"x{number}")
         harness.now_ns += 2 * NS_PER_MS
-        harness.end(f"x{number}", 0, balancing.AttemptResult.OK)
+        harness.finish_attempt(f"x{number}", 0, balancing.AttemptResult.OK)
     assert harness.balancer.limiter.limit > 30, "the floor is 20"
 
 
@@ -76,7 +76,7 @@
                 harness.requests[f"{class_index}-{number}"].attempts
                 and not harness.requests[f"{class_index}-{number}"].finished
             ):
-                harness.end(f"{class_index}-{number}", 0, balancing.AttemptResult.OK)
+                harness.finish_attempt(f"{class_index}-{number}", 0, balancing.AttemptResult.OK)
     assert admitted[0] < 30
     assert admitted[1] > 60
     serve_requests(harness, 60)
@@ -98,7 +98,7 @@
         for name in names:
             for index in range(len(harness.requests[name].attempts)):
                 if not harness.requests[name].finished:
-                    harness.end(name, index, balancing.AttemptResult.OK)
+                    harness.finish_attempt(name, index, balancing.AttemptResult.OK)
     rejected = sum(isinstance(action, balancing.RejectRequest) for action in harness.actions)
     assert rejected <= 10, f"{rejected} of {len(harness.requests)} rejected though every response met its objective"
     assert all(endpoint.ejected_until_ns <= harness.now_ns for endpoint in harness.balancer.subset.members)
--- a/tests/balancing/test_fleet.py
+++ b/tests/balancing/test_fleet.py
@@ -95,7 +95,7 @@
         harness.send_request(f"quiet{number}")
         harness.pass_time(50 * NS_PER_MS)
         if number:
-            harness.end(f"quiet{number - 1}", 0, balancing.AttemptResult.OK)
+            harness.finish_attempt(f"quiet{number - 1}", 0, balancing.AttemptResult.OK)
     burst = sum(bool(sent_endpoint_ids(harness.send_request(f"burst{number}"))) for number in range(7))
     assert burst == 7
 
--- a/tests/balancing/test_outlier_detection.py
+++ b/tests/balancing/test_outlier_detection.py
@@ -18,7 +18,7 @@
             if attempt.endpoint_id != endpoint_id:
                 harness.pass_time(30 * NS_PER_MS)
                 if not harness.requests[name].finished:
-                    harness.end(name, index, balancing.AttemptResult.OK)
+                    harness.finish_attempt(name, index, balancing.AttemptResult.OK)
         harness.pass_time(10 * NS_PER_MS)
 
 
@@ -56,7 +56,9 @@
             harness.send_request(f"x{number}")
             harness.now_ns += 5 * NS_PER_MS
             for attempt in harness.requests[f"x{number}"].attempts:
-                harness.end(f"x{number}", 0, result if attempt.endpoint_id == dead else balancing.AttemptResult.OK)
+                harness.finish_attempt(
+                    f"x{number}", 0, result if attempt.endpoint_id == dead else balancing.AttemptResult.OK
+                )
         assert sum(endpoint_id == dead for _, endpoint_id in harness.sends) <= 2
 
 
@@ -83,7 +85,7 @@
         name = f"e{number}"
         harness.send_request(name)
         if harness.requests[name].attempts:
-            harness.end(name, 0, balancing.AttemptResult.RESET)
+            harness.finish_attempt(name, 0, balancing.AttemptResult.RESET)
         harness.pass_time(5 * NS_PER_MS)
     ejected = sum(endpoint.ejected_until_ns > harness.now_ns for endpoint in harness.balancer.subset.members)
     assert 0 < ejected <= MAX_EJECTED_SHARE * 10
@@ -96,7 +98,9 @@
     for number in range(300):
         harness.send_request(f"x{number}")
         harness.now_ns += 20 * NS_PER_MS
-        harness.end(f"x{number}", 0, balancing.AttemptResult.RESET if number % 20 == 0 else balancing.AttemptResult.OK)
+        harness.finish_attempt(
+            f"x{number}", 0, balancing.AttemptResult.RESET if number % 20 == 0 else balancing.AttemptResult.OK
+        )
         ejected += any(endpoint.ejected_until_ns > harness.now_ns for endpoint in harness.balancer.subset.members)
     assert ejected < 15
 
@@ -104,7 +108,7 @@
 def test_refused_connection_ejects_for_about_a_second() -> None:
     harness = start_harness(make_settings(max_attempts=1), make_endpoints(10))
     harness.send_request("a")
-    harness.end("a", 0, balancing.AttemptResult.NO_CONNECTION)
+    harness.finish_attempt("a", 0, balancing.AttemptResult.NO_CONNECTION)
     until = [endpoint.ejected_until_ns for endpoint in harness.balancer.subset.members if endpoint.ejected_until_ns]
     assert len(until) == 1
     assert until[0] <= harness.now_ns + 1.2 * NS_PER_S
--- a/tests/balancing/test_retries.py
+++ b/tests/balancing/test_retries.py
@@ -31,7 +31,7 @@
     for seed in range(200):
         harness = start_harness(make_settings(), make_endpoints(12), seed)
         harness.send_request("a")
-        delays += retry_delays_ns(harness.end("a", 0, balancing.AttemptResult.ERROR))
+        delays += retry_delays_ns(harness.finish_attempt("a", 0, balancing.AttemptResult.ERROR))
     assert len(delays) == 200
     assert max(delays) <= 100 * NS_PER_MS
     assert min(delays) < 10 * NS_PER_MS, "full jitter covers the entire range"
@@ -40,7 +40,7 @@
     for seed in range(100):
         harness = start_harness(make_settings(), make_endpoints(12), seed)
         harness.send_request("a", time_left_ns=80 * NS_PER_MS)
-        short += retry_delays_ns(harness.end("a", 0, balancing.AttemptResult.ERROR))
+        short += retry_delays_ns(harness.finish_attempt("a", 0, balancing.AttemptResult.ERROR))
     assert short
     assert max(short) <= 40 * NS_PER_MS
 
@@ -51,9 +51,9 @@
         harness = start_harness(make_settings(replace(IDEMPOTENT, deadline_ns=10 * NS_PER_S)), make_endpoints(12), seed)
         serve_requests(harness, 40)
         harness.send_request("a", time_left_ns=10 * NS_PER_S)
-        harness.end("a", 0, balancing.AttemptResult.ERROR)
+        harness.finish_attempt("a", 0, balancing.AttemptResult.ERROR)
         harness.pass_time(110 * NS_PER_MS)
-        late += retry_delays_ns(harness.end("a", 1, balancing.AttemptResult.ERROR))
+        late += retry_delays_ns(harness.finish_attempt("a", 1, balancing.AttemptResult.ERROR))
         harness.pass_time(210 * NS_PER_MS)
         used = [attempt.endpoint_id for attempt in harness.requests["a"].attempts]
         assert len(used) == len(set(used))
@@ -66,7 +66,7 @@
     serve_requests(harness, 100, gap_ns=5 * NS_PER_MS)
     harness.send_request("a", time_left_ns=10 * NS_PER_S)
     for attempt in range(4):
-        harness.end("a", attempt, balancing.AttemptResult.ERROR)
+        harness.finish_attempt("a", attempt, balancing.AttemptResult.ERROR)
         harness.pass_time(NS_PER_S)
     assert len(harness.requests["a"].attempts) == 4
     assert harness.requests["a"].finished
@@ -78,14 +78,14 @@
     for number in range(60):
         harness.send_request(f"q{number}")
         if harness.requests[f"q{number}"].attempts:
-            retried += bool(retry_delays_ns(harness.end(f"q{number}", 0, balancing.AttemptResult.ERROR)))
+            retried += bool(retry_delays_ns(harness.finish_attempt(f"q{number}", 0, balancing.AttemptResult.ERROR)))
         harness.pass_time(100 * NS_PER_MS)
     assert 1 <= retried <= 6
     quiet = start_harness(make_settings(), make_endpoints(12))
     quiet.send_request("one")
-    assert retry_delays_ns(quiet.end("one", 0, balancing.AttemptResult.ERROR))
+    assert retry_delays_ns(quiet.finish_attempt("one", 0, balancing.AttemptResult.ERROR))
     quiet.send_request("two")
-    answer = quiet.end("two", 0, balancing.AttemptResult.ERROR)
+    answer = quiet.finish_attempt("two", 0, balancing.AttemptResult.ERROR)
     assert not retry_delays_ns(answer)
     assert any(isinstance(action, balancing.RejectRequest) for action in answer)
 
@@ -101,7 +101,7 @@
         harness.send_request("a")
         answer = [
             action
-            for action in harness.end("a", 0, balancing.AttemptResult.ERROR)
+            for action in harness.finish_attempt("a", 0, balancing.AttemptResult.ERROR)
             if isinstance(action, balancing.RejectRequest | balancing.FailRequest)
         ]
         assert [type(action) for action in answer] == [kind]
--- a/tests/balancing/test_rules.py
+++ b/tests/balancing/test_rules.py
@@ -22,7 +22,7 @@
 def test_request_is_not_retried_after_client_disconnect() -> None:
     harness = start_harness(make_settings(), make_endpoints(12))
     harness.send_request("a")
-    harness.end("a", 0, balancing.AttemptResult.ERROR)
+    harness.finish_attempt("a", 0, balancing.AttemptResult.ERROR)
     harness.feed(balancing.ClientDisconnected("a"))
     harness.pass_time(NS_PER_S)
     assert len(harness.requests["a"].attempts) == 1
@@ -32,7 +32,7 @@
 def test_disconnect_after_the_last_attempt_has_no_effect() -> None:
     harness = start_harness(make_settings(), make_endpoints(12))
     harness.send_request("a")
-    harness.end("a", 0, balancing.AttemptResult.TIMEOUT, finishes_request=True)
+    harness.finish_attempt("a", 0, balancing.AttemptResult.TIMEOUT, finishes_request=True)
     assert harness.feed(balancing.ClientDisconnected("a")) == []
 
 
@@ -52,7 +52,7 @@
     ):
         harness = start_harness(make_settings(NON_IDEMPOTENT), make_endpoints(12))
         harness.send_request("a")
-        harness.end("a", 0, result)
+        harness.finish_attempt("a", 0, result)
         harness.pass_time(120 * NS_PER_MS)
         assert len(harness.requests["a"].attempts) == attempts, result
 
@@ -62,7 +62,7 @@
         for seed in range(20):
             harness = start_harness(make_settings(with_idempotency_key(scope)), make_endpoints(12), seed)
             harness.send_request("a")
-            harness.end("a", 0, balancing.AttemptResult.ERROR)
+            harness.finish_attempt("a", 0, balancing.AttemptResult.ERROR)
             harness.pass_time(120 * NS_PER_MS)
             used = [
                 getattr(harness.endpoints[attempt.endpoint_id], field) for attempt in harness.requests["a"].attempts
@@ -74,7 +74,7 @@
     )
     harness.send_request("a")
     harness.pass_time(195 * NS_PER_MS)
-    harness.end("a", 0, balancing.AttemptResult.ERROR)
+    harness.finish_attempt("a", 0, balancing.AttemptResult.ERROR)
     harness.pass_time(300 * NS_PER_MS)
     assert len(harness.requests["a"].attempts) == 1
     assert harness.requests["a"].final_answers == 1
@@ -96,7 +96,7 @@
     actions_before = len(harness.actions)
     harness.pass_time(200 * NS_PER_MS)
     assert balancing.CancelAttempt("a", 0) in harness.actions[actions_before:]
-    harness.end("a", 0, balancing.AttemptResult.CANCELLED)
+    harness.finish_attempt("a", 0, balancing.AttemptResult.CANCELLED)
     harness.pass_time(150 * NS_PER_MS)
     assert len(harness.requests["a"].attempts) == 2
 
@@ -165,7 +165,7 @@
             balancing.EndpointUpdateKind.DELTA, [balancing.Endpoint(other, state=balancing.EndpointState.DRAINING)]
         )
     )
-    harness.end("a", 0, balancing.AttemptResult.ERROR)
+    harness.finish_attempt("a", 0, balancing.AttemptResult.ERROR)
     harness.pass_time(150 * NS_PER_MS)
     assert len(harness.requests["a"].attempts) == 1
     assert harness.requests["a"].final_answers == 1
@@ -202,7 +202,7 @@
 def test_late_retry_timer_sends_nothing_after_the_deadline() -> None:
     harness = start_harness(make_settings(), make_endpoints(12))
     harness.send_request("a", time_left_ns=100 * NS_PER_MS)
-    harness.end("a", 0, balancing.AttemptResult.REJECTED)
+    harness.finish_attempt("a", 0, balancing.AttemptResult.REJECTED)
     harness.now_ns += 105 * NS_PER_MS
     for _, timer in list(harness.timers):
         harness.feed(balancing.TimerFired(timer))
--- a/tests/balancing/test_rules_random.py
+++ b/tests/balancing/test_rules_random.py
@@ -59,7 +59,7 @@
             harness.send_request(f"r{number}", first_draw, second_draw * NS_PER_MS)
         elif kind == "end" and open_attempts:
             name, index = open_attempts[first_draw % len(open_attempts)]
-            harness.end(name, index, RESULTS[second_draw])
+            harness.finish_attempt(name, index, RESULTS[second_draw])
         elif kind == "wait":
             harness.pass_time(first_draw * NS_PER_MS)
         elif kind == "disconnect" and unanswered:
@@ -227,7 +227,7 @@
                 due[index] += random.expovariate(rates[index])
                 name = f"c{len(harness.requests)}"
                 if is_sent(harness, name):
-                    harness.end(name, 0, balancing.AttemptResult.OK)
+                    harness.finish_attempt(name, 0, balancing.AttemptResult.OK)
             harness.now_ns += 5 * NS_PER_MS
     since = started_ns if restarted else informed
     send_times = sorted(
@@ -256,7 +256,7 @@
             if due_ns <= harness.now_ns:
                 ends.remove((due_ns, name))
                 if not harness.requests[name].finished:
-                    harness.end(name, 0, balancing.AttemptResult.OK)
+                    harness.finish_attempt(name, 0, balancing.AttemptResult.OK)
 
 
 def is_sent(harness: BalancerHarness, name: str) -> bool:
