--- a/tests/balancing/harness.py
+++ b/tests/balancing/harness.py
@@ -243,7 +243,7 @@
     return [action.endpoint_id for action in actions if isinstance(action, balancing.SendAttempt)]
 
 
-def age_connections(harness: BalancerHarness) -> None:
+def time_out_on_idle_connections(harness: BalancerHarness) -> None:
     """Let two consecutive requests time out on connections that were idle for a second."""
     serve_requests(harness, 60)
     harness.pass_time(NS_PER_S)
--- a/tests/balancing/test_outlier_detection.py
+++ b/tests/balancing/test_outlier_detection.py
@@ -9,7 +9,7 @@
 from tests.balancing.harness import BalancerHarness, make_endpoints, make_settings, serve_requests, start_harness
 
 
-def keep_silent(harness: BalancerHarness, endpoint_id: int, count: int) -> None:
+def time_out_attempts_at(harness: BalancerHarness, endpoint_id: int, count: int) -> None:
     """Send requests until about ``count`` attempts at ``endpoint_id`` timed out; answer all other attempts."""
     for _ in range(count * 12):
         name = f"s{len(harness.requests)}"
@@ -27,7 +27,7 @@
     harness = start_harness(make_settings(hedging_allowed=False), make_endpoints(10))
     serve_requests(harness, 60)
     start = harness.now_ns
-    keep_silent(harness, 3, 20)
+    time_out_attempts_at(harness, 3, 20)
     sent = [sent_ns for sent_ns, endpoint_id in harness.sends if endpoint_id == 3 and sent_ns > start]
     assert 1 <= len(sent) <= 5, "of 240 requests; an equal share would be 24"
     harness.pass_time(60 * NS_PER_S)
