--- a/tests/balancing/congested_fleet.py
+++ b/tests/balancing/congested_fleet.py
@@ -51,7 +51,7 @@
 )
 WORK_S = (0.041, 0.053, 0.100)  # of a standard core, by class
 CLASS_SHARES = (0.63, 0.23, 0.14)
-CHOKING = ServerTraits(
+CHOKING_SERVER_TRAITS = ServerTraits(
     cores=1,
     slots=4,
     max_queue=40,
@@ -64,7 +64,7 @@
     choke_idle_s=3.5,
     max_choke_s=29.0,
 )
-SERVER_TRAITS = (CHOKING, replace(CHOKING, speed=0.6))
+SERVER_TRAITS = (CHOKING_SERVER_TRAITS, replace(CHOKING_SERVER_TRAITS, speed=0.6))
 
 
 def capacity(servers: int, server_traits: tuple[ServerTraits, ...] = SERVER_TRAITS) -> float:
--- a/tests/balancing/fleet_records.py
+++ b/tests/balancing/fleet_records.py
@@ -10,7 +10,7 @@
 from lugtally import balancing
 from lugtally.testbed.emulator.server_model import Job, ServerModel, ServerTraits
 
-TRAITS = ServerTraits(initial_capacity=0.3, warm_up_s=8.0)
+DEFAULT_SERVER_TRAITS = ServerTraits(initial_capacity=0.3, warm_up_s=8.0)
 
 
 class LoadReportTiming(NamedTuple):
@@ -32,7 +32,9 @@
     class_shares: tuple[float, ...] = (1.0,)
     tenant_shares: tuple[float, ...] = (1.0,)
     seed: int = 1
-    server_traits: tuple[ServerTraits, ...] = (TRAITS,)  # server n has server_traits[n % len(server_traits)]
+    server_traits: tuple[ServerTraits, ...] = (
+        DEFAULT_SERVER_TRAITS,
+    )  # server n has server_traits[n % len(server_traits)]
     load_reports: LoadReportTiming | None = None  # None: responses carry no load report
 
 
--- a/tests/balancing/test_fleet.py
+++ b/tests/balancing/test_fleet.py
@@ -11,15 +11,15 @@
 
 from lugtally import balancing
 from lugtally.units import NS_PER_MS, NS_PER_S
-from tests.balancing.congested_fleet import CHOKING, TenantTraffic, congested_fleet, play
+from tests.balancing.congested_fleet import CHOKING_SERVER_TRAITS, TenantTraffic, congested_fleet, play
 from tests.balancing.fleet import Fleet
-from tests.balancing.fleet_records import TRAITS, FleetServer, FleetSettings, RequestOutcome
+from tests.balancing.fleet_records import DEFAULT_SERVER_TRAITS, FleetServer, FleetSettings, RequestOutcome
 from tests.balancing.harness import IDEMPOTENT, make_endpoints, make_settings, sent_endpoint_ids, start_harness
 
 SLOW_START = {
-    "slow_start_window_ns": int(TRAITS.warm_up_s * NS_PER_S),
-    "initial_capacity": TRAITS.initial_capacity,
-    "overload_multiple": TRAITS.collapse_multiple,
+    "slow_start_window_ns": int(DEFAULT_SERVER_TRAITS.warm_up_s * NS_PER_S),
+    "initial_capacity": DEFAULT_SERVER_TRAITS.initial_capacity,
+    "overload_multiple": DEFAULT_SERVER_TRAITS.collapse_multiple,
 }
 WORK_S = 0.08  # of one core
 
@@ -27,7 +27,7 @@
 def make_fleet(sidecars: int, servers: int, load: float = 0.6, seed: int = 1) -> Fleet:
     """Return a fleet whose servers are loaded to that part of their cores."""
     balancer_settings = make_settings(IDEMPOTENT, fleet_size=sidecars, **SLOW_START)
-    request_rate = servers * TRAITS.cores * load / WORK_S
+    request_rate = servers * DEFAULT_SERVER_TRAITS.cores * load / WORK_S
     return Fleet(FleetSettings(balancer_settings, sidecars, servers, request_rate, (WORK_S,), seed=seed))
 
 
@@ -44,7 +44,8 @@
     cold = [fleet.servers[number] for number in new]
     cold_rate = mean(len(server.send_times_ns) for server in cold) / 4
     ramp = (
-        TRAITS.initial_capacity + (1 - TRAITS.initial_capacity) * 2 / TRAITS.warm_up_s
+        DEFAULT_SERVER_TRAITS.initial_capacity
+        + (1 - DEFAULT_SERVER_TRAITS.initial_capacity) * 2 / DEFAULT_SERVER_TRAITS.warm_up_s
     )  # on average over these seconds
     assert cold_rate > 0.5 * ramp * warm_rate, "cold servers get too little while warm ones get too much"
     assert cold_rate < 0.85 * ramp * warm_rate, "slow start admits more than the configured part"
@@ -60,10 +61,12 @@
     excess = -inf
     for index, begin_ns in enumerate(server.send_times_ns):
         sends = bisect_left(server.send_times_ns, begin_ns + window_ns) - index
-        ramp = TRAITS.initial_capacity + (1 - TRAITS.initial_capacity) * min(
-            1.0, (begin_ns - started_ns) / (TRAITS.warm_up_s * NS_PER_S)
+        ramp = DEFAULT_SERVER_TRAITS.initial_capacity + (1 - DEFAULT_SERVER_TRAITS.initial_capacity) * min(
+            1.0, (begin_ns - started_ns) / (DEFAULT_SERVER_TRAITS.warm_up_s * NS_PER_S)
+        )
+        budget = (
+            DEFAULT_SERVER_TRAITS.collapse_multiple * ramp * DEFAULT_SERVER_TRAITS.cores / WORK_S * window_ns / NS_PER_S
         )
-        budget = TRAITS.collapse_multiple * ramp * TRAITS.cores / WORK_S * window_ns / NS_PER_S
         excess = max(excess, sends - (budget + 2 * budget**0.5 + 2))
     return excess
 
@@ -112,7 +115,7 @@
     balancer_settings = make_settings(read, submit, fleet_size=40, **SLOW_START)
     work_s, shares = (0.04, 0.24), (0.7, 0.3)
     mean_work_s = sum(work * share for work, share in zip(work_s, shares, strict=True))
-    request_rate = 60 * TRAITS.cores * 1.1 / mean_work_s
+    request_rate = 60 * DEFAULT_SERVER_TRAITS.cores * 1.1 / mean_work_s
     fleet = Fleet(FleetSettings(balancer_settings, 40, 60, request_rate, work_s, shares))
     fleet.run(12 * NS_PER_S)
     counts = fleet.class_counts
@@ -145,7 +148,7 @@
 
 def test_fleet_limit_grows_with_the_cores_of_the_servers() -> None:
     """A limit of four requests at each server of four cores would leave a fifth of the capacity unused."""
-    four_cores = replace(CHOKING, cores=4, slots=16, max_queue=160)
+    four_cores = replace(CHOKING_SERVER_TRAITS, cores=4, slots=16, max_queue=160)
     fleet = congested_fleet(load=0.8, seed=2, server_traits=(four_cores,))
     fleet.run(20 * NS_PER_S)
     arrived = sum(count for (outcome, _), count in fleet.class_counts.items() if outcome is RequestOutcome.ARRIVED)
