--- a/tests/balancing/congested_fleet.py
+++ b/tests/balancing/congested_fleet.py
@@ -132,7 +132,7 @@
     return served / max(1.0, arrived)
 
 
-class PlayResult(NamedTuple):
+class SlowdownResult(NamedTuple):
     """How many servers choked in a run, and how many requests were served."""
 
     max_choked: int  # servers at once
@@ -140,7 +140,7 @@
     served_share: float
 
 
-def play(seed: int, start_s: int, seconds: int = 60) -> PlayResult:
+def simulate_slowdown(seed: int, start_s: int, seconds: int = 60) -> SlowdownResult:
     """Run a fleet whose servers are all 2.2 times slower for 10 s from ``start_s``."""
     fleet = congested_fleet(seed=seed)
     max_choked = choked_server_seconds = 0
@@ -150,16 +150,16 @@
         choked = fleet.choked_count()
         max_choked = max(max_choked, choked)
         choked_server_seconds += choked
-    return PlayResult(max_choked, choked_server_seconds, served_share(fleet.class_counts))
+    return SlowdownResult(max_choked, choked_server_seconds, served_share(fleet.class_counts))
 
 
-def print_plays(seeds: range = range(1, 7)) -> None:
+def print_comparison(seeds: range = range(1, 7)) -> None:
     """Run and print the twelve comparisons: each seed with the slowdown from 20 s and from 30 s."""
     results = []
     print("seed  from  max choked  server-seconds  served share")
     for seed in seeds:
         for start_s in (20, 30):
-            result = play(seed, start_s)
+            result = simulate_slowdown(seed, start_s)
             results.append(result)
             print(
                 f"{seed:4d}  {start_s:4d}  {result.max_choked:10d}  {result.choked_server_seconds:14d}"
@@ -167,12 +167,12 @@
             )
     shares = [result.served_share for result in results]
     print(
-        f"plays with a choke: {sum(result.max_choked > 0 for result in results)} of {len(results)}; "
+        f"runs with a choke: {sum(result.max_choked > 0 for result in results)} of {len(results)}; "
         f"served share {min(shares):.3f} to {max(shares):.3f}, mean {mean(shares):.3f}"
     )
 
 
-def print_seconds() -> None:
+def print_timeline() -> None:
     """Run one simulation and print each second."""
     fleet = congested_fleet()
     before: Counter[tuple[RequestOutcome, int]] = Counter()
@@ -195,9 +195,9 @@
 def main() -> None:
     """Run the command that the module's docstring describes."""
     if sys.argv[1:] == ["plays"]:
-        print_plays()
+        print_comparison()
     else:
-        print_seconds()
+        print_timeline()
 
 
 if __name__ == "__main__":
--- a/tests/balancing/test_fleet.py
+++ b/tests/balancing/test_fleet.py
@@ -11,7 +11,7 @@
 
 from lugtally import balancing
 from lugtally.units import NS_PER_MS, NS_PER_S
-from tests.balancing.congested_fleet import CHOKING_SERVER_TRAITS, TenantTraffic, congested_fleet, play
+from tests.balancing.congested_fleet import CHOKING_SERVER_TRAITS, TenantTraffic, congested_fleet, simulate_slowdown
 from tests.balancing.fleet import Fleet
 from tests.balancing.fleet_records import DEFAULT_SERVER_TRAITS, FleetServer, FleetSettings, RequestOutcome
 from tests.balancing.harness import IDEMPOTENT, make_endpoints, make_settings, sent_endpoint_ids, start_harness
@@ -127,11 +127,11 @@
     """Servers of one core and four slots choke when congested for 2 s and recover only when idle.
 
     A single run is sensitive to any change in timing, so the test checks the sum over twelve runs."""
-    played = [play(seed, start_s) for seed in range(1, 7) for start_s in (20, 30)]
-    assert sum(result.choked_server_seconds for result in played) < 135, (
+    results = [simulate_slowdown(seed, start_s) for seed in range(1, 7) for start_s in (20, 30)]
+    assert sum(result.choked_server_seconds for result in results) < 135, (
         "the sidecars congested servers until they choked"
     )
-    assert min(result.served_share for result in played) > 0.75, "far below what a fleet at 75% load can serve"
+    assert min(result.served_share for result in results) > 0.75, "far below what a fleet at 75% load can serve"
 
 
 def test_overloaded_one_core_servers_never_choke() -> None:
--- a/tests/balancing/test_rules_random.py
+++ b/tests/balancing/test_rules_random.py
@@ -45,7 +45,7 @@
 )
 
 
-def play(harness: BalancerHarness, operations: list[tuple[str, int, int]]) -> None:
+def run_operations(harness: BalancerHarness, operations: list[tuple[str, int, int]]) -> None:
     """Carry out the drawn operations; each has two drawn numbers, whose meaning depends on the operation."""
     for number, (kind, first_draw, second_draw) in enumerate(operations):
         open_attempts = [
@@ -133,7 +133,7 @@
     )
     harness = BalancerHarness(balancer_settings, seed)
     harness.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.CACHED, make_endpoints(endpoint_count)))
-    play(harness, operations)
+    run_operations(harness, operations)
     harness.run_to_deadlines()
 
 
@@ -161,7 +161,7 @@
     for _ in range(2):
         harness = BalancerHarness(make_settings(*CLASSES), seed)
         harness.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.CACHED, make_endpoints(9)))
-        play(harness, operations)
+        run_operations(harness, operations)
         runs.append(harness.actions)
     assert runs[0] == runs[1]
 
