--- a/tests/balancing/congested_fleet.py
+++ b/tests/balancing/congested_fleet.py
@@ -1,8 +1,8 @@
-"""A fleet of servers with one core each, few slots, a choke under congestion, and late load reports.
+"""A simulated fleet whose servers have one core and few slots, choke when congested, and report their load late.
 
 ``python -m tests.balancing.congested_fleet`` prints, for each second, the requests in flight at each server and the
-outcomes of the requests; ``python -m tests.balancing.congested_fleet plays`` runs the twelve simulations by which a
-change is compared; the tests use :func:`congested_fleet` for congestion that no single sidecar causes.
+outcomes of the requests.  ``python -m tests.balancing.congested_fleet plays`` runs the twelve simulations that show the
+effect of a change.  The tests use :func:`congested_fleet` for congestion that no single sidecar causes.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
         0.3,
     ),
 )
-WORK_S = (0.041, 0.053, 0.100)  # of a standard core, by class
+WORK_S = (0.041, 0.053, 0.100)  # CPU seconds of a standard core, by class
 CLASS_SHARES = (0.63, 0.23, 0.14)
 CHOKING_SERVER_TRAITS = ServerTraits(
     cores=1,
@@ -69,13 +69,13 @@
 
 def capacity(servers: int, server_traits: tuple[ServerTraits, ...] = SERVER_TRAITS) -> float:
     """Return the requests a second that the servers can process with the mix of classes in ``CLASS_SHARES``."""
-    kinds = [server_traits[number % len(server_traits)] for number in range(1, servers + 1)]
-    speed = sum(traits.speed * traits.cores for traits in kinds)
+    traits_by_server = [server_traits[number % len(server_traits)] for number in range(1, servers + 1)]
+    speed = sum(traits.speed * traits.cores for traits in traits_by_server)
     return speed / sum(work * share for work, share in zip(WORK_S, CLASS_SHARES, strict=True))
 
 
 class TenantTraffic(NamedTuple):
-    """One tenant's share of all traffic, and its quota as a share of the fleet's capacity."""
+    """A tenant's share of all traffic, and its quota as a fraction of the fleet's capacity."""
 
     share: float
     quota: float
@@ -89,7 +89,7 @@
     server_traits: tuple[ServerTraits, ...] = SERVER_TRAITS,
     tenants: tuple[TenantTraffic, ...] = (TenantTraffic(1.0, 1.0),),
 ) -> Fleet:
-    """Return a fleet at ``load`` times its capacity; load reports are refreshed every 0.7 s, published 0.2 s late."""
+    """Return a fleet loaded to ``load`` times its capacity, with load reports every 0.7 s, published 0.2 s late."""
     total = capacity(servers, server_traits)
     balancer_settings = make_settings(
         *CLASSES,
@@ -133,9 +133,9 @@
 
 
 class SlowdownResult(NamedTuple):
-    """How many servers choked in a run, and how many requests were served."""
+    """How many servers choked in one simulation, and what share of the requests was served."""
 
-    max_choked: int  # servers at once
+    max_choked: int  # most servers choked at once
     choked_server_seconds: int
     served_share: float
 
@@ -154,7 +154,7 @@
 
 
 def print_comparison(seeds: range = range(1, 7)) -> None:
-    """Run and print the twelve comparisons: each seed with the slowdown from 20 s and from 30 s."""
+    """Run the twelve simulations, each seed with a slowdown from 20 s and from 30 s, and print their results."""
     results = []
     print("seed  from  max choked  server-seconds  served share")
     for seed in seeds:
@@ -173,16 +173,16 @@
 
 
 def print_timeline() -> None:
-    """Run one simulation and print each second."""
+    """Run one simulation and print a line for each second."""
     fleet = congested_fleet()
-    before: Counter[tuple[RequestOutcome, int]] = Counter()
+    previous_counts: Counter[tuple[RequestOutcome, int]] = Counter()
     print(" s  served  rejected  choked  in flight at each server")
     for second in range(60):
         fleet.slow_down_all(2.2 if 30 <= second < 40 else 1.0)
         fleet.run(NS_PER_S)
-        now = Counter(fleet.class_counts)
-        change = now - before
-        before = now
+        counts = Counter(fleet.class_counts)
+        change = counts - previous_counts
+        previous_counts = counts
         arrived = sum(change[RequestOutcome.ARRIVED, index] for index in range(len(CLASSES)))
         rejected = sum(change[RequestOutcome.REJECTED, index] for index in range(len(CLASSES)))
         print(
@@ -193,7 +193,7 @@
 
 
 def main() -> None:
-    """Run the command that the module's docstring describes."""
+    """Run one of the two commands that the module's docstring describes."""
     if sys.argv[1:] == ["plays"]:
         print_comparison()
     else:
