--- a/tests/balancing/fleet.py
+++ b/tests/balancing/fleet.py
@@ -1,7 +1,7 @@
 """A simulated fleet: many balancers and the testbed's server model, without sockets.
 
-It is deterministic: one heap of events, one random source, fixed seeds.  The balancers share nothing but the servers
-and the endpoint list.
+The simulation is deterministic: one heap of events, one random generator and fixed seeds.  The balancers share nothing
+but the servers and the endpoint list.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class Fleet:
-    """Sidecars, servers, and the events between them."""
+    """Simulates sidecars, servers and the events between them."""
 
     def __init__(self, settings: FleetSettings) -> None:
         self.settings, self.random, self.now_ns = settings, Random(settings.seed), 1000 * NS_PER_S
@@ -36,8 +36,8 @@
         self.tenant_counts: Counter[tuple[RequestOutcome, int]] = Counter()
         self.attempt_count = 0
         self._events: list[tuple[int, int, Callable[[], None]]] = []
-        self._sequence = 0  # of events, requests and restarts: orders events that are due together
-        # Traffic is uneven: the busiest sidecar carries several times the mean, some next to nothing.
+        self._sequence = 0  # counts events, requests and restarts; orders events that are due at the same time
+        # Traffic is uneven: the busiest sidecar gets several times the mean rate, some get almost none.
         weights = [self.random.gammavariate(1.2, 1.0) for _ in range(settings.sidecars)]
         self.request_rates = [settings.request_rate * weight / sum(weights) for weight in weights]
         self.balancers = [
@@ -48,18 +48,18 @@
                 self._refresh_load_report(server)
         for sidecar in range(settings.sidecars):
             self.send_endpoint_list(sidecar, balancing.EndpointUpdateKind.CACHED)
-            self._schedule(self._draw_gap_ns(sidecar), lambda sidecar=sidecar: self._arrive(sidecar))  # type: ignore[misc]
+            self._schedule(self._draw_gap_ns(sidecar), lambda sidecar=sidecar: self._add_request(sidecar))  # type: ignore[misc]
 
     def run(self, duration_ns: int) -> None:
-        """Advance the clock and run the events that are due."""
-        until = self.now_ns + duration_ns
-        while self._events and self._events[0][0] <= until:
+        """Advance the clock by ``duration_ns`` and run the events that become due."""
+        until_ns = self.now_ns + duration_ns
+        while self._events and self._events[0][0] <= until_ns:
             self.now_ns, _, event = heappop(self._events)
             event()
-        self.now_ns = until
+        self.now_ns = until_ns
 
     def replace(self, old: list[int], new: list[int]) -> None:
-        """Replace servers by cold ones that start now; every sidecar gets the new list immediately."""
+        """Replace servers by cold ones that start now; every sidecar gets the new endpoint list immediately."""
         for number in old:
             del self.servers[number]
         for number in new:
@@ -70,12 +70,12 @@
             self.send_endpoint_list(sidecar, balancing.EndpointUpdateKind.FULL)
 
     def restart(self, share: float) -> None:
-        """Restart that share of the sidecars, the busiest first, with the cached list and no learned state."""
+        """Restart a share of the sidecars, the busiest first; they keep only the cached endpoint list."""
         busiest_first = sorted(range(len(self.balancers)), key=lambda sidecar: -self.request_rates[sidecar])
         for sidecar in busiest_first[: round(share * len(busiest_first))]:
             self._sequence += 1
             for request_id in self._unfinished(sidecar):
-                self._end(sidecar, request_id, RequestOutcome.LOST)
+                self._finish_request(sidecar, request_id, RequestOutcome.LOST)
             self.balancers[sidecar] = Balancer(self.settings.balancing, self._sequence)
             self.send_endpoint_list(sidecar, balancing.EndpointUpdateKind.CACHED)
 
@@ -86,7 +86,7 @@
         return [self.servers[number].model.in_flight for number in sorted(self.servers)]
 
     def slow_down_all(self, factor: float) -> None:
-        """Make each server slower by ``factor`` (1: not at all), as a slow shared dependency does."""
+        """Make every server slower by ``factor`` (1: not at all), as a slow shared dependency does."""
         for server in self.servers.values():
             self._advance(server)
             server.model.slowdown = factor
@@ -96,7 +96,7 @@
         return sum(server.model.choke.is_active for server in self.servers.values())
 
     def send_endpoint_list(self, sidecar: int, kind: balancing.EndpointUpdateKind) -> None:
-        """Give one sidecar the endpoint list."""
+        """Deliver the endpoint list to one sidecar."""
         self._feed(sidecar, balancing.EndpointUpdate(kind, [server.endpoint for server in self.servers.values()]))
 
     def _make_server(self, number: int, started_ns: int = 0) -> FleetServer:
@@ -126,8 +126,6 @@
             if other == sidecar and request.outcome is None
         ]
 
-    # ------------------------------------------------------------ the events
-
     def _schedule(self, delay_ns: int, event: Callable[[], None]) -> None:
         self._sequence += 1
         heappush(self._events, (self.now_ns + delay_ns, self._sequence, event))
@@ -135,9 +133,9 @@
     def _draw_gap_ns(self, sidecar: int) -> int:
         return int(self.random.expovariate(self.request_rates[sidecar]) * NS_PER_S)
 
-    def _arrive(self, sidecar: int) -> None:
+    def _add_request(self, sidecar: int) -> None:
         settings = self.settings
-        self._schedule(self._draw_gap_ns(sidecar), lambda: self._arrive(sidecar))
+        self._schedule(self._draw_gap_ns(sidecar), lambda: self._add_request(sidecar))
         self._sequence += 1
         request_id = f"r{self._sequence}"
         class_index = self.random.choices(range(len(settings.class_shares)), settings.class_shares)[0]
@@ -147,7 +145,7 @@
         work_s = self.random.gammavariate(0.5, 2) * settings.work_s[class_index]
         request = FleetRequest(class_index, tenant, work_s)
         self.requests[sidecar, request_id] = request
-        self._count(request, RequestOutcome.ARRIVED)
+        self._count_outcome(request, RequestOutcome.ARRIVED)
         time_left_ns = settings.balancing.classes[class_index].deadline_ns
         self._feed(sidecar, balancing.Request(request_id, class_index, tenant, time_left_ns))
 
@@ -156,9 +154,9 @@
             if isinstance(action, balancing.SendAttempt):
                 self._send(sidecar, action)
             elif isinstance(action, balancing.RejectRequest):
-                self._end(sidecar, action.request_id, RequestOutcome.REJECTED)
+                self._finish_request(sidecar, action.request_id, RequestOutcome.REJECTED)
             elif isinstance(action, balancing.FailRequest):
-                self._end(sidecar, action.request_id, RequestOutcome.FAILED)
+                self._finish_request(sidecar, action.request_id, RequestOutcome.FAILED)
             elif isinstance(action, balancing.SetTimer):
                 fired = balancing.TimerFired(action.timer)
                 self._schedule(action.delay_ns, lambda fired=fired: self._feed(sidecar, fired))  # type: ignore[misc]
@@ -188,13 +186,13 @@
         self._schedule_wake(server)
 
     def _advance(self, server: FleetServer) -> None:
-        """Advance a server's model to the present time and deliver the responses of finished jobs."""
+        """Advance a server's model to the current time and deliver the responses of finished jobs."""
         for job in server.model.advance(self.now_ns / NS_PER_S):
-            if job in server.attempts:  # else it was cancelled at the same time
+            if job in server.attempts:  # otherwise it was cancelled at the same time
                 self._finish_attempt(server.attempts.pop(job), balancing.AttemptResult.OK)
 
     def _schedule_wake(self, server: FleetServer) -> None:
-        """Schedule the next advance of a server's model for when its next job finishes."""
+        """Schedule the next advance of a server's model for the time when its next job finishes."""
         due_s = server.model.next_due()
         if due_s == inf or server.next_wake_s <= due_s:
             return
@@ -212,7 +210,7 @@
         self._schedule(delay_ns, lambda: self._finish_attempt(key, result))
 
     def _finish_attempt(self, key: AttemptKey, result: balancing.AttemptResult) -> None:
-        """End an attempt that is still open: free its server and give the balancer the result."""
+        """Finish an attempt that is still open: free its server and give the balancer the result."""
         request = self.requests[key.sidecar, key.request_id]
         if key.attempt not in request.open_attempts:
             return
@@ -238,16 +236,16 @@
         if is_first_answer:
             objective_ns = self.settings.balancing.classes[request.class_index].latency_objective_ns
             outcome = RequestOutcome.LATE if duration_ns > objective_ns else RequestOutcome.SERVED
-            self._end(key.sidecar, key.request_id, outcome)
+            self._finish_request(key.sidecar, key.request_id, outcome)
 
-    def _end(self, sidecar: int, request_id: str, outcome: RequestOutcome) -> None:
+    def _finish_request(self, sidecar: int, request_id: str, outcome: RequestOutcome) -> None:
         request = self.requests[sidecar, request_id]
         if request.outcome is None:
             request.outcome = outcome
-            self._count(request, outcome)
+            self._count_outcome(request, outcome)
             for attempt in list(request.open_attempts):
                 self._finish_attempt(AttemptKey(sidecar, request_id, attempt), balancing.AttemptResult.CANCELLED)
 
-    def _count(self, request: FleetRequest, outcome: RequestOutcome) -> None:
+    def _count_outcome(self, request: FleetRequest, outcome: RequestOutcome) -> None:
         self.class_counts[outcome, request.class_index] += 1
         self.tenant_counts[outcome, request.tenant] += 1
