--- a/tests/balancing/fleet_records.py
+++ b/tests/balancing/fleet_records.py
@@ -1,4 +1,4 @@
-"""The settings of a simulated fleet, and its records of servers, requests and attempts."""
+"""The settings of a simulated fleet, and the records that it keeps of servers, requests and attempts."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class LoadReportTiming(NamedTuple):
-    """How load reports are refreshed and delayed; each time is drawn from half to one and a half of its mean."""
+    """Interval and delay of load reports; each value is random, between 0.5 and 1.5 times its mean."""
 
     mean_interval_ns: int
     mean_delay_ns: int
@@ -27,8 +27,8 @@
     balancing: balancing.Settings
     sidecars: int
     servers: int
-    request_rate: float  # a second, of all sidecars together
-    work_s: tuple[float, ...]  # of one core, by class
+    request_rate: float  # requests a second, all sidecars together
+    work_s: tuple[float, ...]  # mean CPU seconds of one core, by class
     class_shares: tuple[float, ...] = (1.0,)
     tenant_shares: tuple[float, ...] = (1.0,)
     seed: int = 1
@@ -39,7 +39,7 @@
 
 
 class RequestOutcome(Enum):
-    """The outcome of a request; ARRIVED counts every request."""
+    """The outcome of a request; ``ARRIVED`` is counted for every request."""
 
     ARRIVED = "arrived"
     SERVED = "served"
@@ -58,7 +58,7 @@
 
 
 class SentAttempt(NamedTuple):
-    """When an attempt was sent and its job; None where the server no longer exists."""
+    """When an attempt was sent, and its job; ``None`` if the server did not exist any more."""
 
     sent_ns: int
     job: Job | None
@@ -66,14 +66,14 @@
 
 @dataclass
 class FleetServer:
-    """One server, and when attempts were sent to it."""
+    """One server, its model, and the attempts that were sent to it."""
 
     endpoint: balancing.Endpoint
     model: ServerModel
     send_times_ns: list[int] = field(default_factory=list)
-    reported_in_flight: float | None = None  # what its responses report, as of the last refresh
+    reported_in_flight: float | None = None  # in its load reports, since the last refresh
     attempts: dict[Job, AttemptKey] = field(default_factory=dict)
-    next_wake_s: float = inf  # when the model is to be advanced next
+    next_wake_s: float = inf  # when the model must be advanced next
 
 
 @dataclass
@@ -83,6 +83,6 @@
     class_index: int
     tenant: int
     work_s: float
-    endpoint_ids: list[int] = field(default_factory=list)  # by attempt
+    endpoint_ids: list[int] = field(default_factory=list)  # by attempt number
     open_attempts: dict[int, SentAttempt] = field(default_factory=dict)
     outcome: RequestOutcome | None = None
