--- a/tests/balancing/policy_modules.py
+++ b/tests/balancing/policy_modules.py
@@ -1,4 +1,4 @@
-"""Checks of the modules that the deploy file lists under ``policy``: no clock, no I/O, no unseeded randomness."""
+"""Checks that the modules listed under ``policy`` in the deploy file use no clock, I/O or unseeded randomness."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         "timers",
     }
 )
-"""Modules under ``balancing`` that hold values, records and containers, and decide nothing."""
+"""Modules under ``balancing`` that define values, records and containers but make no decisions."""
 
 ALLOWED_MODULES = frozenset(
     {
@@ -44,19 +44,19 @@
         "lugtally.units",
     }
 )
-"""What may be imported: no clock, no socket, no file, nothing of a higher floor."""
+"""Modules that may be imported: none gives access to a clock, socket or file, and none is of a higher layer."""
 IO_BUILTINS = frozenset({"__import__", "breakpoint", "compile", "eval", "exec", "input", "open", "print"})
 
 
 def policy_names() -> list[str]:
-    """Return the paths that the deploy file lists under ``policy``."""
+    """Return the paths of the modules that the deploy file lists under ``policy``."""
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
     names: list[str] = deploy["policy"]
     return names
 
 
 def violations(source: str) -> list[str]:
-    """Return the violations in the source of a policy module, one text for each."""
+    """Return a description of each violation in the source of a policy module."""
     found = [f"line {number} is too long" for number, line in enumerate(source.splitlines(), 1) if is_too_long(line)]
     for node in ast.walk(ast.parse(source)):
         found += [f"imports {name}" for name in imported_names(node) if not is_allowed(name)]
@@ -76,7 +76,7 @@
 
 
 def imported_names(node: ast.AST) -> Iterator[str]:
-    """Yield the names that an import statement imports, as ``package.name`` where they are taken from a package."""
+    """Yield the names that an import statement imports; those of ``from module import name`` as ``module.name``."""
     if isinstance(node, ast.Import):
         yield from (alias.name for alias in node.names)
     elif isinstance(node, ast.ImportFrom):
@@ -85,7 +85,7 @@
 
 
 def is_allowed(name: str) -> bool:
-    """Return whether an import is allowed; of ``random`` only the class that takes a seed."""
+    """Return whether an import is allowed; from ``random`` only the class that takes a seed."""
     if name.startswith("random"):
         return name == "random.Random"
     module = name.rpartition(".")[0]
