--- a/tests/balancing/harness.py
+++ b/tests/balancing/harness.py
@@ -1,6 +1,6 @@
-"""A test harness for one balancer: it feeds events and checks each action against the four rules.
+"""A test harness for one balancer: it delivers events and checks each action against the four rules.
 
-The harness has its own records of requests and attempts and reads none of the balancer's state.
+The harness keeps its own records of requests and attempts, so that the checks do not rely on the balancer's state.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from lugtally import Balancer, balancing
 from lugtally.units import NS_PER_MS, NS_PER_S
 
-START_NS = 1000 * NS_PER_S  # endpoints with started_ns = 0 have long warmed up by then
+START_NS = 1000 * NS_PER_S  # so late that endpoints with started_ns = 0 are fully warmed up
 
 IDEMPOTENT = balancing.RequestClass(
     "safe", balancing.Idempotency.IDEMPOTENT, latency_objective_ns=300 * NS_PER_MS, deadline_ns=NS_PER_S
@@ -24,14 +24,14 @@
 def with_idempotency_key(
     scope: balancing.DeduplicationScope, window_ns: int = 750 * NS_PER_MS
 ) -> balancing.RequestClass:
-    """Return a class whose requests carry an idempotency key that is deduplicated in ``scope``."""
+    """Return a class whose requests are deduplicated by their idempotency key within ``scope``."""
     return balancing.RequestClass(
         "keyed", balancing.Idempotency.IDEMPOTENCY_KEY, scope, window_ns, 300 * NS_PER_MS, NS_PER_S
     )
 
 
 def make_settings(*classes: balancing.RequestClass, **overrides: Any) -> balancing.Settings:
-    """Return permissive settings: hedging, cancellation, Retry-After and several attempts are allowed."""
+    """Return permissive settings: hedging, cancellation, Retry-After and up to four attempts are allowed."""
     defaults = balancing.Settings(
         classes=classes or (IDEMPOTENT,),
         fleet_size=3,
@@ -48,17 +48,17 @@
 
 
 def make_endpoints(count: int, **fields: Any) -> list[balancing.Endpoint]:
-    """Return ``count`` endpoints with the ids 1, 2, ...; every third one in each zone and cell."""
+    """Return ``count`` endpoints with the ids 1, 2, ..., spread evenly over three zones and three cells."""
     return [balancing.Endpoint(number, zone=number % 3, cell=number % 3, **fields) for number in range(1, count + 1)]
 
 
 @dataclass
 class TrackedAttempt:
-    """One attempt as the checker sees it."""
+    """The harness's record of one attempt."""
 
     endpoint_id: int
     sent_ns: int
-    zone: int  # of the server at the time of the attempt, where its idempotency key is recorded
+    zone: int  # of the endpoint when the attempt was sent: its idempotency key is recorded there
     cell: int
     is_open: bool = True
     may_have_run: bool = True
@@ -66,7 +66,7 @@
 
 @dataclass
 class TrackedRequest:
-    """One request as the checker sees it."""
+    """The harness's record of one request."""
 
     request_class: balancing.RequestClass
     deadline_ns: int
@@ -77,12 +77,12 @@
 
     @property
     def is_answered(self) -> bool:
-        """Whether no final answer may follow: it was given, or the response is being streamed to the client."""
+        """Whether no final answer may follow: one was given, or a response is being streamed to the client."""
         return self.finished or self.streaming
 
 
 class BalancerHarness:
-    """Feed a balancer with events and check each of its actions against the four rules."""
+    """Delivers events to a balancer and checks each of its actions against the four rules."""
 
     def __init__(self, settings: balancing.Settings, seed: int = 1) -> None:
         self.settings = settings
@@ -90,13 +90,13 @@
         self.now_ns = START_NS
         self.requests: dict[str, TrackedRequest] = {}
         self.endpoints: dict[int, balancing.Endpoint] = {}
-        self.drained: set[int] = set()
-        self.timers: list[tuple[int, balancing.Timer]] = []  # when due
-        self.sends: list[tuple[int, int]] = []  # when, to which endpoint
+        self.draining_ids: set[int] = set()
+        self.timers: list[tuple[int, balancing.Timer]] = []  # (due_ns, timer)
+        self.sends: list[tuple[int, int]] = []  # (sent_ns, endpoint_id)
         self.actions: list[balancing.Action] = []
 
     def feed(self, event: balancing.Event) -> list[balancing.Action]:
-        """Deliver one event at the present time; return the actions after checking them."""
+        """Deliver one event at the current time; check the actions and return them."""
         if isinstance(event, balancing.EndpointUpdate) and event.kind is not balancing.EndpointUpdateKind.FAILED:
             self._apply_update(event)
         elif isinstance(event, balancing.Request):
@@ -121,9 +121,9 @@
         for endpoint in event.endpoints:
             self.endpoints[endpoint.id] = replace(endpoint)
             if endpoint.state is balancing.EndpointState.DRAINING:
-                self.drained.add(endpoint.id)
+                self.draining_ids.add(endpoint.id)
             elif endpoint.state is balancing.EndpointState.READY:
-                self.drained.discard(endpoint.id)
+                self.draining_ids.discard(endpoint.id)
         if event.kind is not balancing.EndpointUpdateKind.DELTA:
             for endpoint in self.endpoints.values():
                 if endpoint.id not in listed:
@@ -158,14 +158,14 @@
 
     def _check_send(self, action: balancing.SendAttempt) -> None:
         request, endpoint = self.requests[action.request_id], self.endpoints[action.endpoint_id]
-        assert not request.finished, "sent a finished request"
-        assert not request.streaming, "sent a request whose response is streamed"
-        assert self.now_ns < request.deadline_ns, "sent after the deadline"
+        assert not request.finished, "sent an attempt of a finished request"
+        assert not request.streaming, "sent an attempt although a response is being streamed"
+        assert self.now_ns < request.deadline_ns, "sent an attempt at or after the deadline"
         assert 0 < action.timeout_ns <= request.deadline_ns - self.now_ns
         assert len(request.attempts) < self.settings.max_attempts
         if any(attempt.is_open for attempt in request.attempts):
-            assert self.settings.hedging_allowed, "two attempts at once"
-        assert endpoint.id not in self.drained, "sent to a draining server"
+            assert self.settings.hedging_allowed, "two attempts in flight without hedging"
+        assert endpoint.id not in self.draining_ids, "sent to a draining server"
         assert endpoint.state is balancing.EndpointState.READY or not self.settings.removal_is_binding, (
             "sent to a removed server"
         )
@@ -184,34 +184,34 @@
             assert self.now_ns - first.sent_ns <= request_class.deduplication_window_ns, "retried after the window"
             if request_class.deduplication_scope is not balancing.DeduplicationScope.ALL:
                 scope = request_class.deduplication_scope.value
-                assert getattr(endpoint, scope) == getattr(first, scope), "left the deduplication scope"
+                assert getattr(endpoint, scope) == getattr(first, scope), "retried outside the deduplication scope"
 
     def send_request(
         self, name: str, class_index: int = 0, time_left_ns: int = NS_PER_S, tenant: int = 0
     ) -> list[balancing.Action]:
-        """Let a request arrive."""
+        """Deliver a new request."""
         return self.feed(balancing.Request(name, class_index, tenant, time_left_ns))
 
     def finish_attempt(
         self, name: str, attempt_index: int, result: balancing.AttemptResult, finishes_request: bool | None = None
     ) -> list[balancing.Action]:
-        """Finish an attempt; ``finishes_request`` overrides whether the request finishes with it."""
+        """Finish an attempt with ``result``; ``finishes_request`` overrides whether its request finishes, too."""
         request = self.requests[name]
         attempt = request.attempts[attempt_index]
         attempt.is_open = False
         if result in balancing.NOT_PROCESSED:
             attempt.may_have_run = False
-        ends = result is balancing.AttemptResult.OK or request.streaming
-        request.finished = request.finished or (ends if finishes_request is None else finishes_request)
+        is_final = result is balancing.AttemptResult.OK or request.streaming
+        request.finished = request.finished or (is_final if finishes_request is None else finishes_request)
         duration_ns = self.now_ns - attempt.sent_ns
         return self.feed(
             balancing.AttemptFinished(name, attempt_index, attempt.endpoint_id, result, request.finished, duration_ns)
         )
 
     def pass_time(self, duration_ns: int, interval_ns: int = 5 * NS_PER_MS) -> None:
-        """Advance the clock; deliver due timers and time out attempts at their deadlines."""
-        until = self.now_ns + duration_ns
-        while self.now_ns < until:
+        """Advance the clock in steps of ``interval_ns``; fire due timers and time out attempts at their deadlines."""
+        until_ns = self.now_ns + duration_ns
+        while self.now_ns < until_ns:
             self.now_ns += interval_ns
             due = [timer for timer in self.timers if timer[0] <= self.now_ns]
             self.timers = [timer for timer in self.timers if timer[0] > self.now_ns]
@@ -223,28 +223,28 @@
                         self.finish_attempt(name, index, balancing.AttemptResult.TIMEOUT)
 
     def run_to_deadlines(self) -> None:
-        """Advance past every deadline and check that each request has at most one final answer and is not lost."""
+        """Advance past every deadline; check that each request is answered, with at most one final answer."""
         last_deadline_ns = max([0, *(request.deadline_ns for request in self.requests.values())])
         self.pass_time(last_deadline_ns - self.now_ns + 50 * NS_PER_MS)
         for name, request in self.requests.items():
-            assert request.is_answered, f"{name} was lost"
+            assert request.is_answered, f"request {name} was not answered"
             assert request.final_answers <= 1
 
 
 def start_harness(settings: balancing.Settings, endpoints: list[balancing.Endpoint], seed: int = 1) -> BalancerHarness:
-    """Return a harness whose balancer has been given its first endpoint list."""
+    """Return a harness whose balancer has received its first endpoint list."""
     harness = BalancerHarness(settings, seed)
     harness.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.CACHED, endpoints))
     return harness
 
 
 def sent_endpoint_ids(actions: list[balancing.Action]) -> list[int]:
-    """Return the ids of the endpoints that the actions send to."""
+    """Return the ids of the endpoints that the actions send attempts to."""
     return [action.endpoint_id for action in actions if isinstance(action, balancing.SendAttempt)]
 
 
-def time_out_on_idle_connections(harness: BalancerHarness) -> None:
-    """Let two consecutive requests time out on connections that were idle for a second."""
+def leave_unanswered_on_idle_connections(harness: BalancerHarness) -> None:
+    """Let two consecutive requests get no response on connections that were idle for a second."""
     serve_requests(harness, 60)
     harness.pass_time(NS_PER_S)
     for number in range(2):
@@ -255,7 +255,7 @@
 def serve_requests(
     harness: BalancerHarness, count: int, duration_ns: int = 40 * NS_PER_MS, gap_ns: int = 10 * NS_PER_MS
 ) -> None:
-    """Send ``count`` requests, each answered after ``duration_ns``, before the next one is sent."""
+    """Send ``count`` requests one after the other; each is answered after ``duration_ns``."""
     first = len(harness.requests)
     for number in range(first, first + count):
         name = f"warm{number}"
--- a/tests/balancing/test_rules.py
+++ b/tests/balancing/test_rules.py
@@ -10,11 +10,11 @@
     IDEMPOTENT,
     NON_IDEMPOTENT,
     BalancerHarness,
+    leave_unanswered_on_idle_connections,
     make_endpoints,
     make_settings,
     sent_endpoint_ids,
     start_harness,
-    time_out_on_idle_connections,
     with_idempotency_key,
 )
 
@@ -83,7 +83,7 @@
 def test_hedged_request_is_sent_only_where_allowed() -> None:
     for allowed in (False, True):
         harness = start_harness(make_settings(hedging_allowed=allowed), make_endpoints(12))
-        time_out_on_idle_connections(harness)
+        leave_unanswered_on_idle_connections(harness)
         harness.send_request("a")
         harness.pass_time(900 * NS_PER_MS)
         assert (len(harness.requests["a"].attempts) > 1) is allowed
@@ -91,7 +91,7 @@
 
 def test_retry_without_hedging_cancels_the_first_attempt() -> None:
     harness = start_harness(make_settings(hedging_allowed=False), make_endpoints(12))
-    time_out_on_idle_connections(harness)
+    leave_unanswered_on_idle_connections(harness)
     harness.send_request("a")
     actions_before = len(harness.actions)
     harness.pass_time(200 * NS_PER_MS)
@@ -173,7 +173,7 @@
 
 def test_streamed_response_is_not_hedged() -> None:
     harness = start_harness(make_settings(replace(IDEMPOTENT, stream=True)), make_endpoints(12))
-    time_out_on_idle_connections(harness)
+    leave_unanswered_on_idle_connections(harness)
     harness.send_request("a")
     harness.feed(balancing.ResponseStarted("a", 0, harness.requests["a"].attempts[0].endpoint_id))
     harness.pass_time(900 * NS_PER_MS)
@@ -186,14 +186,14 @@
     harness = start_harness(
         make_settings(with_idempotency_key(balancing.DeduplicationScope.ALL, 120 * NS_PER_MS)), make_endpoints(12)
     )
-    time_out_on_idle_connections(harness)
+    leave_unanswered_on_idle_connections(harness)
     harness.send_request("a")
     harness.pass_time(900 * NS_PER_MS)
     assert len(harness.requests["a"].attempts) == 1
     longer = start_harness(
         make_settings(with_idempotency_key(balancing.DeduplicationScope.ALL, 800 * NS_PER_MS)), make_endpoints(12)
     )
-    time_out_on_idle_connections(longer)
+    leave_unanswered_on_idle_connections(longer)
     longer.send_request("a")
     longer.pass_time(900 * NS_PER_MS)
     assert len(longer.requests["a"].attempts) == 2, "no hedged request within a longer window"
--- a/tests/balancing/test_stale_connections.py
+++ b/tests/balancing/test_stale_connections.py
@@ -4,13 +4,13 @@
 
 from lugtally import balancing
 from lugtally.units import NS_PER_MS
-from tests.balancing.harness import make_endpoints, make_settings, start_harness, time_out_on_idle_connections
+from tests.balancing.harness import leave_unanswered_on_idle_connections, make_endpoints, make_settings, start_harness
 
 
 def test_stale_idle_connections_are_closed_before_a_send() -> None:
     """After timeouts on idle connections, the idle connections of each endpoint that is sent to are closed."""
     harness = start_harness(make_settings(), make_endpoints(12))
-    time_out_on_idle_connections(harness)
+    leave_unanswered_on_idle_connections(harness)
     assert not [action for action in harness.actions if isinstance(action, balancing.CloseIdleConnections)]
     harness.send_request("a")
     harness.pass_time(1200 * NS_PER_MS)
