--- a/tests/balancing/test_admission.py
+++ b/tests/balancing/test_admission.py
@@ -1,4 +1,4 @@
-"""Tests of admission, the concurrency limit and class priority."""
+"""Tests of admission control, the concurrency limit and class priority."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def test_concurrency_limit_rejects_when_no_attempt_finishes() -> None:
-    """The limit counts all attempts of the balancer: at most four for each server in its share of the fleet."""
+    """The limit counts all attempts in flight: at most four for each server of the balancer's share of the fleet."""
     harness = start_harness(make_settings(max_attempts=1, fleet_size=6), make_endpoints(54))
     serve_requests(harness, 150)
     sends = len(harness.sends)
@@ -33,7 +33,7 @@
 
 
 def test_lost_responses_do_not_lower_admission() -> None:
-    """Servers that lose one response in four and answer the others quickly are not treated as congested."""
+    """Servers that lose one response in four but answer the others quickly do not count as congested."""
     harness = start_harness(make_settings(max_attempts=1, fleet_size=2), make_endpoints(10))
     serve_requests(harness, 100)
     for number in range(60):
@@ -51,17 +51,17 @@
 
 
 def test_concurrency_limit_follows_the_latency_objective() -> None:
-    """Responses of 2 ms under an objective of 300 ms raise the limit above its floor."""
+    """Responses in 2 ms with a latency objective of 300 ms raise the limit above its minimum."""
     harness = start_harness(make_settings(max_attempts=1, fleet_size=2), make_endpoints(10))
     for number in range(600):
         harness.send_request(f"x{number}")
         harness.now_ns += 2 * NS_PER_MS
         harness.finish_attempt(f"x{number}", 0, balancing.AttemptResult.OK)
-    assert harness.balancer.limiter.limit > 30, "the floor is 20"
+    assert harness.balancer.limiter.limit > 30, "the minimum is 20"
 
 
 def test_late_responses_shed_low_priority_classes_first() -> None:
-    """In a large fleet no sidecar reaches its concurrency limit, so that late responses must lower admission."""
+    """In a large fleet no sidecar reaches its concurrency limit, so late responses must lower admission."""
     valuable = replace(IDEMPOTENT, name="valuable", priority_weight=20.0)
     harness = start_harness(make_settings(IDEMPOTENT, valuable, max_attempts=1, fleet_size=100), make_endpoints(12))
     admitted = [0, 0]
@@ -86,7 +86,7 @@
 
 
 def test_latency_far_below_the_objective_is_not_congestion() -> None:
-    """Responses at eight times the baseline are accepted while they take a thirtieth of the objective."""
+    """Responses at eight times the baseline shed nothing while they take a thirtieth of the objective."""
     relaxed = replace(IDEMPOTENT, latency_objective_ns=500 * NS_PER_MS, deadline_ns=2 * NS_PER_S)
     harness = start_harness(make_settings(relaxed, max_attempts=1), make_endpoints(10))
     serve_requests(harness, 100, duration_ns=2 * NS_PER_MS)
@@ -105,7 +105,7 @@
 
 
 def test_class_demand_stays_positive_after_a_long_idle_time() -> None:
-    """The demand is a divisor: it must not decay to zero."""
+    """The demand of a class is used as a divisor, so it must not decay to zero."""
     harness = start_harness(
         make_settings(IDEMPOTENT, tenants=(balancing.Tenant("a", 10.0),), load_report_fields=("inflight",)),
         make_endpoints(4),
