--- a/tests/balancing/test_endpoint_list.py
+++ b/tests/balancing/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Tests of the endpoint list: without a usable endpoint, and while discovery fails."""
+"""Tests of requests without a usable endpoint, and of polls of the endpoint list while discovery fails."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def test_failed_discovery_is_polled_at_the_configured_interval() -> None:
-    """The backoff between failed calls is jittered and never exceeds ``max_poll_interval_ns``."""
+    """The backoff after a failed poll is random and never longer than ``max_poll_interval_ns``."""
     for max_poll_interval_ns, max_backoff_ns in (
         (NS_PER_S, NS_PER_S),
         (0, 8 * NS_PER_S),
@@ -39,4 +39,4 @@
             delays += [due_ns - harness.now_ns for due_ns, timer in harness.timers if timer == balancing.PollTimer()]
         assert len(delays) == 60
         assert 0.7 * max_backoff_ns < max(delays) <= max_backoff_ns
-        assert len(set(delays)) > 50, "forty sidecars must not poll at the same moments"
+        assert len(set(delays)) > 50, "sidecars must not all poll at the same time"
