--- a/tests/balancing/test_fleet.py
+++ b/tests/balancing/test_fleet.py
@@ -1,4 +1,4 @@
-"""Tests of many balancers that share servers: slow start, congestion, priority and quotas of a fleet."""
+"""Tests of a fleet of balancers that share servers: slow start, congestion, priority and tenant quotas."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
     "initial_capacity": DEFAULT_SERVER_TRAITS.initial_capacity,
     "overload_multiple": DEFAULT_SERVER_TRAITS.collapse_multiple,
 }
-WORK_S = 0.08  # of one core
+WORK_S = 0.08  # CPU seconds of one core
 
 
 def make_fleet(sidecars: int, servers: int, load: float = 0.6, seed: int = 1) -> Fleet:
-    """Return a fleet whose servers are loaded to that part of their cores."""
+    """Return a fleet whose requests use the fraction ``load`` of the servers' cores."""
     balancer_settings = make_settings(IDEMPOTENT, fleet_size=sidecars, **SLOW_START)
     request_rate = servers * DEFAULT_SERVER_TRAITS.cores * load / WORK_S
     return Fleet(FleetSettings(balancer_settings, sidecars, servers, request_rate, (WORK_S,), seed=seed))
@@ -33,10 +33,10 @@
 
 @pytest.mark.parametrize(("sidecars", "servers"), [(4, 12), (40, 60), (200, 60)])
 def test_cold_servers_get_a_slow_start_share_from_all_sidecars(sidecars: int, servers: int) -> None:
-    """The rate at cold servers is between 50% and 85% of what the slow-start ramp allows, and none collapses."""
+    """Cold servers get between 50% and 85% of what the slow-start ramp allows, and none collapses."""
     fleet = make_fleet(sidecars, servers)
     fleet.run(10 * NS_PER_S)
-    warm_rate = mean(len(server.send_times_ns) for server in fleet.servers.values()) / 10  # a second, at a warm one
+    warm_rate = mean(len(server.send_times_ns) for server in fleet.servers.values()) / 10  # requests a second at one
     replaced_count = servers * 3 // 10
     new = range(1001, 1001 + replaced_count)
     fleet.replace(list(range(1, replaced_count + 1)), list(new))
@@ -48,12 +48,12 @@
         + (1 - DEFAULT_SERVER_TRAITS.initial_capacity) * 2 / DEFAULT_SERVER_TRAITS.warm_up_s
     )  # on average over these seconds
     assert cold_rate > 0.5 * ramp * warm_rate, "cold servers get too little while warm ones get too much"
-    assert cold_rate < 0.85 * ramp * warm_rate, "slow start admits more than the configured part"
+    assert cold_rate < 0.85 * ramp * warm_rate, "slow start admits more than its share"
     assert not any(server.model.collapsed for server in cold), "the sidecars together overloaded a cold server"
 
 
 def excess_over_budget(server: FleetServer, started_ns: int, window_ns: int) -> float:
-    """Return by how many requests the fullest window exceeds the budget and the statistical allowance.
+    """Return by how many requests the busiest window exceeds the budget plus the statistical allowance.
 
     The budget N is the configured multiple of the server's capacity at the start of the window; the allowance is
     2 x sqrt(N) + 2.
@@ -74,8 +74,8 @@
 @pytest.mark.parametrize("load", [0.6, 0.95])
 @pytest.mark.parametrize(("sidecars", "servers"), [(4, 12), (20, 40), (30, 60), (200, 60)])
 def test_all_sidecars_stay_within_a_cold_servers_budget(sidecars: int, servers: int, load: float) -> None:
-    """The sum over all sidecars stays within the budget, also when 70% of them restart and a third of the servers
-    are replaced by cold ones at the same time."""
+    """All sidecars together stay within the budget, even if 70% of them restart while a third of the servers are
+    replaced by cold ones."""
     fleet = make_fleet(sidecars, servers, load=load, seed=2)
     fleet.run(6 * NS_PER_S)
     fleet.restart(0.7)
@@ -92,7 +92,7 @@
 
 
 def test_small_burst_at_a_quiet_sidecar_is_admitted() -> None:
-    """A sidecar with two requests in flight on average admits seven more at once."""
+    """A sidecar with two requests in flight on average admits a burst of seven."""
     harness = start_harness(make_settings(IDEMPOTENT, fleet_size=40, max_attempts=1), make_endpoints(60))
     for number in range(80):  # twenty a second, each answered after 100 ms: two in flight
         harness.send_request(f"quiet{number}")
@@ -104,8 +104,8 @@
 
 
 def test_overloaded_fleet_rejects_long_work_before_reads() -> None:
-    """Priority is weight by service time: reads are rejected less often than work of twice their weight that takes
-    six times as long."""
+    """Priority is the weight divided by the service time: reads are rejected less often than requests of twice the
+    weight that take six times as long."""
     read = replace(
         IDEMPOTENT, name="read", priority_weight=1.0, latency_objective_ns=300 * NS_PER_MS, deadline_ns=800 * NS_PER_MS
     )
@@ -126,7 +126,7 @@
 def test_one_core_servers_seldom_choke_in_a_shared_slowdown() -> None:
     """Servers of one core and four slots choke when congested for 2 s and recover only when idle.
 
-    A single run is sensitive to any change in timing, so the test checks the sum over twelve runs."""
+    A single run is sensitive to any change in timing, so the test adds up twelve runs."""
     results = [simulate_slowdown(seed, start_s) for seed in range(1, 7) for start_s in (20, 30)]
     assert sum(result.choked_server_seconds for result in results) < 135, (
         "the sidecars congested servers until they choked"
@@ -135,7 +135,7 @@
 
 
 def test_overloaded_one_core_servers_never_choke() -> None:
-    """Between two and 3.2 requests are in flight at each server on average."""
+    """Under overload 2 to 3.2 requests are in flight at each server on average."""
     fleet = congested_fleet(load=1.3, seed=2)
     in_flight, max_choked = [], 0
     for _ in range(25):
@@ -147,7 +147,7 @@
 
 
 def test_fleet_limit_grows_with_the_cores_of_the_servers() -> None:
-    """A limit of four requests at each server of four cores would leave a fifth of the capacity unused."""
+    """A limit of four requests at each server would leave a fifth of the capacity of four cores unused."""
     four_cores = replace(CHOKING_SERVER_TRAITS, cores=4, slots=16, max_queue=160)
     fleet = congested_fleet(load=0.8, seed=2, server_traits=(four_cores,))
     fleet.run(20 * NS_PER_S)
@@ -158,9 +158,9 @@
 
 
 def test_overloaded_fleet_rejects_tenant_over_quota_first() -> None:
-    """Tenants within their quotas are treated alike; a tenant over its quota is rejected more often."""
+    """Tenants within their quotas are rejected equally often; a tenant over its quota is rejected more often."""
     rejected = []
-    for quotas in ((3.0, 3.0), (0.4, 0.4)):  # of what the fleet can do; the tenants send 0.9 and 0.3 of it
+    for quotas in ((3.0, 3.0), (0.4, 0.4)):  # fractions of the fleet's capacity; the tenants send 0.9 and 0.3 of it
         fleet = congested_fleet(
             load=1.2, seed=3, tenants=(TenantTraffic(0.75, quotas[0]), TenantTraffic(0.25, quotas[1]))
         )
@@ -169,5 +169,5 @@
         rejected.append(
             [counts[RequestOutcome.REJECTED, tenant] / counts[RequestOutcome.ARRIVED, tenant] for tenant in (0, 1)]
         )
-    assert rejected[0][1] > 0.8 * rejected[0][0], "both within their quotas: no difference is made"
+    assert rejected[0][1] > 0.8 * rejected[0][0], "both tenants are within their quotas, but one is rejected more often"
     assert rejected[1][1] < 0.6 * rejected[1][0], rejected
