--- a/tests/balancing/test_outlier_detection.py
+++ b/tests/balancing/test_outlier_detection.py
@@ -10,7 +10,7 @@
 
 
 def time_out_attempts_at(harness: BalancerHarness, endpoint_id: int, count: int) -> None:
-    """Send requests until about ``count`` attempts at ``endpoint_id`` timed out; answer all other attempts."""
+    """Send 12 x ``count`` requests with a deadline of 400 ms; answer all attempts but those at ``endpoint_id``."""
     for _ in range(count * 12):
         name = f"s{len(harness.requests)}"
         harness.send_request(name, time_left_ns=400 * NS_PER_MS)
@@ -23,7 +23,7 @@
 
 
 def test_silent_server_is_ejected_and_retried_after_ejection() -> None:
-    """The ejection expires although no request to the server is in flight."""
+    """The ejection ends even though no request to the server is in flight."""
     harness = start_harness(make_settings(hedging_allowed=False), make_endpoints(10))
     serve_requests(harness, 60)
     start = harness.now_ns
@@ -36,7 +36,7 @@
 
 
 def test_repeated_ejection_lasts_five_seconds_at_most() -> None:
-    """The ejection time does not grow beyond 5 s with further ejections."""
+    """An ejection lasts 5 s at most, however often the server was ejected before."""
     harness = start_harness(make_settings(max_attempts=1), make_endpoints(10))
     endpoint = harness.balancer.subset.members[0]
     for _ in range(9):
@@ -46,7 +46,7 @@
 
 
 def test_failing_server_is_ejected_with_half_the_fleet_ejected() -> None:
-    """A server that refuses or rejects every request is ejected although the maximum share is ejected already."""
+    """A server that refuses connections or rejects all requests is ejected beyond the maximum share."""
     for result in balancing.AttemptResult.NO_CONNECTION, balancing.AttemptResult.REJECTED:
         harness = start_harness(make_settings(max_attempts=1), make_endpoints(10))
         for endpoint in harness.balancer.subset.members[:5]:
@@ -63,7 +63,7 @@
 
 
 def test_late_responses_of_all_servers_eject_none() -> None:
-    """Late responses are congestion, not outliers, where each server still responds to other requests."""
+    """Late responses are a sign of congestion, not of outliers, if each server still responds to other requests."""
     harness = start_harness(make_settings(hedging_allowed=False, max_attempts=1), make_endpoints(10))
     serve_requests(harness, 40)
     for number in range(30):
@@ -92,7 +92,7 @@
 
 
 def test_single_resets_among_good_responses_eject_none() -> None:
-    """One reset in twenty responses, spread over all servers, ejects next to none."""
+    """One reset in twenty responses, spread over all servers, hardly ever ejects one."""
     harness = start_harness(make_settings(max_attempts=1), make_endpoints(10))
     ejected = 0
     for number in range(300):
@@ -115,7 +115,7 @@
 
 
 def test_slow_servers_are_ejected_lowest_id_first() -> None:
-    """Servers that are slow without concurrency are ejected by ascending id: the same ones at every balancer."""
+    """Servers that are slow with one request at a time are ejected by ascending id: the same ones at all balancers."""
     harness = start_harness(make_settings(), make_endpoints(10))
     serve_requests(harness, 40)
     for endpoint in harness.balancer.subset.members:
