--- a/tests/balancing/test_picker.py
+++ b/tests/balancing/test_picker.py
@@ -1,4 +1,4 @@
-"""Tests of the subset of endpoints, and of the pick among them by load, zone and load report."""
+"""Tests of the subset of endpoints, and of the choice among them by load, zone and load report."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def test_subset_grows_with_own_requests_in_flight() -> None:
-    """A balancer with much traffic needs more than the ten members of the smallest subset."""
+    """With much traffic the subset has more members than its minimum of ten."""
     harness = start_harness(make_settings(fleet_size=20), make_endpoints(40))
     for number in range(14):
         harness.send_request(f"a{number}", time_left_ns=5 * NS_PER_S)
@@ -43,7 +43,7 @@
 
 
 def test_pick_avoids_reported_queue_and_late_idle_server() -> None:
-    """Load reports decide between servers with equal requests in flight, unless the latency contradicts them."""
+    """Load reports decide between servers with equally many requests in flight, unless latency contradicts them."""
 
     def send_share(report: float, duration_ns: int) -> float:
         harness = start_harness(make_settings(load_report_fields=("queue",)), make_endpoints(10))
@@ -69,11 +69,13 @@
         return sends / 350
 
     assert send_share(6.0, 40 * NS_PER_MS) < 0.07, "a server that reports a queue is picked too often"
-    assert send_share(0.0, 100 * NS_PER_MS) < 0.07, "a server that reports idle and responds late is picked too often"
+    assert send_share(0.0, 100 * NS_PER_MS) < 0.07, (
+        "a server that reports no queue but responds late is picked too often"
+    )
 
 
 def test_pick_uses_other_zones_when_own_zone_is_full() -> None:
-    """The preference for the own zone ends once its servers have many requests in flight."""
+    """The own zone is no longer preferred once its servers have many requests in flight."""
     harness = start_harness(make_settings(IDEMPOTENT, cross_zone_cost=0.1, fleet_size=1), make_endpoints(12))
     for number in range(20):
         harness.send_request(f"a{number}")
