--- a/tests/balancing/test_policy_modules.py
+++ b/tests/balancing/test_policy_modules.py
@@ -1,4 +1,4 @@
-"""The deploy file lists every module that decides, and none of them has a clock, I/O or unseeded randomness."""
+"""The deploy file lists every module that makes decisions, and no module uses a clock, I/O or unseeded randomness."""
 
 from __future__ import annotations
 
