--- a/tests/balancing/test_retries.py
+++ b/tests/balancing/test_retries.py
@@ -1,4 +1,4 @@
-"""Tests of retries: backoff, the retry budget, and the answer to a request that must not be retried."""
+"""Tests of retries: the backoff, the retry budget, and the answer to a request that is not retried."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def retry_delays_ns(actions: list[balancing.Action]) -> list[int]:
-    """Return the delays of the retries among the actions."""
+    """Return the delays of the retry timers among the actions."""
     return [
         action.delay_ns
         for action in actions
