--- a/tests/balancing/test_rules.py
+++ b/tests/balancing/test_rules.py
@@ -1,4 +1,4 @@
-"""Tests of the rules, one example each: a test fails when the check of its rule is removed."""
+"""Tests of the four rules by example: if the check of a rule is removed, its test fails."""
 
 from __future__ import annotations
 
@@ -182,7 +182,7 @@
 
 
 def test_keyed_request_is_hedged_only_in_its_window() -> None:
-    """A key whose window ends before the attempt is overdue forbids the hedged request."""
+    """A request is not hedged if its deduplication window ends before its attempt is overdue."""
     harness = start_harness(
         make_settings(with_idempotency_key(balancing.DeduplicationScope.ALL, 120 * NS_PER_MS)), make_endpoints(12)
     )
@@ -196,7 +196,7 @@
     leave_unanswered_on_idle_connections(longer)
     longer.send_request("a")
     longer.pass_time(900 * NS_PER_MS)
-    assert len(longer.requests["a"].attempts) == 2, "no hedged request within a longer window"
+    assert len(longer.requests["a"].attempts) == 2, "not hedged although the window is long enough"
 
 
 def test_late_retry_timer_sends_nothing_after_the_deadline() -> None:
@@ -211,7 +211,7 @@
 
 
 def test_may_send_to_requires_ready_server_and_open_request() -> None:
-    """The rule does not rely on the picker, which offers no such server or request."""
+    """The rule must not rely on the picker, which never passes it such a server or request."""
     harness = start_harness(make_settings(), make_endpoints(4))
     harness.send_request("a")
     balancer = harness.balancer
