--- a/tests/balancing/test_rules_random.py
+++ b/tests/balancing/test_rules_random.py
@@ -1,4 +1,4 @@
-"""Property tests: for any sequence of events the four rules hold and no exception is raised."""
+"""Property tests: the four rules hold for any sequence of events, and no exception is raised."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     with_idempotency_key,
 )
 
-HYPOTHESIS_SEED = 1  # a fixed seed: by default hypothesis derives the examples from the text of the test
+HYPOTHESIS_SEED = 1  # fixed, because by default hypothesis derives the seed from the source text of the test
 
 CLASSES = (
     IDEMPOTENT,
@@ -46,7 +46,7 @@
 
 
 def run_operations(harness: BalancerHarness, operations: list[tuple[str, int, int]]) -> None:
-    """Carry out the drawn operations; each has two drawn numbers, whose meaning depends on the operation."""
+    """Carry out the drawn operations; the meaning of their two numbers depends on the kind of operation."""
     for number, (kind, first_draw, second_draw) in enumerate(operations):
         open_attempts = [
             (name, index)
@@ -71,7 +71,7 @@
         elif kind == "list":
             update_endpoints(harness, first_draw, second_draw)
         elif kind == "unknown":
-            feed_unknown(harness, first_draw)
+            deliver_unknown_event(harness, first_draw)
 
 
 def update_endpoints(harness: BalancerHarness, number: int, kind: int) -> None:
@@ -92,8 +92,8 @@
     harness.feed(update)
 
 
-def feed_unknown(harness: BalancerHarness, number: int) -> None:
-    """Deliver an event about an unknown request, timer or endpoint; it causes no attempt and no final answer."""
+def deliver_unknown_event(harness: BalancerHarness, number: int) -> None:
+    """Deliver an event about an unknown request, timer or endpoint: it must cause no attempt and no final answer."""
     events: list[balancing.Event] = [
         balancing.ClientDisconnected("nobody"),
         balancing.TimerFired(balancing.RetryTimer("nobody")),
@@ -172,7 +172,7 @@
 def test_one_balancer_stays_within_a_cold_servers_capacity(
     age_s: int, cold_count: int, gap_ms: int, restarted: bool, seed: int
 ) -> None:
-    """One balancer sends a cold server at most three times its capacity, with the fleet at full load.
+    """At full load one balancer sends a cold server at most three times the server's capacity.
 
     Each of the 12 warm servers gets 1/12 of the traffic and is assumed to be fully loaded by it, so that the limit is
     3 x ramp x the mean rate at a server.
@@ -182,17 +182,19 @@
     if not restarted:
         send_evenly(harness, 3 * NS_PER_S, gap_ms)
     started_ns = harness.now_ns - age_s * NS_PER_S
-    fresh = [replace(endpoint, started_ns=started_ns) for endpoint in make_endpoints(12) if endpoint.id <= cold_count]
-    harness.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.DELTA, fresh))
-    start = harness.now_ns
+    cold_endpoints = [
+        replace(endpoint, started_ns=started_ns) for endpoint in make_endpoints(12) if endpoint.id <= cold_count
+    ]
+    harness.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.DELTA, cold_endpoints))
+    start_ns = harness.now_ns
     send_evenly(harness, 4 * NS_PER_S, gap_ms)
-    mean = 1000 / gap_ms / 12
+    mean_rate = 1000 / gap_ms / 12
     for server in range(1, cold_count + 1):
-        send_times = [sent_ns for sent_ns, endpoint_id in harness.sends if endpoint_id == server and sent_ns > start]
-        for first in send_times:
-            sends = sum(first <= sent_ns < first + 2 * NS_PER_S for sent_ns in send_times)
-            ramp = min(1.0, 0.12 + 0.88 * (first + 2 * NS_PER_S - started_ns) / (20 * NS_PER_S))
-            assert sends <= 2 + 3 * ramp * mean * 2
+        send_times = [sent_ns for sent_ns, endpoint_id in harness.sends if endpoint_id == server and sent_ns > start_ns]
+        for window_start_ns in send_times:
+            sends = sum(window_start_ns <= sent_ns < window_start_ns + 2 * NS_PER_S for sent_ns in send_times)
+            ramp = min(1.0, 0.12 + 0.88 * (window_start_ns + 2 * NS_PER_S - started_ns) / (20 * NS_PER_S))
+            assert sends <= 2 + 3 * ramp * mean_rate * 2
 
 
 @hypothesis_seed(HYPOTHESIS_SEED)
@@ -201,7 +203,7 @@
 def test_unequal_balancers_stay_within_a_cold_servers_capacity(age_s: int, restarted: bool, seed: int) -> None:
     """Thirty balancers, one of them with half of the traffic, share twelve fully loaded servers.
 
-    The limit applies from the moment at which the endpoint list names the cold server: 6 s into the run for an update.
+    The limit applies from the time at which the endpoint list names the cold server: 6 s into the run for an update.
     """
     count, rate = 30, 240.0
     harnesses = [
@@ -209,56 +211,58 @@
     ]
     rates = [rate / 2] + [rate / 2 / (count - 1)] * (count - 1)
     random = Random(seed)
-    due: list[float] = [random.expovariate(each) for each in rates]
-    informed = harnesses[0].now_ns + 6 * NS_PER_S
-    started_ns = informed - age_s * NS_PER_S
-    fresh = [
+    next_arrivals_s: list[float] = [random.expovariate(each_rate) for each_rate in rates]
+    listed_ns = harnesses[0].now_ns + 6 * NS_PER_S
+    started_ns = listed_ns - age_s * NS_PER_S
+    cold_endpoints = [
         replace(endpoint, started_ns=started_ns) if endpoint.id == 1 else endpoint for endpoint in make_endpoints(12)
     ]
     for harness in harnesses:
         harness.feed(
-            balancing.EndpointUpdate(balancing.EndpointUpdateKind.CACHED, fresh if restarted else make_endpoints(12))
+            balancing.EndpointUpdate(
+                balancing.EndpointUpdateKind.CACHED, cold_endpoints if restarted else make_endpoints(12)
+            )
         )
     for tick in range(2000):
         for index, harness in enumerate(harnesses):
             if tick == 1200 and not restarted:
-                harness.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.DELTA, [fresh[0]]))
-            while due[index] * NS_PER_S < tick * 5 * NS_PER_MS:
-                due[index] += random.expovariate(rates[index])
+                harness.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.DELTA, [cold_endpoints[0]]))
+            while next_arrivals_s[index] * NS_PER_S < tick * 5 * NS_PER_MS:
+                next_arrivals_s[index] += random.expovariate(rates[index])
                 name = f"c{len(harness.requests)}"
-                if is_sent(harness, name):
+                if try_send_request(harness, name):
                     harness.finish_attempt(name, 0, balancing.AttemptResult.OK)
             harness.now_ns += 5 * NS_PER_MS
-    since = started_ns if restarted else informed
+    since_ns = started_ns if restarted else listed_ns
     send_times = sorted(
         sent_ns
         for harness in harnesses
         for sent_ns, endpoint_id in harness.sends
-        if endpoint_id == 1 and sent_ns >= since
+        if endpoint_id == 1 and sent_ns >= since_ns
     )
-    for first in send_times:
-        sends = sum(first <= sent_ns < first + 2 * NS_PER_S for sent_ns in send_times)
-        ramp = min(1.0, 0.12 + 0.88 * max(0, first - started_ns) / (20 * NS_PER_S))
+    for window_start_ns in send_times:
+        sends = sum(window_start_ns <= sent_ns < window_start_ns + 2 * NS_PER_S for sent_ns in send_times)
+        ramp = min(1.0, 0.12 + 0.88 * max(0, window_start_ns - started_ns) / (20 * NS_PER_S))
         assert sends <= 3 + 3 * ramp * rate / 12 * 2
 
 
 def send_evenly(harness: BalancerHarness, duration_ns: int, gap_ms: int) -> None:
     """Send requests at a constant rate, each answered 40 ms later."""
-    until = harness.now_ns + duration_ns
-    ends: list[tuple[int, str]] = []
+    until_ns = harness.now_ns + duration_ns
+    pending_responses: list[tuple[int, str]] = []
     number = len(harness.requests)
-    while harness.now_ns < until:
+    while harness.now_ns < until_ns:
         number += 1
-        if is_sent(harness, f"d{number}"):
-            ends.append((harness.now_ns + 40 * NS_PER_MS, f"d{number}"))
+        if try_send_request(harness, f"d{number}"):
+            pending_responses.append((harness.now_ns + 40 * NS_PER_MS, f"d{number}"))
         harness.pass_time(gap_ms * NS_PER_MS, gap_ms * NS_PER_MS)
-        for due_ns, name in list(ends):
+        for due_ns, name in list(pending_responses):
             if due_ns <= harness.now_ns:
-                ends.remove((due_ns, name))
+                pending_responses.remove((due_ns, name))
                 if not harness.requests[name].finished:
                     harness.finish_attempt(name, 0, balancing.AttemptResult.OK)
 
 
-def is_sent(harness: BalancerHarness, name: str) -> bool:
-    """Send a request; return whether an attempt was sent for it."""
+def try_send_request(harness: BalancerHarness, name: str) -> bool:
+    """Send a request; return whether the balancer sent an attempt of it."""
     return any(isinstance(action, balancing.SendAttempt) for action in harness.send_request(name))
