--- a/tests/balancing/test_settings.py
+++ b/tests/balancing/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of the settings: validation by field, and the defaults."""
+"""Tests of the settings: validation of each field, and the defaults."""
 
 from __future__ import annotations
 
