--- a/tests/balancing/test_stale_connections.py
+++ b/tests/balancing/test_stale_connections.py
@@ -1,4 +1,4 @@
-"""Tests of stale connections: idle connections that a server closed without the sidecar noticing."""
+"""Tests of stale connections: idle connections that a server dropped without the sidecar noticing."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def test_stale_idle_connections_are_closed_before_a_send() -> None:
-    """After timeouts on idle connections, the idle connections of each endpoint that is sent to are closed."""
+    """After attempts without a response on idle connections, an endpoint's idle ones are closed before a send."""
     harness = start_harness(make_settings(), make_endpoints(12))
     leave_unanswered_on_idle_connections(harness)
     assert not [action for action in harness.actions if isinstance(action, balancing.CloseIdleConnections)]
