--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -1,4 +1,4 @@
-"""Tests of the simulator's wire: messages read, messages written, and errors."""
+"""Tests of the simulator adapter: the messages that it reads and writes, and its errors."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from lugtally.simulator import adapter
 
 ROOT = pathlib.Path(__file__).parents[2]
-OPTIONS = {
+RAW_SETTINGS = {
     "grades": [{"name": "a", "effect": "idempotent", "slo_ns": 100000000, "hard_limit_ns": 900000000}],
     "instances": 1,
     "ceilings": {"most_tries": 3, "retry_after": True, "max_retry_after_ns": 1000000000},
@@ -26,9 +26,9 @@
     "membership_mode": "subscribe",
     "never_heard_of": 1,
 }
-START: list[Any] = [
+START_MESSAGES: list[Any] = [
     ["mark", 5000000000],
-    ["power_on", 3, 77, OPTIONS],
+    ["power_on", 3, 77, RAW_SETTINGS],
     ["define_list", 0, [[11, 0, 0, 0, "healthy", 1, None], [12, 1, 0, 0, "cordoned", 1.5, 6]]],
     ["endpoints", 3, 0, "disk", 41],
     ["go"],
@@ -37,7 +37,7 @@
 
 
 def run_adapter(messages: list[Any]) -> tuple[int, list[list[Any]], str]:
-    """Run the adapter over the messages; return the exit status, the lines of the reply and standard error."""
+    """Run the adapter on the messages; return the exit status, the messages that it replied and its error output."""
     text = "".join((line if isinstance(line, str) else json.dumps(line)) + "\n" for line in messages)
     out, errors = io.BytesIO(), io.StringIO()
     status = adapter.run(io.BytesIO(text.encode()), out, errors)
@@ -47,7 +47,7 @@
 def test_session_on_the_wire_exits_with_success() -> None:
     status, reply, errors = run_adapter(
         [
-            *START,
+            *START_MESSAGES,
             ["mark", 5005000000],
             REQUEST,
             ["go"],
@@ -74,7 +74,7 @@
 
 
 def test_settings_are_read_and_missing_ones_get_defaults() -> None:
-    settings = balancing_settings.read_settings(OPTIONS)
+    settings = balancing_settings.read_settings(RAW_SETTINGS)
     assert settings.classes[0].idempotency is balancing.Idempotency.IDEMPOTENT
     assert settings.max_attempts == 3
     assert settings.subscribe_to_endpoints
@@ -108,7 +108,7 @@
 
 
 def test_unknown_event_is_skipped_with_one_error_line() -> None:
-    status, reply, errors = run_adapter([*START, ["mark", 6000000000], ["sunrise", 3], REQUEST, ["go"]])
+    status, reply, errors = run_adapter([*START_MESSAGES, ["mark", 6000000000], ["sunrise", 3], REQUEST, ["go"]])
     assert status == 0
     assert errors.count("\n") == 1
     assert "sunrise" in errors
@@ -139,7 +139,7 @@
     ],
 )
 def test_malformed_line_exits_without_a_partial_reply(bad: str) -> None:
-    status, reply, errors = run_adapter([*START, ["mark", 5005000000], REQUEST, bad, ["go"]])
+    status, reply, errors = run_adapter([*START_MESSAGES, ["mark", 5005000000], REQUEST, bad, ["go"]])
     assert status == 2
     assert "line 8:" in errors
     assert reply[-1] == ["done"]
@@ -151,7 +151,7 @@
         raise KeyError("lost")
 
     monkeypatch.setattr(Balancer, "handle", broken)
-    status, reply, errors = run_adapter([*START])
+    status, reply, errors = run_adapter([*START_MESSAGES])
     assert status == 0
     assert reply[0] == ["bug", 3, "KeyError: 'lost'"]
     assert "Traceback" in errors
