--- a/lugtally/balancing/stale_connections.py
+++ b/lugtally/balancing/stale_connections.py
@@ -24,7 +24,7 @@
 
 
 class StaleConnectionDetector:
-    """Learns after what idle time connections must be closed instead of reused."""
+    """Determines the idle time after which connections are closed instead of reused."""
 
     def __init__(self, rng: Random) -> None:
         self._rng = rng
