--- a/tests/dispatch/test_balancer_faults.py
+++ b/tests/dispatch/test_balancer_faults.py
@@ -101,16 +101,16 @@
     dispatcher = dispatch.Dispatcher(settings, 1, loop, lambda *_: balancer)
     listed = [ListedEndpoint(endpoint_id, 0, 0, ListedState.READY, 0) for endpoint_id in (7, 8)]
     dispatcher.update_endpoints(balancing.EndpointUpdateKind.CACHED, listed)
-    watch_attempt = balancer.overdue.watch
+    track_attempt = balancer.overdue.track
     watched: list[int] = []
 
     def fail_once(*arguments: Any) -> list[balancing.Action]:
         watched.append(1)
         if len(watched) == (1 if fails_on == "the first attempt" else 2):
             raise RuntimeError
-        return watch_attempt(*arguments)
+        return track_attempt(*arguments)
 
-    monkeypatch.setattr(balancer.overdue, "watch", fail_once)
+    monkeypatch.setattr(balancer.overdue, "track", fail_once)
     monkeypatch.setattr(balancer.retry_budget, "try_spend", lambda: True)
 
     def new_request() -> dispatch.PendingRequest:
