--- a/lugtally/balancing/__init__.py
+++ b/lugtally/balancing/__init__.py
@@ -1,7 +1,7 @@
-"""Every balancing decision: events in, actions out, without a clock and without I/O.
+"""Load-balancing decisions: events in, actions out, without a clock and without I/O.
 
-It owns admission, the choice of an endpoint, retries, outlier detection and slow start.  It must not know
-sockets, protocols, configuration formats or the time other than what an event brings.
+The package owns admission, the choice of an endpoint, retries, outlier detection and slow start.  It must not
+depend on sockets, protocols or configuration formats, and it knows the time only from the events.
 """
 
 from lugtally.balancing.actions import (
@@ -32,7 +32,7 @@
     TimerFired,
 )
 from lugtally.balancing.settings import DeduplicationScope, Idempotency, RequestClass, Settings, Tenant
-from lugtally.balancing.timers import OverdueCheck, PollTimer, RetryTimer, Timer
+from lugtally.balancing.timers import OverdueTimer, PollTimer, RetryTimer, Timer
 
 __all__ = [
     "NOT_PROCESSED",
@@ -53,7 +53,7 @@
     "GossipReceived",
     "HealthCheckFinished",
     "Idempotency",
-    "OverdueCheck",
+    "OverdueTimer",
     "PollTimer",
     "RejectRequest",
     "Request",
--- a/lugtally/balancing/latency.py
+++ b/lugtally/balancing/latency.py
@@ -81,7 +81,7 @@
         class_index, duration_ns = attempt.class_index, attempt.duration_ns
         if class_index not in self.baselines_ns:
             self.baselines_ns[class_index] = self._recent_means_ns[class_index] = float(duration_ns)
-        elif attempt.was_only_one and attempt.result is AttemptResult.OK:
+        elif attempt.was_alone_at_endpoint and attempt.result is AttemptResult.OK:
             self._record_unqueued(class_index, duration_ns)
         return self.baselines_ns[class_index]
 
--- a/tests/balancing/congested_fleet.py
+++ b/tests/balancing/congested_fleet.py
@@ -1,8 +1,8 @@
-"""A fleet of servers with one core each, few slots, a choke under congestion, and late load reports.
+"""A simulated fleet whose servers have one core and few slots, choke when congested, and report their load late.
 
 ``python -m tests.balancing.congested_fleet`` prints, for each second, the requests in flight at each server and the
-outcomes of the requests; ``python -m tests.balancing.congested_fleet plays`` runs the twelve simulations by which a
-change is compared; the tests use :func:`congested_fleet` for congestion that no single sidecar causes.
+outcomes of the requests.  ``python -m tests.balancing.congested_fleet plays`` runs the twelve simulations that show the
+effect of a change.  The tests use :func:`congested_fleet` for congestion that no single sidecar causes.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from lugtally.units import NS_PER_MS, NS_PER_S
 from tests.balancing.fleet import Fleet
 from tests.balancing.fleet_records import FleetSettings, LoadReportTiming, RequestOutcome
-from tests.balancing.world import settings
+from tests.balancing.harness import make_settings
 
 # Three typical classes: short reads, saves of twice their weight, and long submits with an idempotency key.
 CLASSES = (
@@ -49,9 +49,9 @@
         0.3,
     ),
 )
-WORK_S = (0.041, 0.053, 0.100)  # of a standard core, by class
+WORK_S = (0.041, 0.053, 0.100)  # CPU seconds of a standard core, by class
 CLASS_SHARES = (0.63, 0.23, 0.14)
-CHOKING = ServerTraits(
+CHOKING_SERVER_TRAITS = ServerTraits(
     cores=1,
     slots=4,
     max_queue=40,
@@ -64,18 +64,18 @@
     choke_idle_s=3.5,
     max_choke_s=29.0,
 )
-SERVER_TRAITS = (CHOKING, replace(CHOKING, speed=0.6))
+SERVER_TRAITS = (CHOKING_SERVER_TRAITS, replace(CHOKING_SERVER_TRAITS, speed=0.6))
 
 
 def capacity(servers: int, server_traits: tuple[ServerTraits, ...] = SERVER_TRAITS) -> float:
     """Return the requests a second that the servers can process with the mix of classes in ``CLASS_SHARES``."""
-    kinds = [server_traits[number % len(server_traits)] for number in range(1, servers + 1)]
-    speed = sum(traits.speed * traits.cores for traits in kinds)
+    traits_by_server = [server_traits[number % len(server_traits)] for number in range(1, servers + 1)]
+    speed = sum(traits.speed * traits.cores for traits in traits_by_server)
     return speed / sum(work * share for work, share in zip(WORK_S, CLASS_SHARES, strict=True))
 
 
 class TenantTraffic(NamedTuple):
-    """One tenant's share of all traffic, and its quota as a share of the fleet's capacity."""
+    """A tenant's share of all traffic, and its quota as a fraction of the fleet's capacity."""
 
     share: float
     quota: float
@@ -89,9 +89,9 @@
     server_traits: tuple[ServerTraits, ...] = SERVER_TRAITS,
     tenants: tuple[TenantTraffic, ...] = (TenantTraffic(1.0, 1.0),),
 ) -> Fleet:
-    """Return a fleet at ``load`` times its capacity; load reports are refreshed every 0.7 s, published 0.2 s late."""
+    """Return a fleet loaded to ``load`` times its capacity, with load reports every 0.7 s, published 0.2 s late."""
     total = capacity(servers, server_traits)
-    configured = settings(
+    balancer_settings = make_settings(
         *CLASSES,
         fleet_size=sidecars,
         max_attempts=5,
@@ -105,7 +105,7 @@
     )
     return Fleet(
         FleetSettings(
-            configured,
+            balancer_settings,
             sidecars,
             servers,
             request_rate=load * total,
@@ -132,15 +132,15 @@
     return served / max(1.0, arrived)
 
 
-class PlayResult(NamedTuple):
-    """How many servers choked in a run, and how many requests were served."""
+class SlowdownResult(NamedTuple):
+    """How many servers choked in one simulation, and what share of the requests was served."""
 
-    max_choked: int  # servers at once
+    max_choked: int  # most servers choked at once
     choked_server_seconds: int
     served_share: float
 
 
-def play(seed: int, start_s: int, seconds: int = 60) -> PlayResult:
+def simulate_slowdown(seed: int, start_s: int, seconds: int = 60) -> SlowdownResult:
     """Run a fleet whose servers are all 2.2 times slower for 10 s from ``start_s``."""
     fleet = congested_fleet(seed=seed)
     max_choked = choked_server_seconds = 0
@@ -150,16 +150,16 @@
         choked = fleet.choked_count()
         max_choked = max(max_choked, choked)
         choked_server_seconds += choked
-    return PlayResult(max_choked, choked_server_seconds, served_share(fleet.class_counts))
+    return SlowdownResult(max_choked, choked_server_seconds, served_share(fleet.class_counts))
 
 
-def print_plays(seeds: range = range(1, 7)) -> None:
-    """Run and print the twelve comparisons: each seed with the slowdown from 20 s and from 30 s."""
+def print_comparison(seeds: range = range(1, 7)) -> None:
+    """Run the twelve simulations, each seed with a slowdown from 20 s and from 30 s, and print their results."""
     results = []
     print("seed  from  max choked  server-seconds  served share")
     for seed in seeds:
         for start_s in (20, 30):
-            result = play(seed, start_s)
+            result = simulate_slowdown(seed, start_s)
             results.append(result)
             print(
                 f"{seed:4d}  {start_s:4d}  {result.max_choked:10d}  {result.choked_server_seconds:14d}"
@@ -167,22 +167,22 @@
             )
     shares = [result.served_share for result in results]
     print(
-        f"plays with a choke: {sum(result.max_choked > 0 for result in results)} of {len(results)}; "
+        f"runs with a choke: {sum(result.max_choked > 0 for result in results)} of {len(results)}; "
         f"served share {min(shares):.3f} to {max(shares):.3f}, mean {mean(shares):.3f}"
     )
 
 
-def print_seconds() -> None:
-    """Run one simulation and print each second."""
+def print_timeline() -> None:
+    """Run one simulation and print a line for each second."""
     fleet = congested_fleet()
-    before: Counter[tuple[RequestOutcome, int]] = Counter()
+    previous_counts: Counter[tuple[RequestOutcome, int]] = Counter()
     print(" s  served  rejected  choked  in flight at each server")
     for second in range(60):
         fleet.slow_down_all(2.2 if 30 <= second < 40 else 1.0)
         fleet.run(NS_PER_S)
-        now = Counter(fleet.class_counts)
-        change = now - before
-        before = now
+        counts = Counter(fleet.class_counts)
+        change = counts - previous_counts
+        previous_counts = counts
         arrived = sum(change[RequestOutcome.ARRIVED, index] for index in range(len(CLASSES)))
         rejected = sum(change[RequestOutcome.REJECTED, index] for index in range(len(CLASSES)))
         print(
@@ -193,11 +193,11 @@
 
 
 def main() -> None:
-    """Run the command that the module's docstring describes."""
+    """Run one of the two commands that the module's docstring describes."""
     if sys.argv[1:] == ["plays"]:
-        print_plays()
+        print_comparison()
     else:
-        print_seconds()
+        print_timeline()
 
 
 if __name__ == "__main__":
--- a/tests/balancing/test_settings.py
+++ b/tests/balancing/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of the settings: validation by field, and the defaults."""
+"""Tests of the settings: validation of each field, and the defaults."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from lugtally import Balancer, balancing
 from lugtally.units import NS_PER_S
-from tests.balancing.world import make_endpoints
+from tests.balancing.harness import make_endpoints
 
 
 @pytest.mark.parametrize(
