--- a/benchmarks/event_loop_model.py
+++ b/benchmarks/event_loop_model.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 import numpy as np
-from admission_controllers import SERVICE_S, TARGET_DELAY_S, AdmissionController
+from admission_controllers import MEAN_RESPONSE_TIME_S, TARGET_DELAY_S, AdmissionController
 
 from lugtally.testbed.scenario.random_streams import stream
 
@@ -192,7 +192,7 @@
         true_age = self._now - item.ready_at
         time_left = CLASSES[item.class_index].deadline_s - (self._now - item.first_sent_at)
         share = self._shed_ranges[item.class_index].share_at(self._controller.shed_fraction)
-        is_shed = self._controller.is_hopeless(age, time_left) or self._random.random() < share
+        is_shed = self._controller.cannot_meet_deadline(age, time_left) or self._random.random() < share
         self._count(item, is_shed)
         if is_shed:
             self._reject(item, time_left)
@@ -233,7 +233,7 @@
         if self._now > self._workload.load_end_s and true_age > TARGET_DELAY_S:
             self._recovered_at = max(self._recovered_at, self._now)
         if time_left > 0:
-            back_at = self._now + float(self._random.exponential(SERVICE_S))
+            back_at = self._now + float(self._random.exponential(MEAN_RESPONSE_TIME_S))
             heapq.heappush(self._ready, item._replace(ready_at=back_at, kind=ItemKind.RESPONSE))
 
     def _result(self) -> Result:
--- a/benchmarks/gates.py
+++ b/benchmarks/gates.py
@@ -12,7 +12,7 @@
 from itertools import product
 
 import numpy as np
-from admission_controllers import CONTROLLERS, MakeController
+from admission_controllers import CONTROLLER_FACTORIES, ControllerFactory
 from event_loop_model import Clients, Result, Simulation, Workload
 
 LOADS = (0.9, 1.5, 2.0, 4.0, 10.0)  # times the sustainable rate
@@ -22,7 +22,7 @@
 )
 
 
-def simulate(make: MakeController, workload: Workload) -> Result:
+def simulate(make: ControllerFactory, workload: Workload) -> Result:
     """Run a workload with a new controller."""
     return Simulation(make(), workload).run()
 
@@ -46,7 +46,7 @@
     parser.add_argument("--seeds", type=int, default=5)
     options = parser.parse_args()
     print(HEADER)
-    for make in CONTROLLERS:
+    for make in CONTROLLER_FACTORIES:
         for clients, load in product((Clients.BRIEF, Clients.IMMEDIATE), LOADS):
             results = [simulate(make, Workload(load, seed, clients)) for seed in range(options.seeds)]
             print(table_row(make().name, clients, load, results), flush=True)
