--- a/benchmarks/event_loop_model.py
+++ b/benchmarks/event_loop_model.py
@@ -1,8 +1,8 @@
 """Model of the sidecar's event loop under load, in simulated time, with an admission controller.
 
-A poll returns all items that are ready.  Each item uses a part of the core, and items that become ready meanwhile wait
-for the next poll.  A request costs ``REJECT_US`` to reject, or ``FORWARD_US`` to forward and ``RESPOND_US`` when its
-response arrives.  Clients retry a rejected request up to three times and give up at its deadline.
+A poll returns all events that are ready.  Events are handled one after another; those that become ready meanwhile wait
+for the next poll.  A request takes ``REJECT_CPU_US`` of CPU time if it is rejected; otherwise ``FORWARD_CPU_US``, and
+``RESPOND_CPU_US`` when its response arrives.  Clients retry a rejected request up to three times before its deadline.
 """
 
 from __future__ import annotations
@@ -17,240 +17,261 @@
 
 from lugtally.testbed.scenario.random_streams import stream
 
-FORWARD_US, RESPOND_US, REJECT_US = 110.0, 90.0, 20.0
-SUSTAINABLE_PER_S = 1e6 / (FORWARD_US + RESPOND_US)  # requests that fill the core
+FORWARD_CPU_US, RESPOND_CPU_US, REJECT_CPU_US = 110.0, 90.0, 20.0
+SUSTAINABLE_RATE_PER_S = 1e6 / (FORWARD_CPU_US + RESPOND_CPU_US)  # of requests, on a whole core
 MAX_RETRIES = 3
-RETRY_WAIT_S = 0.1
-IMMEDIATE_RETRY_S = 0.0005
-RETRY_AFTER_SHARE = 0.3  # of the clients, that follow Retry-After
+RETRY_DELAY_S = 0.1
+IMMEDIATE_RETRY_DELAY_S = 0.0005
+RETRY_AFTER_CLIENT_SHARE = 0.3  # share of the clients that follow Retry-After
 MIN_RETRY_AFTER_S, MAX_RETRY_AFTER_S = 0.1, 2.0
-MIN_TIME_LEFT_S = 0.02  # for a retry
+MIN_RETRY_TIME_LEFT_S = 0.02  # clients retry only if more time than this is left until the deadline
 CONTROL_PERIOD_S = 0.02  # between two updates of the controller
-SETTLING_S = 1.0  # at the start of the load, excluded from the variation of the shed share
-RECOVERY_GRACE_S = 2.0  # after the load, in which a rejection is no false alarm
-MAX_OVERTIME_S = 30.0  # of simulated time, after the last arrival
-CORE = 0.25
+SETTLING_TIME_S = 1.0  # at the start of the load phase, excluded from ``SimulationResult.shed_deviation``
+RECOVERY_GRACE_S = 2.0  # after the load phase, in which a rejection does not count as a false alarm
+MAX_TIME_AFTER_ARRIVALS_S = 30.0  # a run ends at most this simulated time after the last arrival
+CORE_SHARE = 0.25
 
 
 class RequestClass(NamedTuple):
-    """A class of requests, as in the operators' brief."""
+    """A request class, as the operators specify it."""
 
-    share: float
+    share: float  # of all requests
     priority_weight: float
     latency_objective_s: float
     deadline_s: float
 
 
 CLASSES = (RequestClass(0.45, 1.0, 0.3, 0.8), RequestClass(0.35, 3.0, 0.5, 1.0), RequestClass(0.20, 2.0, 1.0, 3.0))
-SHEDDING_ORDER = (0, 2, 1)  # class indices, from the first rejected to the last
+SHEDDING_ORDER = (0, 2, 1)  # class indices, the lowest priority weight first
 
 
-class Clients(StrEnum):
-    """How clients retry after a rejection."""
+class RetryPolicy(StrEnum):
+    """When clients retry a rejected request.  The values are printed in the table of ``gates.py``."""
 
     IMMEDIATE = "at once"
-    BRIEF = "brief"  # as in the operators' brief: after 100 ms, or after Retry-After
+    DELAYED = "brief"  # as the operators specify: after 100 ms, or after Retry-After
 
 
 @dataclass(frozen=True)
 class Workload:
-    """A base load, then ``load`` times the sustainable rate, then the base load again."""
+    """Three phases: base load, the load under test, and base load again.
+
+    ``load`` and ``base_load`` are multiples of the sustainable rate.
+    """
 
     load: float
     seed: int
-    clients: Clients = Clients.BRIEF
-    core: float = CORE  # share of a core that the sidecar has
-    length_s: float = 6.0  # of the load
-    base_length_s: float = 3.0  # before the load and after it
+    retry_policy: RetryPolicy = RetryPolicy.DELAYED
+    core_share: float = CORE_SHARE  # of one core, available to the sidecar
+    length_s: float = 6.0  # of the load phase
+    base_length_s: float = 3.0  # of each phase with base load
     base_load: float = 0.5
 
     @property
     def load_end_s(self) -> float:
-        """When the load ends."""
+        """When the load phase ends."""
         return self.base_length_s + self.length_s
 
     @property
     def end_s(self) -> float:
-        """When the last request arrives."""
+        """When new requests stop arriving."""
         return self.load_end_s + self.base_length_s
 
-    def is_loaded(self, at: float) -> bool:
-        """Return whether the load is applied at this time."""
+    def is_in_load_phase(self, at: float) -> bool:
+        """Return whether this time is in the load phase."""
         return self.base_length_s <= at < self.load_end_s
 
 
 @dataclass
-class Result:
-    """Measures of a run."""
+class SimulationResult:
+    """Measurements of a run."""
+
+    served_weight_ratio: float
+    """Priority weight of the requests of the load phase that were answered within their latency objective.
 
-    served_weight: float  # in time during the load, as a share of what the core can serve of that mix
-    p99_delay_ms: float  # own delay of admitted requests
-    shed_deviation: float  # standard deviation of the rejected share by 100 ms, after the settling time
-    recovery_s: float  # from the end of the load until nothing is rejected and the delay is below the target
-    false_alarms: float  # share of the requests rejected before the load and after the recovery
+    It is a fraction of the largest weight that the core can serve at that load and mix of classes.
+    """
+    p99_delay_ms: float
+    """Queueing delay in the event loop of requests that were admitted in the load phase."""
+    shed_deviation: float
+    """Standard deviation of the shed fractions of 100 ms intervals, in the load phase after the settling time."""
+    recovery_s: float
+    """Time from the end of the load phase until the last rejection or the last delay above the target."""
+    false_alarm_share: float
+    """Share of the decisions before the load phase and after the recovery grace that shed the request."""
 
 
-class ItemKind(IntEnum):
-    """Kind of an item that a poll returns."""
+class EventKind(IntEnum):
+    """Kind of an event that a poll returns."""
 
     REQUEST = 0
     RESPONSE = 1
 
 
-class Item(NamedTuple):
-    """A request or a response that the event loop can process from ``ready_at`` on."""
+class Event(NamedTuple):
+    """A request or a response that the event loop can handle from ``ready_at`` on."""
 
     ready_at: float
-    kind: ItemKind
+    kind: EventKind
     class_index: int
     first_sent_at: float
     retries: int
 
 
 class ShedRange(NamedTuple):
-    """Shed fractions over which a class is shed: none of it at ``lower``, all of it at ``upper``."""
+    """Shed fractions of all requests between which a class is shed: none of it at ``lower``, all of it at ``upper``."""
 
     lower: float
     upper: float
 
-    def share_at(self, shed_fraction: float) -> float:
-        """Return the share of the class to reject."""
+    def class_shed_fraction(self, shed_fraction: float) -> float:
+        """Return the fraction of the class to shed, for a shed fraction of all requests."""
         return min(1.0, max(0.0, (shed_fraction - self.lower) / (self.upper - self.lower)))
 
 
 class Simulation:
-    """A run of the event loop under a workload, with a controller."""
+    """A run of the event loop under a workload, with a controller.  Times are seconds since the start of the run."""
 
     def __init__(self, controller: AdmissionController, workload: Workload) -> None:
         self._controller = controller
         self._workload = workload
-        self._random = stream(workload.seed, "gates", workload.load, workload.core)
-        self._rate = SUSTAINABLE_PER_S * workload.core
-        self._ready = self._draw_arrivals()
+        self._random = stream(workload.seed, "gates", workload.load, workload.core_share)
+        self._sustainable_rate_per_s = SUSTAINABLE_RATE_PER_S * workload.core_share
+        self._events = self._draw_arrivals()  # a heap, ordered by ``ready_at``
         self._shed_ranges = _shed_ranges()
-        self._now = 0.0
+        self._now_s = 0.0
         self._polled_at = 0.0
-        self._last_batch_s = 0.0  # duration of the last poll's items
-        self._period_end, self._delays = CONTROL_PERIOD_S, [0.0]
+        self._last_batch_s = 0.0  # time that handling the events of the previous poll took
+        self._period_ends_at, self._period_delays_s = CONTROL_PERIOD_S, [0.0]
         self._served_weight = 0.0
-        self._own_delays: list[float] = []  # of what was admitted during the load
-        self._shed_by_interval: dict[int, list[int]] = {}
-        self._unloaded = self._false_alarms = 0
+        self._admitted_delays_s: list[float] = []  # of requests that were admitted in the load phase
+        self._shed_by_interval: dict[int, list[int]] = {}  # by intervals of 100 ms; 1 for each request that was shed
+        self._base_load_decisions = self._false_alarm_count = 0  # outside the load phase and recovery grace
         self._recovered_at = workload.load_end_s
 
-    def run(self) -> Result:
-        """Process all requests and return the measures."""
-        while self._ready and self._now <= self._workload.end_s + MAX_OVERTIME_S:
-            if self._ready[0].ready_at > self._now:
-                self._now = self._ready[0].ready_at
+    def run(self) -> SimulationResult:
+        """Handle all requests and return the measurements."""
+        while self._events and self._now_s <= self._workload.end_s + MAX_TIME_AFTER_ARRIVALS_S:
+            if self._events[0].ready_at > self._now_s:
+                self._now_s = self._events[0].ready_at
                 self._last_batch_s = 0.0
-            self._polled_at = self._now
-            for item in self._poll():
-                self._handle(item)
-            self._last_batch_s = self._now - self._polled_at
-            self._delays = self._delays or [0.0]
+            self._polled_at = self._now_s
+            for event in self._poll():
+                self._handle_event(event)
+            self._last_batch_s = self._now_s - self._polled_at
+            self._period_delays_s = self._period_delays_s or [0.0]
         return self._result()
 
-    def _draw_arrivals(self) -> list[Item]:
-        shares = np.cumsum([request_class.share for request_class in CLASSES])
-        arrivals: list[Item] = []
-        at = 0.0
-        while at < self._workload.end_s:
-            level = self._workload.load if self._workload.is_loaded(at) else self._workload.base_load
-            at += float(self._random.exponential(1 / (self._rate * level)))
-            class_index = int(np.searchsorted(shares, self._random.random()))
-            arrivals.append(Item(at, ItemKind.REQUEST, class_index, at, 0))
+    def _draw_arrivals(self) -> list[Event]:
+        cumulative_shares = np.cumsum([request_class.share for request_class in CLASSES])
+        arrivals: list[Event] = []
+        arrives_at = 0.0
+        while arrives_at < self._workload.end_s:
+            load = self._workload.load if self._workload.is_in_load_phase(arrives_at) else self._workload.base_load
+            arrives_at += float(self._random.exponential(1 / (self._sustainable_rate_per_s * load)))
+            class_index = int(np.searchsorted(cumulative_shares, self._random.random()))
+            arrivals.append(Event(arrives_at, EventKind.REQUEST, class_index, arrives_at, 0))
         heapq.heapify(arrivals)
         return arrivals
 
-    def _poll(self) -> list[Item]:
+    def _poll(self) -> list[Event]:
         batch = []
-        while self._ready and self._ready[0].ready_at <= self._now:
-            batch.append(heapq.heappop(self._ready))
+        while self._events and self._events[0].ready_at <= self._now_s:
+            batch.append(heapq.heappop(self._events))
         return batch
 
-    def _handle(self, item: Item) -> None:
-        if self._now >= self._period_end:
-            self._controller.update(self._now, sum(self._delays) / len(self._delays), min(self._delays))
-            self._period_end, self._delays = self._now + CONTROL_PERIOD_S, []
-        # The daemon knows an upper bound of the age only: the item became ready after the poll before.
-        age = self._now - self._polled_at + self._last_batch_s
-        self._delays.append(age)
-        if item.kind is ItemKind.RESPONSE:
-            self._respond(item)
+    def _handle_event(self, event: Event) -> None:
+        if self._now_s >= self._period_ends_at:
+            self._controller.update(
+                self._now_s, sum(self._period_delays_s) / len(self._period_delays_s), min(self._period_delays_s)
+            )
+            self._period_ends_at, self._period_delays_s = self._now_s + CONTROL_PERIOD_S, []
+        # The controller gets the upper bound that the sidecar knows: the event became ready after the previous poll,
+        # because that poll would have returned it otherwise.
+        delay_bound_s = self._now_s - self._polled_at + self._last_batch_s
+        self._period_delays_s.append(delay_bound_s)
+        if event.kind is EventKind.RESPONSE:
+            self._handle_response(event)
         else:
-            self._handle_request(item, age)
+            self._handle_request(event, delay_bound_s)
 
-    def _respond(self, item: Item) -> None:
-        self._now += RESPOND_US / 1e6 / self._workload.core
-        request_class = CLASSES[item.class_index]
-        in_time = self._now - item.first_sent_at <= request_class.latency_objective_s
-        if in_time and self._workload.is_loaded(item.first_sent_at):
+    def _handle_response(self, event: Event) -> None:
+        self._now_s += RESPOND_CPU_US / 1e6 / self._workload.core_share
+        request_class = CLASSES[event.class_index]
+        in_time = self._now_s - event.first_sent_at <= request_class.latency_objective_s
+        if in_time and self._workload.is_in_load_phase(event.first_sent_at):
             self._served_weight += request_class.priority_weight
 
-    def _handle_request(self, item: Item, age: float) -> None:
-        true_age = self._now - item.ready_at
-        time_left = CLASSES[item.class_index].deadline_s - (self._now - item.first_sent_at)
-        share = self._shed_ranges[item.class_index].share_at(self._controller.shed_fraction)
-        is_shed = self._controller.cannot_meet_deadline(age, time_left) or self._random.random() < share
-        self._count(item, is_shed)
+    def _handle_request(self, event: Event, delay_bound_s: float) -> None:
+        delay_s = self._now_s - event.ready_at
+        time_left_s = CLASSES[event.class_index].deadline_s - (self._now_s - event.first_sent_at)
+        class_shed_fraction = self._shed_ranges[event.class_index].class_shed_fraction(self._controller.shed_fraction)
+        is_shed = (
+            self._controller.cannot_meet_deadline(delay_bound_s, time_left_s)
+            or self._random.random() < class_shed_fraction
+        )
+        self._record_decision(event, is_shed)
         if is_shed:
-            self._reject(item, time_left)
+            self._reject(event, time_left_s)
         else:
-            self._forward(item, time_left, true_age)
+            self._forward(event, time_left_s, delay_s)
 
-    def _count(self, item: Item, is_shed: bool) -> None:
+    def _record_decision(self, event: Event, is_shed: bool) -> None:
         workload = self._workload
-        if workload.base_length_s + SETTLING_S <= self._now < workload.load_end_s:
-            self._shed_by_interval.setdefault(int(self._now * 10), []).append(int(is_shed))
-        first = item.first_sent_at
-        if first < workload.base_length_s or first > workload.load_end_s + RECOVERY_GRACE_S:
-            self._unloaded += 1
-            self._false_alarms += is_shed
-
-    def _reject(self, item: Item, time_left: float) -> None:
-        self._now += REJECT_US / 1e6 / self._workload.core
-        if self._now > self._workload.load_end_s:
-            self._recovered_at = max(self._recovered_at, self._now)
-        if item.retries >= MAX_RETRIES or time_left <= MIN_TIME_LEFT_S:
+        if workload.base_length_s + SETTLING_TIME_S <= self._now_s < workload.load_end_s:
+            self._shed_by_interval.setdefault(int(self._now_s * 10), []).append(int(is_shed))
+        first_sent_at = event.first_sent_at
+        if first_sent_at < workload.base_length_s or first_sent_at > workload.load_end_s + RECOVERY_GRACE_S:
+            self._base_load_decisions += 1
+            self._false_alarm_count += is_shed
+
+    def _reject(self, event: Event, time_left_s: float) -> None:
+        self._now_s += REJECT_CPU_US / 1e6 / self._workload.core_share
+        if self._now_s > self._workload.load_end_s:
+            self._recovered_at = max(self._recovered_at, self._now_s)
+        if event.retries >= MAX_RETRIES or time_left_s <= MIN_RETRY_TIME_LEFT_S:
             return
-        wait = self._retry_wait()
-        if wait < time_left:
-            heapq.heappush(self._ready, item._replace(ready_at=self._now + wait, retries=item.retries + 1))
-
-    def _retry_wait(self) -> float:
-        if self._workload.clients is Clients.IMMEDIATE:
-            return IMMEDIATE_RETRY_S
-        advised = MIN_RETRY_AFTER_S + self._controller.shed_fraction * (MAX_RETRY_AFTER_S - MIN_RETRY_AFTER_S)
-        if self._random.random() < RETRY_AFTER_SHARE:
-            return float(advised * self._random.uniform(0.5, 1.5))
-        return RETRY_WAIT_S
-
-    def _forward(self, item: Item, time_left: float, true_age: float) -> None:
-        self._now += FORWARD_US / 1e6 / self._workload.core
-        if self._workload.is_loaded(self._now):
-            self._own_delays.append(true_age)
-        if self._now > self._workload.load_end_s and true_age > TARGET_DELAY_S:
-            self._recovered_at = max(self._recovered_at, self._now)
-        if time_left > 0:
-            back_at = self._now + float(self._random.exponential(MEAN_RESPONSE_TIME_S))
-            heapq.heappush(self._ready, item._replace(ready_at=back_at, kind=ItemKind.RESPONSE))
-
-    def _result(self) -> Result:
+        retry_delay_s = self._retry_delay_s()
+        if retry_delay_s < time_left_s:
+            heapq.heappush(
+                self._events, event._replace(ready_at=self._now_s + retry_delay_s, retries=event.retries + 1)
+            )
+
+    def _retry_delay_s(self) -> float:
+        if self._workload.retry_policy is RetryPolicy.IMMEDIATE:
+            return IMMEDIATE_RETRY_DELAY_S
+        retry_after_s = MIN_RETRY_AFTER_S + self._controller.shed_fraction * (MAX_RETRY_AFTER_S - MIN_RETRY_AFTER_S)
+        if self._random.random() < RETRY_AFTER_CLIENT_SHARE:
+            return float(retry_after_s * self._random.uniform(0.5, 1.5))
+        return RETRY_DELAY_S
+
+    def _forward(self, event: Event, time_left_s: float, delay_s: float) -> None:
+        self._now_s += FORWARD_CPU_US / 1e6 / self._workload.core_share
+        if self._workload.is_in_load_phase(self._now_s):
+            self._admitted_delays_s.append(delay_s)
+        if self._now_s > self._workload.load_end_s and delay_s > TARGET_DELAY_S:
+            self._recovered_at = max(self._recovered_at, self._now_s)
+        if time_left_s > 0:
+            response_at = self._now_s + float(self._random.exponential(MEAN_RESPONSE_TIME_S))
+            heapq.heappush(self._events, event._replace(ready_at=response_at, kind=EventKind.RESPONSE))
+
+    def _result(self) -> SimulationResult:
         workload = self._workload
-        offered = _best_weight(workload.load) * self._rate * workload.length_s
-        shed_shares = [float(np.mean(interval)) for interval in self._shed_by_interval.values() if interval]
-        return Result(
-            self._served_weight / offered,
-            1000 * float(np.quantile(self._own_delays, 0.99)) if self._own_delays else 0.0,
-            float(np.std(shed_shares)) if shed_shares else 0.0,
+        max_served_weight = (
+            _max_weight_per_sustainable_request(workload.load) * self._sustainable_rate_per_s * workload.length_s
+        )
+        shed_fractions = [float(np.mean(interval)) for interval in self._shed_by_interval.values() if interval]
+        return SimulationResult(
+            self._served_weight / max_served_weight,
+            1000 * float(np.quantile(self._admitted_delays_s, 0.99)) if self._admitted_delays_s else 0.0,
+            float(np.std(shed_fractions)) if shed_fractions else 0.0,
             self._recovered_at - workload.load_end_s,
-            self._false_alarms / max(1, self._unloaded),
+            self._false_alarm_count / max(1, self._base_load_decisions),
         )
 
 
 def _shed_ranges() -> dict[int, ShedRange]:
-    """Return the range of shed fractions over which each class is shed."""
+    """Return the range of each class, by its index.  The ranges follow one another in shedding order."""
     ranges = {}
     lower = 0.0
     for class_index in SHEDDING_ORDER:
@@ -260,11 +281,14 @@
     return ranges
 
 
-def _best_weight(load: float) -> float:
-    """Return the mean weight of a request if the core serves the highest priorities first."""
-    capacity, best = 1.0, 0.0
+def _max_weight_per_sustainable_request(load: float) -> float:
+    """Return the largest priority weight that can be served per sustainable request.
+
+    It is reached if the core serves the classes with the highest priority weights first.
+    """
+    remaining_capacity, weight = 1.0, 0.0
     for class_index in reversed(SHEDDING_ORDER):
-        served = min(capacity, CLASSES[class_index].share * load)
-        best += served * CLASSES[class_index].priority_weight
-        capacity -= served
-    return best
+        served = min(remaining_capacity, CLASSES[class_index].share * load)
+        weight += served * CLASSES[class_index].priority_weight
+        remaining_capacity -= served
+    return weight
