--- a/benchmarks/gates.py
+++ b/benchmarks/gates.py
@@ -1,9 +1,9 @@
-"""Compare admission controllers for the sidecar's own overload, on a model of its event loop in simulated time.
+"""Compare admission controllers of an overloaded sidecar on a model of its event loop, in simulated time.
 
     python benchmarks/gates.py [--seeds 5]
 
-The controllers are in ``admission_controllers.py``, the model in ``event_loop_model.py``.  Requests of the lowest
-priority are rejected first.  The table has the mean over the seeds, and for the served weight its range as well.
+The controllers are in ``admission_controllers.py``, the model in ``event_loop_model.py``.  Request classes with the
+lowest priority weight are shed first.  The table shows means over the seeds, and the range of the served weight too.
 """
 
 from __future__ import annotations
@@ -15,24 +15,24 @@
 from admission_controllers import CONTROLLER_FACTORIES, ControllerFactory
 from event_loop_model import RetryPolicy, Simulation, SimulationResult, Workload
 
-LOADS = (0.9, 1.5, 2.0, 4.0, 10.0)  # times the sustainable rate
-HEADER = (
+LOADS = (0.9, 1.5, 2.0, 4.0, 10.0)  # multiples of the sustainable rate
+TABLE_HEADER = (
     "| controller | clients | load | served weight (range) | own delay p99 ms | deviation of shed share | recovery s "
     "| false alarms |\n| --- | --- | --- | --- | --- | --- | --- | --- |"
 )
 
 
-def simulate(make: ControllerFactory, workload: Workload) -> SimulationResult:
-    """Run a workload with a new controller."""
-    return Simulation(make(), workload).run()
+def simulate(make_controller: ControllerFactory, workload: Workload) -> SimulationResult:
+    """Simulate a workload with a new controller."""
+    return Simulation(make_controller(), workload).run()
 
 
-def table_row(controller: str, clients: RetryPolicy, load: float, results: list[SimulationResult]) -> str:
-    """Format the results of one controller and workload over all seeds as a row of the table."""
-    served_weights = [result.served_weight_ratio for result in results]
-    served_range = f"{min(served_weights):.2f} to {max(served_weights):.2f}"
+def table_row(controller_name: str, retry_policy: RetryPolicy, load: float, results: list[SimulationResult]) -> str:
+    """Return a row of the table: the results of one controller, retry policy and load, over all seeds."""
+    served_weight_ratios = [result.served_weight_ratio for result in results]
+    served_range = f"{min(served_weight_ratios):.2f} to {max(served_weight_ratios):.2f}"
     return (
-        f"| {controller} | {clients} | {load:g} | {np.mean(served_weights):.2f} ({served_range}) "
+        f"| {controller_name} | {retry_policy} | {load:g} | {np.mean(served_weight_ratios):.2f} ({served_range}) "
         f"| {np.mean([result.p99_delay_ms for result in results]):.0f} "
         f"| {np.mean([result.shed_deviation for result in results]):.2f} "
         f"| {np.mean([result.recovery_s for result in results]):.1f} "
@@ -41,15 +41,15 @@
 
 
 def main() -> None:
-    """Print the table."""
+    """Simulate all combinations and print the table."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seeds", type=int, default=5)
     options = parser.parse_args()
-    print(HEADER)
-    for make in CONTROLLER_FACTORIES:
-        for clients, load in product((RetryPolicy.DELAYED, RetryPolicy.IMMEDIATE), LOADS):
-            results = [simulate(make, Workload(load, seed, clients)) for seed in range(options.seeds)]
-            print(table_row(make().name, clients, load, results), flush=True)
+    print(TABLE_HEADER)
+    for make_controller in CONTROLLER_FACTORIES:
+        for retry_policy, load in product((RetryPolicy.DELAYED, RetryPolicy.IMMEDIATE), LOADS):
+            results = [simulate(make_controller, Workload(load, seed, retry_policy)) for seed in range(options.seeds)]
+            print(table_row(make_controller().name, retry_policy, load, results), flush=True)
 
 
 if __name__ == "__main__":
