--- a/benchmarks/saturate.py
+++ b/benchmarks/saturate.py
@@ -25,7 +25,14 @@
 import msgspec
 import psutil
 from msgspec import Struct
-from saturation_clients import DEADLINE_S, OK, REJECTED, ClientOptions, ClientResult, run_clients
+from saturation_clients import (
+    DEADLINE_S,
+    HTTP_OK,
+    HTTP_SERVICE_UNAVAILABLE,
+    ClientOptions,
+    ClientResult,
+    run_clients,
+)
 from saturation_servers import run_servers
 
 from lugtally.testbed.emulator import loopback
@@ -143,8 +150,8 @@
     result: ClientResult = results.recv()
     cpu_s = after.user + after.system - before.user - before.system
     clients.join(STOP_TIMEOUT_S)
-    responses = sum(result.statuses.values())
-    served, rejected = result.statuses.get(OK, 0), result.statuses.get(REJECTED, 0)
+    responses = sum(result.response_counts.values())
+    served, rejected = result.response_counts.get(HTTP_OK, 0), result.response_counts.get(HTTP_SERVICE_UNAVAILABLE, 0)
     return Measurement(
         connections=options.connections,
         served_per_s=served / result.seconds,
