--- a/benchmarks/saturate.py
+++ b/benchmarks/saturate.py
@@ -2,9 +2,9 @@
 
     python benchmarks/saturate.py --connections 1,16,64 --seconds 4 --runs 3 [--pause-ms 0] [--json FILE]
 
-Clients are a closed loop: each connection sends its next request after the response to the last one, also a rejection,
-and an optional pause.  Servers and clients are processes of their own on other cores.  CPU is from the process times of
-the sidecar; memory is the maximum of ten samples a second.
+Clients form a closed loop: each connection sends its next request only after the response to the last one, even if that
+was a rejection, and an optional pause.  Servers and clients run in processes of their own, on other cores.  CPU usage
+is the process time of the sidecar; memory usage is the maximum of ten samples a second.
 """
 
 from __future__ import annotations
@@ -41,13 +41,13 @@
 from lugtally.testbed.scenario import scenario_file
 from lugtally.testbed.scenario.schedule import make_schedule
 
-SERVERS = 10
+SERVER_COUNT = 10
 LATENCY_OBJECTIVE_MS = 2000
 SCENARIO = f"""
 name = "saturate"
 about = "One sidecar alone."
 [fleet]
-servers = {SERVERS}
+servers = {SERVER_COUNT}
 sidecars = 1
 [[classes]]
 name = "read"
@@ -59,36 +59,36 @@
 effect = "safe"
 key_scope = "all"
 """
-SAMPLE_INTERVAL_S = 0.1
+MEMORY_SAMPLE_INTERVAL_S = 0.1
 STOP_TIMEOUT_S = 5
 READY_TIMEOUT_S = 10
-READY_POLL_S = 0.02
+READY_POLL_INTERVAL_S = 0.02
 BYTES_PER_MB = 2**20
-HEADER = (
+TABLE_HEADER = (
     "| connections | served/s (range) | rejected | other | p50 ms | p99 ms | CPU µs/request | RSS MB |\n"
     "| --- | --- | --- | --- | --- | --- | --- | --- |"
 )
 
 
 class Measurement(Struct, rename={"rejected": "refused"}):
-    """Result of a run.  The keys of the JSON file are those of earlier measurements."""
+    """Result of a run.  The JSON file has the keys of earlier measurements, so that files can be compared."""
 
     connections: int
     served_per_s: float
     rejected: int
-    other: int  # responses with another status
-    p50_ms: float
+    other: int  # responses that are neither 200 nor 503
+    p50_ms: float  # latency of served requests
     p99_ms: float
-    cores: float  # that the sidecar used
-    cpu_us: float  # of the sidecar, for each response
-    rss_mb: float  # maximum
+    cores: float  # CPU seconds that the sidecar used per second
+    cpu_us: float  # CPU time of the sidecar per response
+    rss_mb: float  # maximum resident memory of the sidecar
 
 
 @contextmanager
 def running_servers(block: int, cores: set[int]) -> Iterator[None]:
-    """Run servers and discovery; they are ready on entry."""
+    """Run the servers and the discovery service in a process of their own; they are ready on entry."""
     ready = multiprocessing.Event()
-    servers = multiprocessing.Process(target=run_servers, args=(block, SERVERS, ready, cores), daemon=True)
+    servers = multiprocessing.Process(target=run_servers, args=(block, SERVER_COUNT, ready, cores), daemon=True)
     servers.start()
     try:
         ready.wait(READY_TIMEOUT_S)
@@ -99,31 +99,31 @@
 
 @contextmanager
 def running_sidecar(block: int, memory_mb: int, core: int) -> Iterator[psutil.Process]:
-    """Run a sidecar pinned to a core and yield it when it is ready."""
+    """Run a sidecar that is pinned to a core; it is ready on entry."""
     schedule = make_schedule(scenario_file.decode(SCENARIO, "saturate"), 1)
     configuration = sidecar_configuration(schedule, block, 0)
     configuration["limits"] = {"cores": 1.0, "memory_mb": memory_mb, "sockets": 1024}
-    path = Path(tempfile.mkdtemp(prefix="lugtally-saturate-")) / "config.json"
-    path.write_text(json.dumps(configuration))
-    child = subprocess.Popen(
+    configuration_path = Path(tempfile.mkdtemp(prefix="lugtally-saturate-")) / "config.json"
+    configuration_path.write_text(json.dumps(configuration))
+    process = subprocess.Popen(
         [sys.executable, "-B", "-m", "lugtally", "serve", "--log-level", "ERROR"],
-        env={**os.environ, "PROXY_CONFIG": str(path)},
+        env={**os.environ, "PROXY_CONFIG": str(configuration_path)},
     )
     try:
-        os.sched_setaffinity(child.pid, {core})
+        os.sched_setaffinity(process.pid, {core})
         while not is_ready(block, 0):
-            time.sleep(READY_POLL_S)
-        yield psutil.Process(child.pid)
+            time.sleep(READY_POLL_INTERVAL_S)
+        yield psutil.Process(process.pid)
     finally:
-        child.terminate()
+        process.terminate()
         try:
-            child.wait(STOP_TIMEOUT_S)
+            process.wait(STOP_TIMEOUT_S)
         except subprocess.TimeoutExpired:
-            child.kill()
+            process.kill()
 
 
-def measure(options: ClientOptions, memory_mb: int) -> Measurement:
-    """Measure a sidecar on the first core, servers on the second and clients on the third."""
+def run_measurement(options: ClientOptions, memory_mb: int) -> Measurement:
+    """Run a sidecar on the first core, servers on the second and clients on the third, and measure the sidecar."""
     cores = sorted(os.sched_getaffinity(0))
     block = loopback.LoopbackBlock()
     try:
@@ -131,24 +131,26 @@
             running_servers(block.number, {cores[1 % len(cores)]}),
             running_sidecar(block.number, memory_mb, cores[0]) as sidecar,
         ):
-            return measure_sidecar(sidecar, block.number, options, {cores[2 % len(cores)]})
+            return measure_under_load(sidecar, block.number, options, {cores[2 % len(cores)]})
     finally:
         block.close()
 
 
-def measure_sidecar(sidecar: psutil.Process, block: int, options: ClientOptions, client_cores: set[int]) -> Measurement:
-    """Measure a sidecar under the load of the clients."""
-    results, client_end = multiprocessing.Pipe()
+def measure_under_load(
+    sidecar: psutil.Process, block: int, options: ClientOptions, client_cores: set[int]
+) -> Measurement:
+    """Run the clients and measure the sidecar while they send requests."""
+    receiver, sender = multiprocessing.Pipe()
     host = loopback.sidecar_host(block, 0)
-    clients = multiprocessing.Process(target=run_clients, daemon=True, args=(host, options, client_cores, client_end))
+    clients = multiprocessing.Process(target=run_clients, daemon=True, args=(host, options, client_cores, sender))
     clients.start()
-    assert results.recv() == "begin"
-    before, max_rss_mb = sidecar.cpu_times(), 0.0
-    while not results.poll(SAMPLE_INTERVAL_S):
+    assert receiver.recv() == "begin"
+    cpu_before, max_rss_mb = sidecar.cpu_times(), 0.0
+    while not receiver.poll(MEMORY_SAMPLE_INTERVAL_S):
         max_rss_mb = max(max_rss_mb, sidecar.memory_info().rss / BYTES_PER_MB)
-    after = sidecar.cpu_times()
-    result: ClientResult = results.recv()
-    cpu_s = after.user + after.system - before.user - before.system
+    cpu_after = sidecar.cpu_times()
+    result: ClientResult = receiver.recv()
+    cpu_s = cpu_after.user + cpu_after.system - cpu_before.user - cpu_before.system
     clients.join(STOP_TIMEOUT_S)
     responses = sum(result.response_counts.values())
     served, rejected = result.response_counts.get(HTTP_OK, 0), result.response_counts.get(HTTP_SERVICE_UNAVAILABLE, 0)
@@ -178,7 +180,7 @@
 
 
 def table_row(runs: list[Measurement]) -> str:
-    """Format the runs with the same number of connections as a row: medians, range of served requests, maximum RSS."""
+    """Format the runs with the same number of connections as a row: medians, range of the served rate, maximum RSS."""
     served = [run.served_per_s for run in runs]
     return (
         f"| {runs[0].connections} | {statistics.median(served):,.0f} ({min(served):,.0f} to {max(served):,.0f}) "
@@ -190,13 +192,13 @@
 
 
 def main() -> None:
-    """Measure and print the table."""
+    """Run all measurements and print the table."""
     options = parse_options()
     measurements: list[Measurement] = []
-    print(HEADER)
+    print(TABLE_HEADER)
     for connections in map(int, options.connections.split(",")):
-        clients = ClientOptions(connections, options.seconds, options.pause_ms / 1000)
-        runs = [measure(clients, options.memory_mb) for _ in range(options.runs)]
+        client_options = ClientOptions(connections, options.seconds, options.pause_ms / 1000)
+        runs = [run_measurement(client_options, options.memory_mb) for _ in range(options.runs)]
         measurements += runs
         print(table_row(runs), flush=True)
     if options.json:
