--- a/benchmarks/admission_controllers.py
+++ b/benchmarks/admission_controllers.py
@@ -1,14 +1,15 @@
 """Admission controllers that ``gates.py`` compares.  All times are in seconds.
 
-Each adjusts ``shed_fraction``, the fraction of requests to shed, to the queueing delay of the sidecar's event loop:
+Four adjust ``shed_fraction``, the fraction of requests to shed, to the queueing delay of the sidecar's event loop:
 
 - a limit on the standing delay, as in CoDel (Nichols and Jacobson, 2012; RFC 8289);
 - PIE (RFC 8033);
 - AIMD on the delay (Chiu and Jain, 1989);
 - a gradient limiter, which scales the admitted fraction by the ratio of target and measured delay (Brakmo and
-  Peterson's Vegas, 1995, as in adaptive concurrency limits);
-- a check of deadlines alone, which sheds only requests that can no longer meet theirs (Dean and Barroso, "The Tail at
-  Scale", 2013).
+  Peterson's Vegas, 1995, as in adaptive concurrency limits).
+
+They also shed requests that can no longer meet their deadline (Dean and Barroso, "The Tail at Scale", 2013).  The fifth
+controller does only that.
 """
 
 from __future__ import annotations
