--- a/lugtally/testbed/emulator/attempt_draws.py
+++ b/lugtally/testbed/emulator/attempt_draws.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from lugtally.testbed.emulator.faults import MALFORMED_RESPONSES, EndpointFaults
-from lugtally.testbed.scenario.random_streams import unit
+from lugtally.testbed.scenario.random_streams import named_uniform
 from lugtally.testbed.verification.records import ServerOutcome
 
 NOISE_WIDTH = 1.7  # half the width of a uniform distribution around 1, in its standard deviations
@@ -37,8 +37,8 @@
     ``number`` counts the attempts of this request at this server from 0; ``noise`` is the standard deviation of the
     work factor.  Half of the resets come before any work, the other half instead of the response.
     """
-    noise_draw = unit(seed, "noise", server, request_id, number)
-    reset_draw = unit(seed, "reset", server, request_id, number)
+    noise_draw = named_uniform(seed, "noise", server, request_id, number)
+    reset_draw = named_uniform(seed, "reset", server, request_id, number)
     half_share = faults.reset_share / 2
     return AttemptDraw(
         work_factor=1 + noise * (2 * noise_draw - 1) * NOISE_WIDTH,
@@ -51,7 +51,7 @@
     seed: int, server: str, request_id: str, arrived_at: float, error_rate: float, faults: EndpointFaults
 ) -> ResponseDraw:
     """Draw the response of a request that is not reset."""
-    draw = unit(seed, "end", server, request_id, arrived_at)
+    draw = named_uniform(seed, "end", server, request_id, arrived_at)
     if draw < error_rate + faults.error_share:
         return ResponseDraw(ServerOutcome.ERRORED)
     if draw > 1 - faults.malformed_share:
--- a/lugtally/testbed/loadgen/attempt.py
+++ b/lugtally/testbed/loadgen/attempt.py
@@ -14,7 +14,7 @@
 from lugtally.testbed.loadgen.connection import STATUS_OK, ClientConnection, Response
 from lugtally.testbed.loadgen.connection_pool import ConnectionPool
 from lugtally.testbed.loadgen.load_run import LoadRun
-from lugtally.testbed.scenario.random_streams import unit
+from lugtally.testbed.scenario.random_streams import named_uniform
 from lugtally.testbed.verification.records import ClientAttempt, ClientOutcome
 
 OBSERVATION_S = 0.4  # after the client's deadline, to distinguish a late response from none
@@ -122,7 +122,10 @@
     def _on_deadline(self) -> None:
         """Stop waiting.  Impatient clients disconnect; others stay connected so that a late response is recorded."""
         self._is_abandoned = True
-        if unit(self._run.seed, "impatient", self._record.request_id) < self._run.client_behaviour.impatient_share:
+        if (
+            named_uniform(self._run.seed, "impatient", self._record.request_id)
+            < self._run.client_behaviour.impatient_share
+        ):
             self._close_connection()
             self._finish(ClientOutcome.CLIENT_LEFT)
         else:
--- a/lugtally/testbed/loadgen/client.py
+++ b/lugtally/testbed/loadgen/client.py
@@ -7,7 +7,7 @@
 from lugtally.testbed.loadgen.attempt import OutgoingAttempt
 from lugtally.testbed.loadgen.load_run import LoadRun
 from lugtally.testbed.scenario.arrivals import Arrival
-from lugtally.testbed.scenario.random_streams import unit
+from lugtally.testbed.scenario.random_streams import named_uniform
 from lugtally.testbed.scenario.scenario import METHODS
 from lugtally.testbed.scenario.specification import request_id
 from lugtally.testbed.verification.records import ClientAttempt, ClientOutcome
@@ -112,7 +112,10 @@
         """Return the seconds to wait before a retry.  Some clients follow Retry-After."""
         behaviour = self._run.client_behaviour
         backoff_s = behaviour.backoff_ms / 1000
-        if record.retry_after_s >= 0 and unit(self._run.seed, "honour", self._first_id) < behaviour.retry_after_share:
+        if (
+            record.retry_after_s >= 0
+            and named_uniform(self._run.seed, "honour", self._first_id) < behaviour.retry_after_share
+        ):
             return max(backoff_s, record.retry_after_s)
         return backoff_s
 
--- a/lugtally/testbed/scenario/random_streams.py
+++ b/lugtally/testbed/scenario/random_streams.py
@@ -18,7 +18,7 @@
     return np.random.Generator(np.random.Philox(key=xxhash.xxh3_128_intdigest(_key(seed, name))))
 
 
-def unit(seed: int, *name: object) -> float:
+def named_uniform(seed: int, *name: object) -> float:
     """Return the number in [0, 1) of a name, for draws without a fixed order."""
     return float((xxhash.xxh3_64_intdigest(_key(seed, name)) >> 11) * 2.0**-53)
 
--- a/tests/testbed/test_scenario.py
+++ b/tests/testbed/test_scenario.py
@@ -9,7 +9,7 @@
 
 from lugtally.cli.root import root
 from lugtally.testbed.scenario import scenario, scenario_file, schedule
-from lugtally.testbed.scenario.random_streams import stream, unit
+from lugtally.testbed.scenario.random_streams import named_uniform, stream
 
 SHIPPED = sorted(scenario_file.shipped())
 
@@ -92,5 +92,5 @@
     first, second = schedule.make_schedule(small, 3), schedule.make_schedule(large, 3)
     assert second.machines[:6] == first.machines
     assert second.arrivals == first.arrivals, "more servers, same clients"
-    assert unit(1, "a", 2) == unit(1, "a", 2) != unit(1, "a", 3)
+    assert named_uniform(1, "a", 2) == named_uniform(1, "a", 2) != named_uniform(1, "a", 3)
     assert stream(5, "x").random() != stream(5, "y").random()
