--- a/lugtally/testbed/emulator/fault_script.py
+++ b/lugtally/testbed/emulator/fault_injector.py
@@ -14,7 +14,7 @@
 FaultAction = Callable[[EmulatedServer, FaultEvent], None]
 
 
-class FaultScript:
+class FaultInjector:
     """Applies the scheduled faults of servers and discovery to a fleet.
 
     Other processes apply the faults of the load and of sidecars.
--- a/lugtally/testbed/emulator/process.py
+++ b/lugtally/testbed/emulator/process.py
@@ -11,7 +11,7 @@
 
 import uvloop
 
-from lugtally.testbed.emulator.fault_script import FaultScript
+from lugtally.testbed.emulator.fault_injector import FaultInjector
 from lugtally.testbed.emulator.fleet import EmulatedFleet
 from lugtally.testbed.scenario.specification import read_specification
 
@@ -26,15 +26,15 @@
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(commands), sys.stdin)
     print("ready", flush=True)
     sampling = loop.create_task(_sample(fleet))
-    await _follow_commands(commands, FaultScript(fleet))
+    await _follow_commands(commands, FaultInjector(fleet))
     sampling.cancel()
     fleet.stop()
 
 
-async def _follow_commands(commands: asyncio.StreamReader, script: FaultScript) -> None:
+async def _follow_commands(commands: asyncio.StreamReader, injector: FaultInjector) -> None:
     while command := (await commands.readline()).decode().split():
         if command[0] == "go":
-            script.start(float(command[1]))
+            injector.start(float(command[1]))
         elif command[0] == "stop":
             return
 
