--- a/lugtally/testbed/loadgen/client.py
+++ b/lugtally/testbed/loadgen/client.py
@@ -16,7 +16,7 @@
 MIN_TIME_LEFT_S = 0.005  # before the deadline, for a retry to start
 
 
-class Client:
+class ClientRequest:
     """A request and its attempts.  Times are seconds since the base."""
 
     __slots__ = ("_run", "_arrival", "_class", "_serial", "_first_id", "_attempts", "_is_served")
--- a/lugtally/testbed/loadgen/generator.py
+++ b/lugtally/testbed/loadgen/generator.py
@@ -17,7 +17,7 @@
 
 import uvloop
 
-from lugtally.testbed.loadgen.client import Client
+from lugtally.testbed.loadgen.client import ClientRequest
 from lugtally.testbed.loadgen.load_run import LoadRun
 from lugtally.testbed.scenario.schedule import Schedule, make_schedule
 from lugtally.testbed.scenario.specification import ProcessSpecification, read_specification
@@ -72,7 +72,7 @@
             while (wait := due - run.clock()) > MIN_WAIT_S:
                 await asyncio.sleep(wait)
             run.timer_lag.add(run.clock() - due)
-            Client(run, serial, arrival).start_attempt(due)
+            ClientRequest(run, serial, arrival).start_attempt(due)
             if due > flushed_at + FLUSH_INTERVAL_S:
                 flushed_at = due
                 run.event_log.flush()
