--- a/lugtally/testbed/emulator/fleet.py
+++ b/lugtally/testbed/emulator/fleet.py
@@ -15,7 +15,7 @@
 from lugtally.testbed.emulator.timer_lag import TimerLag
 from lugtally.testbed.scenario.scenario import METHODS, Network, Scenario
 from lugtally.testbed.scenario.schedule import Schedule, draw_machine, make_schedule
-from lugtally.testbed.scenario.specification import ProcessSpecification, run_digits, serial_of
+from lugtally.testbed.scenario.specification import ProcessSpecification, arrival_index_of, run_suffix
 from lugtally.testbed.verification.event_log import EventLogWriter
 
 
@@ -25,7 +25,7 @@
     def __init__(self, specification: ProcessSpecification) -> None:
         self.schedule: Schedule = make_schedule(specification.scenario, specification.seed)
         self._specification = specification
-        self._run_digits = run_digits(specification.seed)
+        self._run_suffix = run_suffix(specification.seed)
         self._event_log = EventLogWriter(Path(specification.event_log_path))
         self._timer_lag = TimerLag("stand-ins")
         self._context = self._build_context()
@@ -109,9 +109,9 @@
 
     def _work_of(self, request_id: str) -> float | None:
         """Return the work of a request in core-seconds, None if no client sends this id."""
-        serial = serial_of(request_id, self._run_digits)
+        arrival_index = arrival_index_of(request_id, self._run_suffix)
         try:
-            return None if serial is None else self.schedule.arrivals[serial].work
+            return None if arrival_index is None else self.schedule.arrivals[arrival_index].work
         except IndexError:
             return None
 
--- a/lugtally/testbed/loadgen/client.py
+++ b/lugtally/testbed/loadgen/client.py
@@ -19,14 +19,14 @@
 class ClientRequest:
     """A request and its attempts.  Times are seconds since the base."""
 
-    __slots__ = ("_run", "_arrival", "_class", "_serial", "_first_id", "_attempts", "_is_served")
+    __slots__ = ("_run", "_arrival", "_class", "_arrival_index", "_first_id", "_attempts", "_is_served")
 
-    def __init__(self, run: LoadRun, serial: int, arrival: Arrival) -> None:
+    def __init__(self, run: LoadRun, arrival_index: int, arrival: Arrival) -> None:
         self._run = run
         self._arrival = arrival
         self._class = run.classes[arrival.class_index]
-        self._serial = serial
-        self._first_id = request_id(serial, 0, run.run_digits)
+        self._arrival_index = arrival_index
+        self._first_id = request_id(arrival_index, 0, run.run_suffix)
         self._attempts = 0
         self._is_served = False
 
@@ -35,7 +35,7 @@
         attempt_share = self._run.client_behaviour.attempt_share
         patience = min(self._class.deadline_ms / 1000 * attempt_share, self._deadline_at() - intended_at)
         record = ClientAttempt(
-            request_id(self._serial, self._attempts, self._run.run_digits),
+            request_id(self._arrival_index, self._attempts, self._run.run_suffix),
             self._first_id,
             self._attempts,
             self._arrival.sidecar,
@@ -56,7 +56,7 @@
         method = METHODS[self._class.effect]
         body = b"" if method == "GET" else POST_BODY
         lines = [
-            f"{method} /{self._class.name}?n={self._serial} HTTP/1.1",
+            f"{method} /{self._class.name}?n={self._arrival_index} HTTP/1.1",
             "Host: service.internal",
             f"X-Correlation-Id: {record.request_id}",
             f"X-Service-Class: {self._class.name}",
@@ -65,7 +65,7 @@
         if record.number:
             lines.append("X-Repeat: 1")
         if self._class.effect == "keyed":
-            lines.append(f"Idempotency-Key: {self._first_id}{self._run.run_digits}")
+            lines.append(f"Idempotency-Key: {self._first_id}{self._run.run_suffix}")
         if method != "GET":
             lines.append(f"Content-Length: {len(body)}")
         return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
--- a/lugtally/testbed/loadgen/generator.py
+++ b/lugtally/testbed/loadgen/generator.py
@@ -67,12 +67,12 @@
     async def _send_arrivals(self) -> None:
         """Send each request at its time, and flush the event log each second."""
         run, flushed_at = self._run, 0.0
-        for serial, arrival in enumerate(self._schedule.arrivals):
+        for arrival_index, arrival in enumerate(self._schedule.arrivals):
             due = run.start + arrival.at
             while (wait := due - run.clock()) > MIN_WAIT_S:
                 await asyncio.sleep(wait)
             run.timer_lag.add(run.clock() - due)
-            ClientRequest(run, serial, arrival).start_attempt(due)
+            ClientRequest(run, arrival_index, arrival).start_attempt(due)
             if due > flushed_at + FLUSH_INTERVAL_S:
                 flushed_at = due
                 run.event_log.flush()
--- a/lugtally/testbed/loadgen/load_run.py
+++ b/lugtally/testbed/loadgen/load_run.py
@@ -8,7 +8,7 @@
 from lugtally.testbed.emulator import loopback
 from lugtally.testbed.emulator.timer_lag import TimerLag
 from lugtally.testbed.loadgen.connection_pool import ConnectionPool
-from lugtally.testbed.scenario.specification import ProcessSpecification, run_digits
+from lugtally.testbed.scenario.specification import ProcessSpecification, run_suffix
 from lugtally.testbed.verification.event_log import EventLogWriter
 
 
@@ -20,7 +20,7 @@
         self.seed = specification.seed
         self.classes = scenario.classes
         self.client_behaviour = scenario.clients
-        self.run_digits = run_digits(specification.seed)
+        self.run_suffix = run_suffix(specification.seed)
         self.event_log = EventLogWriter(Path(specification.event_log_path))
         self.timer_lag = TimerLag("load")
         self.pools = [
