--- a/lugtally/testbed/emulator/fleet_context.py
+++ b/lugtally/testbed/emulator/fleet_context.py
@@ -38,7 +38,7 @@
     error_rate: float
     idempotency: IdempotencyStore
 
-    def one_way_s(self, zone: str, sidecar: int) -> float:
+    def one_way_delay_s(self, zone: str, sidecar: int) -> float:
         """Return the network's delay, in seconds, between a server in this zone and a sidecar."""
         is_same_zone = self.sidecar_zones[sidecar] == zone
         return self.network.same_zone_s if is_same_zone else self.network.cross_zone_s
--- a/lugtally/testbed/emulator/server_connection.py
+++ b/lugtally/testbed/emulator/server_connection.py
@@ -110,10 +110,10 @@
         request = self._build_request()
         if not request.is_health_check:
             self.request = request
-        one_way = self._one_way_s()
-        handshake = 0.0 if self._was_used else 2 * one_way * self._server.context.network.handshake_round_trips
+        one_way_delay = self._one_way_delay_s()
+        handshake = 0.0 if self._was_used else 2 * one_way_delay * self._server.context.network.handshake_round_trips
         self._first_byte_at, self._was_used = -1.0, True
-        self._call_after(one_way + handshake, self._deliver, request)
+        self._call_after(one_way_delay + handshake, self._deliver, request)
 
     def respond(self, status: int, body: bytes, *, unprocessed: bool = False, slow_s: float = 0.0) -> None:
         """Write a complete response after the network's delay.
@@ -123,19 +123,19 @@
         self.request = None
         mark = "X-Unprocessed: 1\r\n" if unprocessed else ""
         data = f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{mark}\r\n".encode() + body
-        one_way = self._one_way_s()
+        one_way_delay = self._one_way_delay_s()
         if slow_s <= 0:
-            self._call_after(one_way, self._write, data)
+            self._call_after(one_way_delay, self._write, data)
             return
         size = -(-len(data) // SLOW_RESPONSE_PIECES)
         for index in range(SLOW_RESPONSE_PIECES):
             piece = data[index * size : (index + 1) * size]
-            self._call_after(one_way + index * slow_s / SLOW_RESPONSE_PIECES, self._write, piece)
+            self._call_after(one_way_delay + index * slow_s / SLOW_RESPONSE_PIECES, self._write, piece)
 
     def respond_malformed(self, data: bytes) -> None:
         """Write bytes that are no valid response.  The connection stays open."""
         self.request = None
-        self._call_after(self._one_way_s(), self._write, data)
+        self._call_after(self._one_way_delay_s(), self._write, data)
 
     def reset(self) -> None:
         """Close the connection with a reset."""
@@ -174,8 +174,8 @@
         context.record(UnknownRequest(context.clock(), self._server.name, self.sidecar, description))
         self.reset()
 
-    def _one_way_s(self) -> float:
-        return self._server.context.one_way_s(self._server.zone, self.sidecar)
+    def _one_way_delay_s(self) -> float:
+        return self._server.context.one_way_delay_s(self._server.zone, self.sidecar)
 
     def _call_after(self, delay: float, callback: Callable[..., None], argument: Any) -> None:
         if delay < MIN_DELAY_S:
