--- a/lugtally/testbed/emulator/idempotency.py
+++ b/lugtally/testbed/emulator/idempotency.py
@@ -30,7 +30,7 @@
         """Return whether requests of this class carry an idempotency key."""
         return class_name in self._window_s
 
-    def is_first(self, class_name: str, key: str, zone: str, at: float) -> bool:
+    def record_execution(self, class_name: str, key: str, zone: str, at: float) -> bool:
         """Return whether an execution has an effect of its own, and store its key if so."""
         window_s = self._window_s.get(class_name)
         if window_s is None or not key:
--- a/lugtally/testbed/emulator/request_processor.py
+++ b/lugtally/testbed/emulator/request_processor.py
@@ -113,7 +113,7 @@
         """Answer a request whose work is done, as the active faults allow."""
         attempt = request.attempt
         attempt.started_at, attempt.work_done = job.started_at, job.work
-        attempt.had_effect = self._context.idempotency.is_first(
+        attempt.had_effect = self._context.idempotency.record_execution(
             request.class_name, attempt.idempotency_key, self._zone, attempt.last_byte_at
         )
         attempt.deduplicated = not attempt.had_effect
