--- a/lugtally/testbed/emulator/cold_overload.py
+++ b/lugtally/testbed/emulator/cold_overload.py
@@ -26,7 +26,7 @@
         self._arrivals: deque[_Arrival] = deque()  # of the last window
         self._work = 0.0  # of these arrivals
 
-    def is_overloaded_by(self, now_s: float, work: float, sidecar: int, capacity: float) -> bool:
+    def add_arrival_and_check(self, now_s: float, work: float, sidecar: int, capacity: float) -> bool:
         """Add an arrival and return whether the window has too much work for the present capacity."""
         self._arrivals.append(_Arrival(now_s, work, sidecar))
         self._work += work
--- a/lugtally/testbed/emulator/server_model.py
+++ b/lugtally/testbed/emulator/server_model.py
@@ -261,6 +261,6 @@
         """Count a request that reaches the server as it warms up, admitted or not, and collapse under too many."""
         if self.warm_fraction >= 1 or self.collapsed:
             return
-        if self._cold_overload.is_overloaded_by(now_s, job.work, job.sidecar, self.capacity):
+        if self._cold_overload.add_arrival_and_check(now_s, job.work, job.sidecar, self.capacity):
             self.collapsed, self.collapsed_at = True, now_s
             self.collapse_work_by_sidecar = self._cold_overload.work_by_sidecar()
