--- a/lugtally/testbed/emulator/fault_injector.py
+++ b/lugtally/testbed/emulator/fault_injector.py
@@ -107,10 +107,10 @@
     def _disconnect_network(self, server: EmulatedServer, event: FaultEvent) -> None:
         if event.begins:
             server.disconnect_network()
-            self._fleet.announce(server, REMOVED, silent=True)
+            self._fleet.schedule_list_update(server, REMOVED, silent=True)
         else:
             server.reconnect_network()
-            self._fleet.announce(server, READY, silent=True)
+            self._fleet.schedule_list_update(server, READY, silent=True)
 
     def _drain(self, server: EmulatedServer, event: FaultEvent) -> None:
         if event.begins:
@@ -120,7 +120,7 @@
     def _restart(self, server: EmulatedServer, event: FaultEvent) -> None:
         self._drain(server, event)
         if event.begins:
-            self._call_later(event.fault.takes_s + event.fault.size, self._fleet.boot, server)
+            self._call_later(event.fault.takes_s + event.fault.size, self._fleet.start_cold, server)
 
     def _replace(self, server: EmulatedServer, event: FaultEvent) -> None:
         """Drain and remove a machine, and start another with a new name at its address."""
@@ -131,8 +131,8 @@
     def _crash(self, server: EmulatedServer, event: FaultEvent) -> None:
         if event.begins:
             self._fleet.shut_down(server)
-            self._call_later(event.fault.takes_s, self._fleet.boot, server)
+            self._call_later(event.fault.takes_s, self._fleet.start_cold, server)
 
     def _join(self, server: EmulatedServer, event: FaultEvent) -> None:
         if event.begins:
-            self._fleet.boot(server)
+            self._fleet.start_cold(server)
--- a/lugtally/testbed/emulator/fleet.py
+++ b/lugtally/testbed/emulator/fleet.py
@@ -64,32 +64,32 @@
                     self.shut_down(server)
         self._event_log.flush()
 
-    def boot(self, server: EmulatedServer) -> None:
+    def start_cold(self, server: EmulatedServer) -> None:
         """Start a server cold and list it as ready."""
         self._restarted_ms[server.name] = int(time.time() * 1000)
         server.start(cold=True)
-        self.announce(server, READY)
+        self.schedule_list_update(server, READY)
 
     def begin_drain(self, server: EmulatedServer) -> None:
         """Make a server reject new requests and list it as draining."""
         with server.change_model() as model:
             model.draining = True
-        self.announce(server, DRAINING)
+        self.schedule_list_update(server, DRAINING)
 
     def shut_down(self, server: EmulatedServer) -> None:
         """Stop a server and remove it from the list.  Does nothing if it does not run."""
         if server.running:
             server.stop()
-            self.announce(server, REMOVED)
+            self.schedule_list_update(server, REMOVED)
 
     def replace(self, server: EmulatedServer) -> None:
         """Start another machine with a new name at the index and address of a server."""
         specification = self._specification
         machine = draw_machine(specification.scenario, specification.seed, server.server_index, f"{server.name}x")
         self.servers[server.server_index] = successor = EmulatedServer(self._context, machine, server.server_index)
-        self.boot(successor)
+        self.start_cold(successor)
 
-    def announce(self, server: EmulatedServer, state: str, *, silent: bool = False) -> None:
+    def schedule_list_update(self, server: EmulatedServer, state: str, *, silent: bool = False) -> None:
         """Enter a state into the list after the propagation delay, which is longer for ``silent`` machines."""
         delay = self.schedule.silent_propagation_s if silent else self.schedule.propagation_s
         asyncio.get_running_loop().call_later(delay, self.discovery.update, self._entry(server, state))
