--- a/lugtally/testbed/emulator/request.py
+++ b/lugtally/testbed/emulator/request.py
@@ -15,7 +15,7 @@
     """The connection on which a request arrived, as far as its response needs it."""
 
     sidecar: int
-    is_counted: bool
+    has_table_entry: bool
 
     def respond(self, status: int, body: bytes, *, unprocessed: bool = False, slow_s: float = 0.0) -> None:
         """Write a complete response."""
--- a/lugtally/testbed/emulator/request_processor.py
+++ b/lugtally/testbed/emulator/request_processor.py
@@ -96,7 +96,7 @@
         """Offer a request to the model.  Reject it if the model does not admit it."""
         connection, attempt = request.connection, request.attempt
         job = Job(attempt.request_id, attempt.work, now_s + request.time_left_s, connection.sidecar)
-        admission = model.offer(now_s, job) if connection.is_counted else Admission.FULL
+        admission = model.offer(now_s, job) if connection.has_table_entry else Admission.FULL
         if model.collapsed and model.collapsed_at == now_s:
             self._record_collapse(model)
         if admission is Admission.ADMITTED:
--- a/lugtally/testbed/emulator/server.py
+++ b/lugtally/testbed/emulator/server.py
@@ -97,13 +97,13 @@
         """Register a connection, and count it unless the model's connection table is full."""
         self._connections.add(connection)
         self.advance()
-        connection.is_counted = self.model.connect()
+        connection.has_table_entry = self.model.connect()
         self._schedule_tick()
 
     def connection_closed(self, connection: ServerConnection) -> None:
         """Unregister a connection and stop work on its request."""
         self._connections.discard(connection)
-        if connection.is_counted:
+        if connection.has_table_entry:
             self.model.disconnect()
         self.advance()
         if connection.request is not None:
--- a/lugtally/testbed/emulator/server_connection.py
+++ b/lugtally/testbed/emulator/server_connection.py
@@ -46,7 +46,7 @@
     def __init__(self, server: RequestHandler, sidecar: int) -> None:
         self.sidecar = sidecar
         self.request: EmulatedRequest | None = None
-        self.is_counted = False  # whether it has an entry in the server's connection table
+        self.has_table_entry = False  # whether it has an entry in the server's connection table
         self._server = server
         self._transport: Any = None
         self._parser = httptools.HttpRequestParser(self)
