--- a/lugtally/testbed/emulator/attempt_draws.py
+++ b/lugtally/testbed/emulator/attempt_draws.py
@@ -19,7 +19,7 @@
 
     work_factor: float
     resets_before_work: bool
-    resets_at_end: bool
+    resets_instead_of_response: bool
 
 
 class ResponseDraw(NamedTuple):
@@ -43,7 +43,7 @@
     return AttemptDraw(
         work_factor=1 + noise * (2 * noise_draw - 1) * NOISE_WIDTH,
         resets_before_work=reset_draw < half_share,
-        resets_at_end=reset_draw > 1 - half_share,
+        resets_instead_of_response=reset_draw > 1 - half_share,
     )
 
 
--- a/lugtally/testbed/emulator/request.py
+++ b/lugtally/testbed/emulator/request.py
@@ -39,7 +39,7 @@
     time_left_s: float
     is_valid: bool  # known class, the method of that class, and an idempotency key if the class requires one
     job: Job | None = None  # while the model works on it
-    resets_at_end: bool = False  # a fault resets the connection instead of the response
+    resets_instead_of_response: bool = False  # a fault resets the connection instead of the response
     is_recorded: bool = False
 
     @property
--- a/lugtally/testbed/emulator/request_processor.py
+++ b/lugtally/testbed/emulator/request_processor.py
@@ -89,7 +89,7 @@
             self._context.seed, self._server, request_id, number, self._context.attempt_noise, self._faults
         )
         request.attempt.work = work * draw.work_factor
-        request.resets_at_end = draw.resets_at_end
+        request.resets_instead_of_response = draw.resets_instead_of_response
         return draw.resets_before_work
 
     def _offer(self, request: EmulatedRequest, model: ServerModel, now_s: float) -> None:
@@ -117,7 +117,7 @@
             request.class_name, attempt.idempotency_key, self._zone, attempt.last_byte_at
         )
         attempt.deduplicated = not attempt.had_effect
-        if request.resets_at_end:
+        if request.resets_instead_of_response:
             self._record(request, ServerOutcome.RESET)
             request.connection.reset()
         else:
