--- a/lugtally/testbed/emulator/request.py
+++ b/lugtally/testbed/emulator/request.py
@@ -17,7 +17,7 @@
     sidecar: int
     has_table_entry: bool
 
-    def respond(self, status: int, body: bytes, *, unprocessed: bool = False, slow_s: float = 0.0) -> None:
+    def respond(self, status: int, body: bytes, *, unprocessed: bool = False, write_duration_s: float = 0.0) -> None:
         """Write a complete response."""
 
     def respond_malformed(self, data: bytes) -> None:
--- a/lugtally/testbed/emulator/request_processor.py
+++ b/lugtally/testbed/emulator/request_processor.py
@@ -136,7 +136,7 @@
             connection.respond_malformed(draw.malformed)
         else:
             body = build_body(context.seed, attempt.request_id, self._server)
-            connection.respond(200, body, slow_s=self._faults.slow_response_s)
+            connection.respond(200, body, write_duration_s=self._faults.slow_response_s)
 
     def _record(self, request: EmulatedRequest, outcome: ServerOutcome) -> None:
         """Record the outcome of an attempt, once."""
--- a/lugtally/testbed/emulator/server_connection.py
+++ b/lugtally/testbed/emulator/server_connection.py
@@ -115,22 +115,22 @@
         self._first_byte_at, self._was_used = -1.0, True
         self._call_after(one_way_delay + handshake, self._deliver, request)
 
-    def respond(self, status: int, body: bytes, *, unprocessed: bool = False, slow_s: float = 0.0) -> None:
+    def respond(self, status: int, body: bytes, *, unprocessed: bool = False, write_duration_s: float = 0.0) -> None:
         """Write a complete response after the network's delay.
 
-        ``slow_s`` is the time over which it is written, in pieces.
+        ``write_duration_s`` is the time over which it is written, in pieces.
         """
         self.request = None
         mark = "X-Unprocessed: 1\r\n" if unprocessed else ""
         data = f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{mark}\r\n".encode() + body
         one_way_delay = self._one_way_delay_s()
-        if slow_s <= 0:
+        if write_duration_s <= 0:
             self._call_after(one_way_delay, self._write, data)
             return
         size = -(-len(data) // SLOW_RESPONSE_PIECES)
         for index in range(SLOW_RESPONSE_PIECES):
             piece = data[index * size : (index + 1) * size]
-            self._call_after(one_way_delay + index * slow_s / SLOW_RESPONSE_PIECES, self._write, piece)
+            self._call_after(one_way_delay + index * write_duration_s / SLOW_RESPONSE_PIECES, self._write, piece)
 
     def respond_malformed(self, data: bytes) -> None:
         """Write bytes that are no valid response.  The connection stays open."""
