--- a/lugtally/testbed/emulator/__init__.py
+++ b/lugtally/testbed/emulator/__init__.py
@@ -1,5 +1,5 @@
-"""Emulated servers, discovery service and network on loopback, driven by a server model and a script of faults.
+"""Emulated servers, discovery service and network on loopback, driven by a server model and scheduled faults.
 
-It owns everything upstream of a sidecar, and the records of the requests that arrive there.  It knows the sidecar by
-its bytes alone and uses another HTTP parser and another event loop than the sidecar.
+It emulates everything upstream of a sidecar and records the requests that arrive there.  It communicates with the
+sidecar through sockets only, and uses a different HTTP parser and a different event loop than the sidecar.
 """
