--- a/lugtally/testbed/emulator/fault_injector.py
+++ b/lugtally/testbed/emulator/fault_injector.py
@@ -44,7 +44,7 @@
             "discovery-slow": self._slow_discovery,
         }
 
-    def start(self, start: float) -> None:
+    def schedule_events(self, start: float) -> None:
         """Schedule the events of a run that begins ``start`` seconds after the base."""
         for event in self._fleet.schedule.events:
             self._call_later(max(0.0, start + event.at - self._fleet.clock()), self._apply, event)
--- a/lugtally/testbed/emulator/process.py
+++ b/lugtally/testbed/emulator/process.py
@@ -34,7 +34,7 @@
 async def _follow_commands(commands: asyncio.StreamReader, injector: FaultInjector) -> None:
     while command := (await commands.readline()).decode().split():
         if command[0] == "go":
-            injector.start(float(command[1]))
+            injector.schedule_events(float(command[1]))
         elif command[0] == "stop":
             return
 
