--- a/lugtally/testbed/emulator/cold_overload.py
+++ b/lugtally/testbed/emulator/cold_overload.py
@@ -5,7 +5,7 @@
 from collections import deque
 from typing import NamedTuple
 
-ALLOWED_EXCESS_REQUESTS = 2  # above the limit, because random arrivals come in clusters
+ALLOWED_EXCESS_REQUESTS = 2  # above the limit, because arrivals are random
 
 
 class _Arrival(NamedTuple):
