--- a/lugtally/testbed/emulator/discovery_connection.py
+++ b/lugtally/testbed/emulator/discovery_connection.py
@@ -1,4 +1,4 @@
-"""Connection of a sidecar to the emulated discovery service; it carries one call at a time."""
+"""Connection of a sidecar to the emulated discovery service, for one call at a time."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class CallHandler(Protocol):
-    """The part of the discovery service that a connection uses."""
+    """The methods of the discovery service that a connection uses."""
 
     def clock(self) -> float:
-        """Return the seconds since the base of the run."""
+        """Return the seconds since the base time of the run."""
 
     def connection_opened(self, connection: DiscoveryConnection) -> bool:
         """Register a connection; return whether it is accepted."""
@@ -21,14 +21,14 @@
         """Unregister a connection."""
 
     def record_failed_call(self, sidecar: int, began_at: float) -> None:
-        """Record a call that got no list."""
+        """Record a call that returned no list."""
 
     async def handle_call(self, connection: DiscoveryConnection, target: str) -> None:
         """Process a call and respond to it."""
 
 
 class DiscoveryConnection(asyncio.Protocol):
-    """Parser of a sidecar's calls and writer of the responses."""
+    """Parses the calls of a sidecar and writes the responses."""
 
     def __init__(self, handler: CallHandler, sidecar: int) -> None:
         self.sidecar = sidecar
@@ -62,15 +62,15 @@
             self.reset()
 
     def on_message_begin(self) -> None:
-        """Start a new request head."""
+        """Reset the request target for a new call."""
         self._target = b""
 
     def on_url(self, url: bytes) -> None:
-        """Append a piece of the request target."""
+        """Append a part of the request target."""
         self._target += url
 
     def on_message_complete(self) -> None:
-        """Start a task that handles the complete call."""
+        """Start a task that processes the complete call."""
         self._call_began_at = self._handler.clock()
         call = self._handler.handle_call(self, self._target.decode("latin-1"))
         self._call = asyncio.get_running_loop().create_task(call)
