--- a/lugtally/testbed/emulator/endpoint_registry.py
+++ b/lugtally/testbed/emulator/endpoint_registry.py
@@ -1,23 +1,23 @@
-"""The endpoint list of the emulated discovery service: entries, versions and changes.  Does no I/O."""
+"""Versioned endpoint list of the emulated discovery service, with the history of its changes.  Does no I/O."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from typing import NamedTuple
 
-READY, DRAINING, REMOVED = "ready", "draining", "gone"  # states, as on the wire
-MAX_CHANGES = 512  # in the history; a caller with an older version gets the full list
+READY, DRAINING, REMOVED = "ready", "draining", "gone"  # values of ``state`` on the wire
+MAX_CHANGES = 512  # kept in the history; a caller with an older version gets the full list
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """A server of the list.  Its address differs by sidecar and is added when the entry is serialized."""
+    """A server in the list.  Its address depends on the sidecar and is added when the entry is encoded."""
 
     server: str
     zone: str
     cell: int
     state: str
-    started_ms: int  # of the last restart, in milliseconds since the epoch; 0 if it has never restarted
+    started_ms: int  # time of the last restart, in milliseconds since the epoch; 0 if it has never restarted
 
 
 class EndpointChanges(NamedTuple):
@@ -28,14 +28,14 @@
 
 
 class _Change(NamedTuple):
-    """An entry and the version of the list that it made."""
+    """A changed entry, and the version of the list since which it applies."""
 
     version: int
     entry: EndpointEntry
 
 
 class EndpointRegistry:
-    """The list and the history of its changes."""
+    """The endpoint list and the history of its changes."""
 
     def __init__(self, entries: list[EndpointEntry]) -> None:
         self.version = 1
@@ -43,7 +43,7 @@
         self._changes: list[_Change] = []
 
     def update(self, entry: EndpointEntry) -> bool:
-        """Add or replace an entry, or delete that of a removed server.  Return whether the list changed."""
+        """Add or replace an entry, or delete the entry of a removed server.  Return whether the list changed."""
         is_removed = entry.state == REMOVED
         if self._entries.get(entry.server) == entry or (is_removed and entry.server not in self._entries):
             return False
@@ -56,14 +56,14 @@
         return True
 
     def changes_since(self, version: int | None) -> EndpointChanges:
-        """Return the changes after a version, or the full list if the history does not cover them."""
-        if version is None or not self._remembers(version):
+        """Return the changes after ``version``, or the full list if that is None or the history does not cover it."""
+        if version is None or not self._history_covers(version):
             return EndpointChanges(True, list(self._entries.values()))
         changed = {change.entry.server: change.entry for change in self._changes if change.version > version}
         return EndpointChanges(False, list(changed.values()))
 
-    def _remembers(self, version: int) -> bool:
-        """Return whether the history has all changes after a version."""
+    def _history_covers(self, version: int) -> bool:
+        """Return whether the history contains all changes after ``version``."""
         if version >= self.version:
             return version == self.version
         return bool(self._changes) and self._changes[0].version <= version + 1
