--- a/lugtally/testbed/emulator/fault_injector.py
+++ b/lugtally/testbed/emulator/fault_injector.py
@@ -1,4 +1,4 @@
-"""Script of the faults of a run, each with its begin and end."""
+"""Injection of the scheduled faults of servers and discovery into the emulated fleet."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 class FaultInjector:
-    """Applies the scheduled faults of servers and discovery to a fleet.
+    """Begins and ends the scheduled faults of the servers and of discovery.
 
-    Other processes apply the faults of the load and of sidecars.
+    Faults of the load are part of the drawn arrivals, and the runner applies the faults of sidecars.
     """
 
     def __init__(self, fleet: EmulatedFleet) -> None:
@@ -44,10 +44,10 @@
             "discovery-slow": self._slow_discovery,
         }
 
-    def schedule_events(self, start: float) -> None:
-        """Schedule the events of a run that begins ``start`` seconds after the base."""
+    def schedule_events(self, run_start: float) -> None:
+        """Schedule the events of a run that begins ``run_start`` seconds after the base time."""
         for event in self._fleet.schedule.events:
-            self._call_later(max(0.0, start + event.at - self._fleet.clock()), self._apply, event)
+            self._call_later(max(0.0, run_start + event.at - self._fleet.clock()), self._apply, event)
 
     def _apply(self, event: FaultEvent) -> None:
         kind = event.fault.kind
@@ -123,7 +123,7 @@
             self._call_later(event.fault.takes_s + event.fault.size, self._fleet.start_cold, server)
 
     def _replace(self, server: EmulatedServer, event: FaultEvent) -> None:
-        """Drain and remove a machine, and start another with a new name at its address."""
+        """Drain and remove a server, and run_start another one with a new name at its address."""
         self._drain(server, event)
         if event.begins:
             self._call_later(event.fault.takes_s + event.fault.size, self._fleet.replace, server)
