--- a/lugtally/testbed/emulator/faults.py
+++ b/lugtally/testbed/emulator/faults.py
@@ -1,4 +1,4 @@
-"""Faults of an emulated server and of its network that the server model does not cover."""
+"""Faults of an emulated server and its network that the server model does not include."""
 
 from __future__ import annotations
 
@@ -15,10 +15,12 @@
 
 @dataclass(slots=True)
 class EndpointFaults:
-    """The faults of a server that are active now."""
+    """The currently active faults of a server.  A share is the probability that one request or response is affected."""
 
-    reset_share: float = 0.0  # of the requests: their connection is reset, half of them before any work
-    malformed_share: float = 0.0  # of the responses
-    error_share: float = 0.0  # of the responses: a 500
-    slow_response_s: float = 0.0  # over which a response is written
-    is_unreachable: bool = False  # no bytes pass in either direction
+    reset_share: float = (
+        0.0  # of the requests; half of their connections are reset before any work, half instead of the response
+    )
+    malformed_share: float = 0.0  # of the responses, replaced by one of MALFORMED_RESPONSES
+    error_share: float = 0.0  # of the responses; these have status 500
+    slow_response_s: float = 0.0  # time over which a response is written
+    is_unreachable: bool = False  # no bytes are delivered in either direction
