--- a/lugtally/testbed/emulator/faults.py
+++ b/lugtally/testbed/emulator/faults.py
@@ -17,9 +17,7 @@
 class EndpointFaults:
     """The currently active faults of a server.  A share is the probability that one request or response is affected."""
 
-    reset_share: float = (
-        0.0  # of the requests; half of their connections are reset before any work, half instead of the response
-    )
+    reset_share: float = 0.0  # of the requests; half are reset before any work, half instead of the response
     malformed_share: float = 0.0  # of the responses, replaced by one of MALFORMED_RESPONSES
     error_share: float = 0.0  # of the responses; these have status 500
     slow_response_s: float = 0.0  # time over which a response is written
