--- a/lugtally/testbed/emulator/discovery.py
+++ b/lugtally/testbed/emulator/discovery.py
@@ -1,7 +1,7 @@
 """The emulated discovery service.
 
-It answers with the full endpoint list or holds a call until the list changes.  A limited number of calls is processed
-at the same time, for all sidecars together.
+Sidecars use long polls: a call returns the full endpoint list, or waits until the list changes and returns the changes.
+The number of calls that are processed at the same time is limited, for all sidecars together.
 """
 
 from __future__ import annotations
@@ -20,20 +20,20 @@
 from lugtally.testbed.scenario.scenario import Discovery
 from lugtally.testbed.verification.records import DiscoveryCall, EndpointChanged, EndpointNotified, Record
 
-PATH = "/catalog/members"
+ENDPOINT_LIST_PATH = "/catalog/members"
 MAX_HOLD_MS = 60_000
-ENTRIES_PER_CALL_COST = 100  # entries that take as long as the call itself
+ENTRIES_PER_CALL_DURATION = 100  # number of entries that takes as long to return as the call itself
 
 
-class _Poll(NamedTuple):
-    """Parameters of a call."""
+class _PollParameters(NamedTuple):
+    """Parameters in the query of a call."""
 
-    version: int | None  # of the list that the caller has; None for the full list
-    hold_s: float  # how long to wait for a change
+    version: int | None  # of the list that the caller has; None requests the full list
+    hold_s: float  # longest wait for a change
 
 
 class DiscoveryService:
-    """Discovery service that all sidecars share."""
+    """The discovery service, which all sidecars share."""
 
     def __init__(
         self,
@@ -44,17 +44,17 @@
         address_of: Callable[[str, int], str],
         settings: Discovery,
     ) -> None:
-        """Serve ``registry`` at ``hosts``, one address for each sidecar.
+        """Serve ``registry`` at ``hosts``, one host for each sidecar.
 
         ``address_of`` returns the address at which a sidecar reaches a server.
         """
         self.clock = clock
-        self.extra_call_s = 0.0  # added to the duration of each call by a fault
+        self.extra_call_s = 0.0  # that a fault adds to the duration of each call
         self._hosts = hosts
         self._registry = registry
         self._record = record
         self._address_of = address_of
-        self._call_s = settings.call_ms / 1000
+        self._base_call_s = settings.call_ms / 1000
         self._max_wait_s = settings.max_wait_s
         self._slots = asyncio.Semaphore(settings.max_parallel_calls)
         self._changed = asyncio.Event()
@@ -63,7 +63,7 @@
         self._listeners: list[asyncio.Server] = []
 
     async def start(self) -> None:
-        """Listen for every sidecar."""
+        """Listen at the host of every sidecar."""
         loop = asyncio.get_running_loop()
         for sidecar, host in enumerate(self._hosts):
             listener = await loop.create_server(
@@ -75,14 +75,14 @@
             self._listeners.append(listener)
 
     def update(self, entry: EndpointEntry) -> None:
-        """Apply a change to the list and answer the calls that wait for one."""
+        """Apply a change to the list and wake the calls that wait for one."""
         if self._registry.update(entry):
-            self._record(EndpointChanged(self.clock(), entry.server, entry.state, _started_at(entry)))
+            self._record(EndpointChanged(self.clock(), entry.server, entry.state, _restarted_at(entry)))
             self._changed.set()
             self._changed = asyncio.Event()
 
     def set_down(self, is_down: bool) -> None:
-        """Stop or resume the service.  Stopping resets all connections."""
+        """Stop the service, which resets all connections, or resume it."""
         self._is_down = is_down
         if is_down:
             for connection in list(self._connections):
@@ -91,7 +91,8 @@
     def connection_opened(self, connection: DiscoveryConnection) -> bool:
         """Register a connection; return False if the service is down."""
         if self._is_down:
-            # A failed call is evidence that the sidecar polls: the verifier does not count it as notified.
+            # A recorded call, even a failed one, shows that the sidecar polls.  The verifier counts a sidecar as
+            # notified if it makes no calls for too long.
             self.record_failed_call(connection.sidecar, self.clock())
             return False
         self._connections.add(connection)
@@ -102,29 +103,29 @@
         self._connections.discard(connection)
 
     def record_failed_call(self, sidecar: int, began_at: float) -> None:
-        """Record a call that got no list."""
+        """Record a call that returned no list."""
         self._record(DiscoveryCall(sidecar, began_at, self.clock(), False))
 
     async def handle_call(self, connection: DiscoveryConnection, target: str) -> None:
         """Process a call and respond to it."""
         began_at = self.clock()
         path, _, query = target.partition("?")
-        if path != PATH:
+        if path != ENDPOINT_LIST_PATH:
             connection.respond(404, b"{}")
             return
         try:
-            poll = _parse_poll(query)
+            parameters = _parse_parameters(query)
         except ValueError:
             connection.respond(400, b"{}")
             return
-        await self._wait_for_change(poll, began_at + poll.hold_s)
+        await self._wait_for_change(parameters, began_at + parameters.hold_s)
         if not await self._acquire_slot():
             self.record_failed_call(connection.sidecar, began_at)
             connection.respond(503, b"{}")
             return
         try:
-            version, changes = self._registry.version, self._registry.changes_since(poll.version)
-            await asyncio.sleep(self._processing_s(changes))
+            version, changes = self._registry.version, self._registry.changes_since(parameters.version)
+            await asyncio.sleep(self._call_duration_s(changes))
         finally:
             self._slots.release()
         if self._is_down or not connection.is_open:
@@ -135,29 +136,29 @@
         self._record_notifications(changes, connection.sidecar, began_at)
 
     async def _acquire_slot(self) -> bool:
-        """Wait until the service has capacity for a call; return False if that takes too long."""
+        """Wait until the service has capacity for a call; return False if the wait times out."""
         try:
             await asyncio.wait_for(self._slots.acquire(), self._max_wait_s)
         except TimeoutError:
             return False
         return True
 
-    def _processing_s(self, changes: EndpointChanges) -> float:
-        """Return how many seconds a call takes that returns these entries."""
-        return self._call_s * (1 + len(changes.entries) / ENTRIES_PER_CALL_COST) + self.extra_call_s
+    def _call_duration_s(self, changes: EndpointChanges) -> float:
+        """Return the duration, in seconds, of a call that returns these changes."""
+        return self._base_call_s * (1 + len(changes.entries) / ENTRIES_PER_CALL_DURATION) + self.extra_call_s
 
-    async def _wait_for_change(self, poll: _Poll, until: float) -> None:
-        """Wait until the list is newer than the caller's version, at most for the hold time of the call."""
-        if poll.version is None or poll.hold_s <= 0:
+    async def _wait_for_change(self, parameters: _PollParameters, wait_until: float) -> None:
+        """Wait until the list is newer than the caller's version, at most until ``wait_until``."""
+        if parameters.version is None or parameters.hold_s <= 0:
             return
-        while poll.version >= self._registry.version and (left := until - self.clock()) > 0:
+        while parameters.version >= self._registry.version and (remaining_s := wait_until - self.clock()) > 0:
             try:
-                await asyncio.wait_for(self._changed.wait(), left)
+                await asyncio.wait_for(self._changed.wait(), remaining_s)
             except TimeoutError:
                 return
 
     def _serialize(self, version: int, changes: EndpointChanges, sidecar: int) -> bytes:
-        """Encode the list as JSON, with the addresses that this sidecar uses."""
+        """Encode the changes as JSON, with the addresses at which this sidecar reaches the servers."""
         entries = [
             {
                 "id": entry.server,
@@ -174,20 +175,20 @@
         return msgspec.json.encode({"version": version, "full": changes.is_full, "servers": entries})
 
     def _record_notifications(self, changes: EndpointChanges, sidecar: int, began_at: float) -> None:
-        """Record that a sidecar was sent these entries."""
+        """Record that these entries were sent to a sidecar."""
         now_s = self.clock()
         for entry in changes.entries:
-            self._record(EndpointNotified(now_s, sidecar, entry.server, entry.state, _started_at(entry)))
+            self._record(EndpointNotified(now_s, sidecar, entry.server, entry.state, _restarted_at(entry)))
         self._record(DiscoveryCall(sidecar, began_at, now_s, True, len(changes.entries)))
 
 
-def _parse_poll(query: str) -> _Poll:
-    """Decode the query of a call.  Raises ValueError."""
+def _parse_parameters(query: str) -> _PollParameters:
+    """Parse the query of a call.  Raises ValueError."""
     fields = parse_qs(query)
     version = int(fields["from"][0]) if "from" in fields else None
-    return _Poll(version, min(MAX_HOLD_MS, int(fields.get("hold_ms", ["0"])[0])) / 1000)
+    return _PollParameters(version, min(MAX_HOLD_MS, int(fields.get("hold_ms", ["0"])[0])) / 1000)
 
 
-def _started_at(entry: EndpointEntry) -> float | None:
-    """Return the time of the last restart in seconds, None if the server has never restarted."""
+def _restarted_at(entry: EndpointEntry) -> float | None:
+    """Return the time of the last restart in seconds since the epoch, None if the server has never restarted."""
     return entry.started_ms / 1000 or None
