--- a/lugtally/testbed/emulator/fleet.py
+++ b/lugtally/testbed/emulator/fleet.py
@@ -1,4 +1,4 @@
-"""Emulated fleet: all servers of a run and the discovery service that lists them."""
+"""The emulated fleet: all servers of a run, and the discovery service that lists them."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class EmulatedFleet:
-    """The servers by index, their life cycle and their entries in the endpoint list."""
+    """Starts, drains, stops and replaces the servers, and keeps the endpoint list up to date."""
 
     def __init__(self, specification: ProcessSpecification) -> None:
         self.schedule: Schedule = make_schedule(specification.scenario, specification.seed)
@@ -33,16 +33,18 @@
             server_index: EmulatedServer(self._context, machine, server_index)
             for server_index, machine in enumerate(self.schedule.machines)
         }
-        self._restarted_ms: dict[str, int] = {}  # by server name
+        self._restarted_ms: dict[
+            str, int
+        ] = {}  # time of the last restart in milliseconds since the epoch, by server name
         self.discovery = self._build_discovery()
 
     def clock(self) -> float:
-        """Return the seconds since the base."""
+        """Return the seconds since the base time of the run."""
         return time.monotonic() - self._specification.base
 
     async def start(self) -> None:
         """Start the initial servers and the discovery service."""
-        for server in self._first_servers():
+        for server in self._initial_servers():
             server.start(cold=False)
         await self.discovery.start()
 
@@ -65,50 +67,53 @@
         self._event_log.flush()
 
     def start_cold(self, server: EmulatedServer) -> None:
-        """Start a server cold and list it as ready."""
+        """Start a server that has to warm up, and list it as ready."""
         self._restarted_ms[server.name] = int(time.time() * 1000)
         server.start(cold=True)
         self.schedule_list_update(server, READY)
 
     def begin_drain(self, server: EmulatedServer) -> None:
-        """Make a server reject new requests and list it as draining."""
+        """Make a server reject new requests, and list it as draining."""
         with server.change_model() as model:
             model.draining = True
         self.schedule_list_update(server, DRAINING)
 
     def shut_down(self, server: EmulatedServer) -> None:
-        """Stop a server and remove it from the list.  Does nothing if it does not run."""
+        """Stop a server and remove it from the list.  Does nothing if it is not running."""
         if server.running:
             server.stop()
             self.schedule_list_update(server, REMOVED)
 
     def replace(self, server: EmulatedServer) -> None:
-        """Start another machine with a new name at the index and address of a server."""
+        """Start a new server with another name at the index and address of this one."""
         specification = self._specification
         machine = draw_machine(specification.scenario, specification.seed, server.server_index, f"{server.name}x")
-        self.servers[server.server_index] = successor = EmulatedServer(self._context, machine, server.server_index)
-        self.start_cold(successor)
+        self.servers[server.server_index] = replacement = EmulatedServer(self._context, machine, server.server_index)
+        self.start_cold(replacement)
 
     def schedule_list_update(self, server: EmulatedServer, state: str, *, silent: bool = False) -> None:
-        """Enter a state into the list after the propagation delay, which is longer for ``silent`` machines."""
+        """Change a server's state in the list after the propagation delay.
+
+        The delay is longer for a ``silent`` server, one that disappears without notice.
+        """
         delay = self.schedule.silent_propagation_s if silent else self.schedule.propagation_s
         asyncio.get_running_loop().call_later(delay, self.discovery.update, self._entry(server, state))
 
-    def _first_servers(self) -> list[EmulatedServer]:
+    def _initial_servers(self) -> list[EmulatedServer]:
         return [self.servers[server_index] for server_index in range(self._specification.scenario.fleet.servers)]
 
     def _entry(self, server: EmulatedServer, state: str) -> EndpointEntry:
         cell = self._specification.scenario.fleet.zones.index(server.zone)
         return EndpointEntry(server.name, server.zone, cell, state, self._restarted_ms.get(server.name, 0))
 
-    def _address_of(self, name: str, sidecar: int) -> str:
+    def _server_address(self, name: str, sidecar: int) -> str:
         """Return the address at which a sidecar reaches a server."""
-        # A replaced server has no index.  Its entry only removes it, so that any address will do.
+        # A replaced server has no index any more.  Its last entry only removes it, so that any address is correct.
         server_index = next((server_index for server_index, server in self.servers.items() if server.name == name), 0)
         return f"{loopback.server_host(self._specification.loopback_block, server_index, sidecar)}:{loopback.PORT}"
 
     def _work_of(self, request_id: str) -> float | None:
-        """Return the work of a request in core-seconds, None if no client sends this id."""
+        """Return the work of a request in core-seconds, None if no client sends a request with this id."""
         arrival_index = arrival_index_of(request_id, self._run_suffix)
         try:
             return None if arrival_index is None else self.schedule.arrivals[arrival_index].work
@@ -121,9 +126,9 @@
             loopback.discovery_host(self._specification.loopback_block, sidecar)
             for sidecar in range(scenario.fleet.sidecars)
         ]
-        registry = EndpointRegistry([self._entry(server, READY) for server in self._first_servers()])
+        registry = EndpointRegistry([self._entry(server, READY) for server in self._initial_servers()])
         return DiscoveryService(
-            hosts, registry, self.clock, self._event_log.write, self._address_of, scenario.discovery
+            hosts, registry, self.clock, self._event_log.write, self._server_address, scenario.discovery
         )
 
     def _build_context(self) -> FleetContext:
