--- a/lugtally/testbed/emulator/listeners.py
+++ b/lugtally/testbed/emulator/listeners.py
@@ -10,14 +10,14 @@
 
 BACKLOG = 512
 MAX_ACCEPTS_PER_EVENT = 64
-FILLERS = 3  # connections that fill a backlog of size 0
+FILLERS_PER_LISTENER = 3  # connections that are enough to fill a backlog of size 0
 
 
 class ServerListeners:
-    """Listeners that can be closed, so that connections are refused, or blocked, so that handshakes time out."""
+    """Listeners that can be closed, so that connections are refused, or blocked, so that connecting times out."""
 
     def __init__(self, hosts: list[str], on_accept: Callable[[socket.socket, int], None]) -> None:
-        """Listen at ``hosts``, one for each sidecar; call ``on_accept`` with each connection and its sidecar."""
+        """Listen at ``hosts``, one for each sidecar; pass each connection and its sidecar to ``on_accept``."""
         self._hosts = hosts
         self._on_accept = on_accept
         self._listeners: dict[int, socket.socket] = {}
@@ -44,18 +44,18 @@
         self._close_fillers()
 
     def block(self) -> None:
-        """Fill each backlog, so that the kernel drops further handshakes."""
+        """Fill the backlog of each listener, so that the kernel drops the handshakes of further connections."""
         for listener in self._listeners.values():
             asyncio.get_running_loop().remove_reader(listener)
             listener.listen(0)
-            for _ in range(FILLERS):
+            for _ in range(FILLERS_PER_LISTENER):
                 filler = socket.socket()
                 filler.setblocking(False)
                 filler.connect_ex(listener.getsockname())
                 self._fillers.append(filler)
 
     def unblock(self) -> None:
-        """Accept again.  Handshakes that waited meanwhile complete or are reset."""
+        """Accept connections again.  Connections that were being opened meanwhile complete or are reset."""
         self._close_fillers()
         for sidecar, listener in self._listeners.items():
             self._listen(listener, sidecar)
@@ -69,7 +69,7 @@
             try:
                 accepted, _ = listener.accept()
             except OSError:
-                return  # the backlog is empty, or the peer has disconnected
+                return  # the backlog is empty, or the peer has already disconnected
             accepted.setblocking(False)
             accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self._on_accept(accepted, sidecar)
