--- a/lugtally/testbed/emulator/loopback.py
+++ b/lugtally/testbed/emulator/loopback.py
@@ -1,8 +1,8 @@
-"""Loopback addresses of a run: each pair of sidecar and server has an address of its own.
+"""Loopback addresses of a run.  Each sidecar reaches each server at a separate address.
 
-A server thus identifies the sidecar by the listener, and faults can affect the network between a single pair.  A run
-locks one /16 of 127.0.0.0/8.  Outgoing connections use 127.0.0.1 as their source address, so that none of them takes
-the port of a process that is down.
+A server therefore recognizes the sidecar by the address that it connects to, and a fault can affect the network of a
+single pair.  A run locks one /16 block of 127.0.0.0/8.  Outgoing connections use the source address 127.0.0.1, so that
+none of them occupies the port of a process that is down.
 """
 
 from __future__ import annotations
@@ -12,19 +12,19 @@
 from collections.abc import Iterator
 
 PORT = 9000
-LOCK_PORT = 8999
-FIRST_BLOCK, BLOCKS = 16, 200
+LOCK_PORT = 8999  # bound by the run that uses a block
+FIRST_BLOCK, BLOCK_COUNT = 16, 200  # second octets that a run may use
 MAX_SERVERS, MAX_SIDECARS = 240, 254
 DISCOVERY_OCTET = 250  # third octet of the addresses of the discovery service
 SIDECAR_OCTET = 251  # third octet of the addresses of the sidecars
 
 
 class LoopbackBlock:
-    """A /16 of loopback, locked against other runs on the machine until it is closed."""
+    """A /16 block of loopback addresses, locked against other runs on the machine until it is closed."""
 
     def __init__(self) -> None:
         """Lock a free block.  Raises OSError if there is none."""
-        for number in _candidates():
+        for number in _candidate_blocks():
             lock = socket.socket()
             try:
                 lock.bind((f"127.{number}.0.1", LOCK_PORT))
@@ -40,14 +40,14 @@
         self._lock.close()
 
 
-def _candidates() -> Iterator[int]:
-    """Yield all blocks, from one that differs by process."""
+def _candidate_blocks() -> Iterator[int]:
+    """Yield all blocks, beginning at one that differs between processes."""
     start = os.getpid()
-    return (FIRST_BLOCK + (start + offset) % BLOCKS for offset in range(BLOCKS))
+    return (FIRST_BLOCK + (start + offset) % BLOCK_COUNT for offset in range(BLOCK_COUNT))
 
 
 def server_host(block: int, server_index: int, sidecar: int) -> str:
-    """Return the host at which a sidecar reaches the server of that index."""
+    """Return the host at which a sidecar reaches the server with this index."""
     assert server_index < MAX_SERVERS, f"a block holds {MAX_SERVERS} servers"
     assert sidecar < MAX_SIDECARS, f"a block holds {MAX_SIDECARS} sidecars"
     return f"127.{block}.{server_index + 1}.{sidecar + 1}"
