--- a/lugtally/testbed/emulator/process.py
+++ b/lugtally/testbed/emulator/process.py
@@ -1,7 +1,8 @@
-"""Process of the emulated fleet.
+"""The process that runs the emulated fleet.
 
-It is started with the path of a specification and prints ``ready``.  It reads ``go SECONDS`` and ``stop`` from
-standard input and ends with it.  Times are seconds of the monotonic clock since the base in the specification.
+Its argument is the path of a specification.  It prints ``ready`` when the fleet has started, then reads commands from
+standard input: ``go SECONDS`` schedules the faults of a run that begins at that time, ``stop`` ends the process, as the
+end of standard input does.  Times are seconds of the monotonic clock since the base time in the specification.
 """
 
 from __future__ import annotations
@@ -19,19 +20,19 @@
 
 
 async def run_fleet(fleet: EmulatedFleet) -> None:
-    """Serve until the command to stop or the end of standard input."""
+    """Run the fleet until the command ``stop`` or the end of standard input."""
     await fleet.start()
     loop = asyncio.get_running_loop()
     commands = asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(commands), sys.stdin)
     print("ready", flush=True)
     sampling = loop.create_task(_sample(fleet))
-    await _follow_commands(commands, FaultInjector(fleet))
+    await _execute_commands(commands, FaultInjector(fleet))
     sampling.cancel()
     fleet.stop()
 
 
-async def _follow_commands(commands: asyncio.StreamReader, injector: FaultInjector) -> None:
+async def _execute_commands(commands: asyncio.StreamReader, injector: FaultInjector) -> None:
     while command := (await commands.readline()).decode().split():
         if command[0] == "go":
             injector.schedule_events(float(command[1]))
