--- a/lugtally/testbed/emulator/request.py
+++ b/lugtally/testbed/emulator/request.py
@@ -1,4 +1,4 @@
-"""A request at an emulated server, and the connection as the request sees it."""
+"""A request at an emulated server, and the interface of the connection that takes its response."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class ResponseWriter(Protocol):
-    """The connection on which a request arrived, as far as its response needs it."""
+    """The attributes and methods of a request's connection that are needed to process the request."""
 
     sidecar: int
-    has_table_entry: bool
+    has_table_entry: bool  # in the connection table of the server
 
     def respond(self, status: int, body: bytes, *, unprocessed: bool = False, write_duration_s: float = 0.0) -> None:
         """Write a complete response."""
 
     def respond_malformed(self, data: bytes) -> None:
-        """Write bytes that are no valid response."""
+        """Write bytes that are not a valid response."""
 
     def reset(self) -> None:
         """Reset the connection."""
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True, eq=False)
 class EmulatedRequest:
-    """A request that arrived completely, and its record."""
+    """A completely received request, and its record."""
 
     connection: ResponseWriter
     attempt: ServerAttempt
@@ -37,12 +37,12 @@
     path: str
     class_name: str
     time_left_s: float
-    is_valid: bool  # known class, the method of that class, and an idempotency key if the class requires one
-    job: Job | None = None  # while the model works on it
+    is_valid: bool  # has a known class, the method of the class and, if the class requires it, an idempotency key
+    job: Job | None = None  # from admission by the model until the request ends there
     resets_instead_of_response: bool = False  # a fault resets the connection instead of the response
     is_recorded: bool = False
 
     @property
     def is_health_check(self) -> bool:
-        """Whether it asks for the server's health or load, not for work."""
+        """Whether the request asks for the health or load of the server, not for work."""
         return self.path in (PING_PATH, LOAD_REPORT_PATH)
