--- a/lugtally/testbed/emulator/request_processor.py
+++ b/lugtally/testbed/emulator/request_processor.py
@@ -1,4 +1,4 @@
-"""Requests of an emulated server: offered to its model, then answered and recorded."""
+"""Processing of the requests of an emulated server: admission by its model, response and record."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class RequestProcessor:
-    """The requests of one server.  The caller advances the model to ``now_s`` before each call."""
+    """Processes the requests of one server.  The caller advances the model to the present before each call."""
 
     def __init__(self, context: FleetContext, server: str, zone: str, faults: EndpointFaults) -> None:
         self._context = context
@@ -25,7 +25,7 @@
         self._attempts_seen: dict[str, int] = {}  # by request id
 
     def process(self, request: EmulatedRequest, model: ServerModel, now_s: float) -> bool:
-        """Offer a complete request to the model, or answer it at once.  Return whether the model changed."""
+        """Submit a complete request to the model, or respond at once.  Return whether the model changed."""
         if request.is_health_check:
             return self._answer_health_check(request, model, now_s)
         request.attempt.last_byte_at = now_s
@@ -33,7 +33,7 @@
         if work is None or not request.is_valid:
             self._reject_unknown(request, now_s)
             return False
-        if self._draw_reset(request, work):
+        if self._draw_attempt(request, work):
             self._record(request, ServerOutcome.RESET)
             request.connection.reset()
             return False
@@ -41,7 +41,7 @@
         return True
 
     def finish(self, job: Job) -> None:
-        """Answer the request of a job that has ended in the model."""
+        """Respond to the request whose job has ended in the model."""
         request = self._in_progress.pop(job, None)
         if request is None:
             return
@@ -52,7 +52,7 @@
             self._complete(request, job)
 
     def cancel(self, request: EmulatedRequest, model: ServerModel) -> None:
-        """Stop work on a request whose connection has closed.  Does nothing if the model has ended it."""
+        """Stop work on a request whose connection has closed.  Does nothing if its job has ended."""
         if request.job is None:
             return
         model.cancel(model.now, request.job)
@@ -80,20 +80,20 @@
         self._context.record(UnknownRequest(now_s, self._server, sidecar, description))
         request.connection.respond(400 if request_id else 404, b"")
 
-    def _draw_reset(self, request: EmulatedRequest, work: float) -> bool:
-        """Draw the work and the resets of an attempt; return whether its connection is reset before any work."""
+    def _draw_attempt(self, request: EmulatedRequest, work: float) -> bool:
+        """Set the drawn work and resets of an attempt; return whether its connection is reset before any work."""
         request_id = request.attempt.request_id
-        number = self._attempts_seen.get(request_id, 0)
-        self._attempts_seen[request_id] = number + 1
+        attempt_number = self._attempts_seen.get(request_id, 0)
+        self._attempts_seen[request_id] = attempt_number + 1
         draw = draw_attempt(
-            self._context.seed, self._server, request_id, number, self._context.attempt_noise, self._faults
+            self._context.seed, self._server, request_id, attempt_number, self._context.attempt_noise, self._faults
         )
         request.attempt.work = work * draw.work_factor
         request.resets_instead_of_response = draw.resets_instead_of_response
         return draw.resets_before_work
 
     def _offer(self, request: EmulatedRequest, model: ServerModel, now_s: float) -> None:
-        """Offer a request to the model.  Reject it if the model does not admit it."""
+        """Submit a request to the model.  Reject it if the model does not admit it."""
         connection, attempt = request.connection, request.attempt
         job = Job(attempt.request_id, attempt.work, now_s + request.time_left_s, connection.sidecar)
         admission = model.offer(now_s, job) if connection.has_table_entry else Admission.FULL
@@ -110,7 +110,7 @@
         request.connection.respond(503, b"", unprocessed=True)
 
     def _complete(self, request: EmulatedRequest, job: Job) -> None:
-        """Answer a request whose work is done, as the active faults allow."""
+        """Respond to a request whose work is done, or reset its connection if a reset was drawn."""
         attempt = request.attempt
         attempt.started_at, attempt.work_done = job.started_at, job.work
         attempt.had_effect = self._context.idempotency.record_execution(
@@ -124,7 +124,7 @@
             self._respond(request)
 
     def _respond(self, request: EmulatedRequest) -> None:
-        """Draw and write the response."""
+        """Draw the response from the active faults and write it."""
         context, attempt, connection = self._context, request.attempt, request.connection
         draw = draw_response(
             context.seed, self._server, attempt.request_id, attempt.last_byte_at, context.error_rate, self._faults
@@ -139,7 +139,7 @@
             connection.respond(200, body, write_duration_s=self._faults.slow_response_s)
 
     def _record(self, request: EmulatedRequest, outcome: ServerOutcome) -> None:
-        """Record the outcome of an attempt, once."""
+        """Record the outcome of an attempt, unless it has been recorded."""
         if request.is_recorded:
             return
         request.is_recorded = True
@@ -151,7 +151,7 @@
         self._context.record(attempt)
 
     def _record_collapse(self, model: ServerModel) -> None:
-        """Record that the server collapsed as it warmed up, and all its requests as disconnected."""
+        """Record that the server collapsed during its warm-up, and all its requests as disconnected."""
         work_by_sidecar = {str(sidecar): work for sidecar, work in model.collapse_work_by_sidecar.items()}
         self._context.record(ColdServerOverloaded(model.collapsed_at, self._server, model.started_at, work_by_sidecar))
         for request in self._in_progress.values():
