--- a/lugtally/testbed/emulator/server_connection.py
+++ b/lugtally/testbed/emulator/server_connection.py
@@ -1,4 +1,4 @@
-"""Connection of a sidecar to an emulated server; it carries one request at a time, with the network's delays."""
+"""Connection of a sidecar to an emulated server, for one request at a time, with the delays of the network."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from lugtally.testbed.emulator.request import EmulatedRequest
 from lugtally.testbed.verification.records import ServerAttempt, UnknownRequest
 
-MIN_DELAY_S = 0.0004  # timers of the event loop have a resolution of 1 ms; shorter delays are left out
+MIN_DELAY_S = 0.0004  # shorter delays are skipped: timers of the event loop have a resolution of 1 ms
 SLOW_RESPONSE_PIECES = 6
 LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER with a timeout of 0: closing sends a reset
 
 
 class RequestHandler(Protocol):
-    """The part of an emulated server that a connection uses."""
+    """The attributes and methods of an emulated server that a connection uses."""
 
     context: FleetContext
     name: str
@@ -41,7 +41,7 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """Parser of a sidecar's requests and writer of the responses."""
+    """Parses the requests of a sidecar and writes the responses."""
 
     def __init__(self, server: RequestHandler, sidecar: int) -> None:
         self.sidecar = sidecar
@@ -58,7 +58,7 @@
         self._idle_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register the connection.  Reset it if the server has stopped."""
+        """Register the connection, or reset it if the server is not running."""
         self._transport = transport
         self._is_open = True
         if not self._server.running:
@@ -76,7 +76,7 @@
             self._idle_timer.cancel()
 
     def eof_received(self) -> bool:
-        """Close the connection: the sidecar cancelled its attempt."""
+        """Close the connection, because the sidecar has cancelled its attempt."""
         return False
 
     def data_received(self, data: bytes) -> None:
@@ -91,11 +91,11 @@
             self._reject_unknown(f"unreadable: {error}")
 
     def on_message_begin(self) -> None:
-        """Start a new request head."""
+        """Reset the request target and the headers for a new request."""
         self._target, self._headers = b"", {}
 
     def on_url(self, url: bytes) -> None:
-        """Append a piece of the request target."""
+        """Append a part of the request target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -103,7 +103,7 @@
         self._headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_message_complete(self) -> None:
-        """Deliver the complete request to the server after the network's delay."""
+        """Deliver the complete request to the server after the delay of the network."""
         if self.request is not None:
             self._reject_unknown("two requests at once")
             return
@@ -116,24 +116,24 @@
         self._call_after(one_way_delay + handshake, self._deliver, request)
 
     def respond(self, status: int, body: bytes, *, unprocessed: bool = False, write_duration_s: float = 0.0) -> None:
-        """Write a complete response after the network's delay.
+        """Write a complete response after the delay of the network.
 
-        ``write_duration_s`` is the time over which it is written, in pieces.
+        If ``write_duration_s`` is positive, the response is written in pieces over that time.
         """
         self.request = None
-        mark = "X-Unprocessed: 1\r\n" if unprocessed else ""
-        data = f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{mark}\r\n".encode() + body
+        unprocessed_header = "X-Unprocessed: 1\r\n" if unprocessed else ""
+        data = f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{unprocessed_header}\r\n".encode() + body
         one_way_delay = self._one_way_delay_s()
         if write_duration_s <= 0:
             self._call_after(one_way_delay, self._write, data)
             return
-        size = -(-len(data) // SLOW_RESPONSE_PIECES)
+        piece_length = -(-len(data) // SLOW_RESPONSE_PIECES)
         for index in range(SLOW_RESPONSE_PIECES):
-            piece = data[index * size : (index + 1) * size]
+            piece = data[index * piece_length : (index + 1) * piece_length]
             self._call_after(one_way_delay + index * write_duration_s / SLOW_RESPONSE_PIECES, self._write, piece)
 
     def respond_malformed(self, data: bytes) -> None:
-        """Write bytes that are no valid response.  The connection stays open."""
+        """Write bytes that are not a valid response.  The connection stays open."""
         self.request = None
         self._call_after(self._one_way_delay_s(), self._write, data)
 
