--- a/lugtally/testbed/emulator/server_model.py
+++ b/lugtally/testbed/emulator/server_model.py
@@ -1,10 +1,10 @@
 """Model of a server, without I/O, clock or random draws: the caller passes the time in, in seconds.
 
-Requests take slots in the order of their arrival; the others wait in the queue.  Requests in service share the cores.
-The speed of a core is the product of the server's speed, its congestion, the choke, its warm-up, its connection table
-and the share of the machine that other programs use.  The model counts all of these as constant between two calls.
-The caller therefore advances it at :meth:`ServerModel.next_due`, at most :data:`MAX_INTERVAL_S` ahead while the speed
-changes over time.
+Requests take free slots in the order of their arrival, and wait in the queue while all slots are taken.  Requests in
+service share the cores.  The speed of a core is the speed of the server, reduced by congestion, the choke, an
+incomplete warm-up, the connection table and other programs on the machine.  The model treats the speed as constant
+between two calls.  The caller therefore advances it at the time :meth:`ServerModel.next_due`, which is at most
+:data:`MAX_STEP_S` ahead while the speed changes over time.
 
 Source: processor sharing and M/M/c in Kleinrock, Queueing Systems I (1975), 3.5 and 4.4.
 """
@@ -19,38 +19,38 @@
 from lugtally.testbed.emulator.cold_overload import ColdOverloadDetector
 from lugtally.testbed.emulator.congestion_choke import CongestionChoke
 
-MAX_INTERVAL_S = 0.05  # over which a changing speed counts as constant
-MIN_INTERVAL_S = 1e-7  # guards against intervals of 0 after rounding, which would stop the model's time
-NEGLIGIBLE_WORK = 1e-9  # core-seconds that count as none
+MAX_STEP_S = 0.05  # longest time for which a changing speed is treated as constant
+MIN_STEP_S = 1e-7  # a step rounded to 0 would never advance the time of the model
+NEGLIGIBLE_WORK = 1e-9  # core-seconds; a request with no more than this left is done
 
 
 @dataclass(frozen=True, slots=True)
 class ServerTraits:
     """Constant properties of a server.
 
-    Work is in core-seconds, ``speed`` in core-seconds of work a second and core; shares are between 0 and 1.
+    Work is in core-seconds, ``speed`` in core-seconds of work per second and core; shares are between 0 and 1.
     """
 
     cores: int = 2
     slots: int = 2  # requests in service at once
     max_queue: int = 76
     speed: float = 1.0
-    congestion_threshold: float = 4.0  # requests a core above which the speed falls
-    congestion_loss: float = 0.4
-    choke_threshold: float = inf  # requests a core above which the server chokes
-    choke_onset_s: float = 2.0  # of sustained congestion
-    choke_slowdown: float = 2.8  # factor
+    congestion_threshold: float = 4.0  # requests per core above which the speed falls
+    congestion_loss: float = 0.4  # speed factor: 1 / (1 + loss * (requests / threshold - 1))
+    choke_threshold: float = inf  # requests per core above which the server chokes
+    choke_onset_s: float = 2.0  # of sustained congestion that starts the choke
+    choke_slowdown: float = 2.8  # factor by which a choked server is slower
     choke_idle_s: float = 3.5  # of idleness that ends the choke
     max_choke_s: float = 25.0
     initial_capacity: float = 1.0  # share of the full capacity at a cold start
     warm_up_s: float = 5.0
     warms_up_by_work: bool = False
-    collapse_multiple: float = 2.5  # of the present capacity, above which a server that warms up collapses
-    collapse_window_s: float = 1.0
-    max_connections: int = 68
+    collapse_multiple: float = 2.5  # of the present capacity, above which a server collapses during its warm-up
+    collapse_window_s: float = 1.0  # over which the arriving work is averaged
+    max_connections: int = 68  # in the connection table
     full_table_loss: float = 0.0  # share of the capacity that a full connection table costs
-    handshake_work: float = 0.0
-    drops_expired: bool = True  # rejects a request that is past its deadline when it leaves the queue
+    handshake_work: float = 0.0  # of a new connection
+    drops_expired: bool = True  # drops a request that is past its deadline when it arrives or leaves the queue
 
 
 class Admission(Enum):
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """A request at a server.  ``work`` and ``remaining`` are in core-seconds, times in the model's time."""
+    """A request at a server.  ``work`` and ``remaining`` are in core-seconds; times are those of the model."""
 
     name: str
     work: float
@@ -72,9 +72,9 @@
     sidecar: int = 0
     remaining: float = field(init=False)
     arrived_at: float = 0.0
-    started_at: float = -1.0  # when it took a slot; -1 if it did not
+    started_at: float = -1.0  # when it took a slot; -1 if it has not
     ended_at: float = -1.0  # -1 if it has not ended
-    expired: bool = False  # dropped without work, as it left the queue past its deadline
+    expired: bool = False  # dropped without work, as it was past its deadline when it left the queue
 
     def __post_init__(self) -> None:
         self.remaining = self.work
@@ -89,11 +89,11 @@
         self.started_at = now_s if cold else -inf
         self.in_service: list[Job] = []
         self.queue: deque[Job] = deque()
-        self._ended: list[Job] = []  # to be returned by ``advance``; jobs also end between two calls of it
+        self._ended: list[Job] = []  # returned by the next ``advance``; jobs also end between two calls of it
         self.draining = False
-        self.silent = False  # admits every request, works on none
+        self.silent = False  # admits every request but works on none
         self.neighbour_share = 0.0  # share of the machine that other programs use
-        self.slowdown = 1.0  # factor, due to a resource that all servers share
+        self.slowdown = 1.0  # factor by which a resource that all servers share slows this one down
         self.collapsed = False
         self.connections = 0
         self.work_done = 0.0  # core-seconds, since the start
@@ -112,24 +112,24 @@
 
     @property
     def warm_fraction(self) -> float:
-        """Present share of the full capacity; 1 after the warm-up."""
+        """Present capacity as a share of the full one; 1 after the warm-up."""
         traits = self.traits
         age = self.now - self.started_at
         if traits.initial_capacity >= 1 or age >= traits.warm_up_s:
             return 1.0
         progress = age / traits.warm_up_s
         if traits.warms_up_by_work:
-            # At least linear in time, so that idle servers warm up as well.
+            # Progress is at least linear in time, so that an idle server warms up as well.
             progress = max(progress, self.work_done / (traits.warm_up_s * traits.cores * traits.speed))
         return min(1.0, traits.initial_capacity + (1 - traits.initial_capacity) * progress)
 
     @property
     def capacity(self) -> float:
-        """Core-seconds of work a second with all cores busy and without congestion."""
+        """Core-seconds of work per second with all cores busy and without congestion."""
         return self.traits.cores * self.traits.speed * self.warm_fraction
 
     def _core_speed(self) -> float:
-        """Return the core-seconds of work a second that one busy core does now."""
+        """Return the core-seconds of work per second that one busy core does now."""
         if self.silent or self.collapsed:
             return 0.0
         traits = self.traits
@@ -141,17 +141,20 @@
             speed /= traits.choke_slowdown
         return speed * (1 - traits.full_table_loss * min(1.0, self.connections / traits.max_connections))
 
-    def _speed_of_each(self) -> float:
-        """Return the speed of each item in service.  Items share the cores if they outnumber them."""
+    def _speed_per_item(self) -> float:
+        """Return the speed at which each request in service, and the overhead as one more item, is processed now.
+
+        The items share the cores if there are more items than cores.
+        """
         items = len(self.in_service) + (self.overhead_work > 0)
         return self._core_speed() * min(1.0, self.traits.cores / items) if items else 0.0
 
     def offer(self, now_s: float, job: Job) -> Admission:
         """Admit or reject a request that arrived completely.  Call :meth:`advance` with ``now_s`` first."""
-        assert now_s >= self.now - NEGLIGIBLE_WORK, "time runs forward"
-        self._count_cold_arrival(now_s, job)
+        assert now_s >= self.now - NEGLIGIBLE_WORK, "the time must not go backwards"
+        self._check_cold_overload(now_s, job)
         if self.silent or self.collapsed:
-            # Such a server sends no response, so it cannot reject a request either.
+            # Such a server sends no responses, and a rejection would be one.
             job.arrived_at = now_s
             self.queue.append(job)
             return Admission.ADMITTED
@@ -187,17 +190,17 @@
     def disconnect(self) -> None:
         """Remove a connection from the table."""
         self.connections -= 1
-        assert self.connections >= 0, "more connections ended than began"
+        assert self.connections >= 0, "more connections were closed than opened"
 
     def health_check(self, work: float) -> None:
         """Add the work of a health check, in core-seconds."""
         self.overhead_work += work
 
     def advance(self, now_s: float) -> list[Job]:
-        """Work until ``now_s`` and return the requests that ended, in order, done or ``expired``."""
+        """Work until ``now_s`` and return the requests that ended, done or ``expired``, in the order of their ends."""
         self._fill_slots(self.now)  # the server may have been silent until now
         while self.now < now_s:
-            self._work_for(min(now_s, self._constant_until(self.now)) - self.now)
+            self._work_for(min(now_s, self._speed_constant_until(self.now)) - self.now)
             self._end_finished_jobs()
             self._fill_slots(self.now)
             self._update_choke(self.now)
@@ -206,8 +209,8 @@
         return ended
 
     def _work_for(self, duration: float) -> None:
-        """Work at constant speed for some seconds."""
-        speed = self._speed_of_each()
+        """Work at constant speed for ``duration`` seconds."""
+        speed = self._speed_per_item()
         for job in self.in_service:
             job.remaining -= speed * duration
         self.work_done += speed * duration * len(self.in_service)
@@ -223,24 +226,24 @@
         self._ended += finished
 
     def next_due(self) -> float:
-        """Return when to call :meth:`advance` next, infinite if nothing changes without a further call."""
+        """Return when to call :meth:`advance` next, infinite if nothing changes until another method is called."""
         if self._ended:
             return self.now
         if not self.in_service and self.overhead_work <= 0 and not self.choke.is_active:
             return inf
-        return self._constant_until(self.now)
+        return self._speed_constant_until(self.now)
 
-    def _constant_until(self, now_s: float) -> float:
-        """Return the time until which the speed counts as constant."""
-        speed = self._speed_of_each()
+    def _speed_constant_until(self, now_s: float) -> float:
+        """Return the time until which the speed is treated as constant."""
+        speed = self._speed_per_item()
         due = inf
         if speed > 0:
             if self.in_service:
-                due = now_s + max(min(job.remaining for job in self.in_service) / speed, MIN_INTERVAL_S)
+                due = now_s + max(min(job.remaining for job in self.in_service) / speed, MIN_STEP_S)
             if self.overhead_work > 0:
-                due = min(due, now_s + max(self.overhead_work / speed, MIN_INTERVAL_S))
+                due = min(due, now_s + max(self.overhead_work / speed, MIN_STEP_S))
         if self.warm_fraction < 1 or self.choke.may_change:
-            due = min(due, now_s + MAX_INTERVAL_S)
+            due = min(due, now_s + MAX_STEP_S)
         return due
 
     def _fill_slots(self, now_s: float) -> None:
@@ -257,8 +260,8 @@
     def _update_choke(self, now_s: float) -> None:
         self.choke.update(now_s, self.in_flight / self.traits.cores)
 
-    def _count_cold_arrival(self, now_s: float, job: Job) -> None:
-        """Count a request that reaches the server as it warms up, admitted or not, and collapse under too many."""
+    def _check_cold_overload(self, now_s: float, job: Job) -> None:
+        """Collapse if too much work arrives during the warm-up, in admitted and rejected requests together."""
         if self.warm_fraction >= 1 or self.collapsed:
             return
         if self._cold_overload.add_arrival_and_check(now_s, job.work, job.sidecar, self.capacity):
