--- a/lugtally/testbed/emulator/timer_lag.py
+++ b/lugtally/testbed/emulator/timer_lag.py
@@ -1,6 +1,6 @@
-"""Lag of the timers of a testbed process.
+"""Lag of the timers of a testbed process: how late they fire.
 
-A busy machine delays the testbed as well, and the delay must not be attributed to the sidecar.
+A busy machine delays the testbed as well as the sidecar, and this delay must not be attributed to the sidecar.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 
 
 class TimerLag:
-    """A histogram of lags from 1 microsecond to a minute (HdrHistogram, G. Tene)."""
+    """A histogram of lags between 1 microsecond and 1 minute (HdrHistogram, G. Tene)."""
 
     def __init__(self, process: str) -> None:
         self._process = process
         self._histogram = HdrHistogram(1, MAX_LAG_US, SIGNIFICANT_FIGURES)
 
     def add(self, seconds: float) -> None:
-        """Record the lag of an action behind its due time."""
+        """Record by how many seconds an action was late."""
         self._histogram.record_value(min(MAX_LAG_US, max(1, int(seconds * 1e6))))
 
     def report(self) -> TimerLagReport:
-        """Summarize the lags and the processor time of this process."""
+        """Summarize the lags and the processor time of this process in a record."""
         used = resource.getrusage(resource.RUSAGE_SELF)
         return TimerLagReport(
             self._process,
