--- a/lugtally/testbed/emulator/server.py
+++ b/lugtally/testbed/emulator/server.py
@@ -1,8 +1,10 @@
 """Emulated servers on sockets.
 
-They use asyncio with uvloop, and httptools to parse HTTP, so that a fault of the daemon's event loop or parser is not
-repeated here.  An :class:`EmulatedServer` applies :mod:`lugtally.testbed.emulator.server_model` and the active faults
-to each request through a :class:`~lugtally.testbed.emulator.request_processor.RequestProcessor`.
+They use asyncio with uvloop, and httptools to parse HTTP, so that they do not share faults with the event loop or the
+parser of the daemon.
+
+An :class:`EmulatedServer` applies :mod:`lugtally.testbed.emulator.server_model` and the active faults to each request
+through a :class:`~lugtally.testbed.emulator.request_processor.RequestProcessor`.
 """
 
 from __future__ import annotations
@@ -26,7 +28,7 @@
 
 
 class EmulatedServer:
-    """A server: its model, listeners, connections and faults."""
+    """A server process on a machine, with its model, listeners, connections and faults."""
 
     def __init__(self, context: FleetContext, machine: Machine, server_index: int) -> None:
         self.context = context
@@ -40,9 +42,9 @@
         self._processor = RequestProcessor(context, machine.name, machine.zone, self.faults)
         self._connections: set[ServerConnection] = set()
         self._connections_made = 0
-        self._accepting: set[asyncio.Task[object]] = set()
+        self._accept_tasks: set[asyncio.Task[object]] = set()
         self._timer: asyncio.TimerHandle | None = None
-        self._timer_due = inf
+        self._timer_due_at = inf
         hosts = [
             loopback.server_host(context.loopback_block, server_index, sidecar)
             for sidecar in range(len(context.sidecar_zones))
@@ -50,7 +52,7 @@
         self._listeners = ServerListeners(hosts, self._accept)
 
     def start(self, *, cold: bool) -> None:
-        """Start the process.  A cold one warms up."""
+        """Start the process.  If it is ``cold``, it has to warm up."""
         self.model = ServerModel(self._traits, self.context.clock(), cold=cold)
         self.running = True
         self._listeners.open()
@@ -65,7 +67,7 @@
         self._set_timer(inf)
 
     def refuse_connections(self) -> None:
-        """Refuse new connections while the process runs on."""
+        """Refuse new connections while the process keeps running."""
         self._listeners.close()
 
     def accept_connections(self) -> None:
@@ -73,7 +75,7 @@
         self._listeners.open()
 
     def block_connections(self) -> None:
-        """Drop the handshakes of new connections, so that they time out."""
+        """Drop the handshakes of new connections, so that connecting times out."""
         self._listeners.block()
 
     def unblock_connections(self) -> None:
@@ -82,7 +84,7 @@
             self._listeners.unblock()
 
     def disconnect_network(self) -> None:
-        """Disconnect the network: open connections carry no bytes, new ones time out."""
+        """Disconnect the network: open connections deliver no bytes, and new ones time out."""
         self.faults.is_unreachable = True
         self.block_connections()
 
@@ -94,11 +96,11 @@
         self.unblock_connections()
 
     def connection_opened(self, connection: ServerConnection) -> None:
-        """Register a connection, and count it unless the model's connection table is full."""
+        """Register a connection, and enter it in the connection table of the model unless that is full."""
         self._connections.add(connection)
         self.advance()
         connection.has_table_entry = self.model.connect()
-        self._schedule_tick()
+        self._reschedule_timer()
 
     def connection_closed(self, connection: ServerConnection) -> None:
         """Unregister a connection and stop work on its request."""
@@ -109,16 +111,16 @@
         if connection.request is not None:
             self._processor.cancel(connection.request, self.model)
             connection.request = None
-        self._schedule_tick()
+        self._reschedule_timer()
 
     def request_received(self, request: EmulatedRequest) -> None:
         """Process a complete request."""
         now_s = self.advance()
         if self._processor.process(request, self.model, now_s):
-            self._schedule_tick()
+            self._reschedule_timer()
 
     def advance(self) -> float:
-        """Advance the model to the present and answer the finished requests; return the present time."""
+        """Advance the model to the present and respond to the requests that have ended; return the present time."""
         now_s = self.context.clock()
         if not self.running:
             return now_s
@@ -129,17 +131,17 @@
     def update_model(self) -> None:
         """Advance the model to the present and reschedule its timer."""
         self.advance()
-        self._schedule_tick()
+        self._reschedule_timer()
 
     @contextmanager
     def change_model(self) -> Iterator[ServerModel]:
-        """Yield the model, advanced to the present, for a change.  Reschedule its timer afterwards."""
+        """Advance the model to the present and yield it, to be changed; afterwards reschedule its timer."""
         self.advance()
         yield self.model
         self.update_model()
 
     def record_load(self) -> None:
-        """Record a sample of the load."""
+        """Record the present load."""
         model = self.model
         self.context.record(
             LoadSample(self.context.clock(), self.name, model.in_flight, model.connections, self._connections_made)
@@ -149,10 +151,10 @@
         self._connections_made += 1
         loop = asyncio.get_running_loop()
         task = loop.create_task(loop.connect_accepted_socket(lambda: ServerConnection(self, sidecar), accepted))
-        self._accepting.add(task)  # the event loop has only weak references to tasks
-        task.add_done_callback(self._accepting.discard)
+        self._accept_tasks.add(task)  # the event loop has only weak references to tasks
+        task.add_done_callback(self._accept_tasks.discard)
 
-    def _schedule_tick(self) -> None:
+    def _reschedule_timer(self) -> None:
         self._set_timer(self.model.next_due() if self.running else inf)
 
     def _set_timer(self, due: float) -> None:
@@ -160,13 +162,13 @@
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        self._timer_due = due
+        self._timer_due_at = due
         if due < inf:
             delay = max(0.0, due - self.context.clock())
-            self._timer = asyncio.get_running_loop().call_later(delay, self._tick)
+            self._timer = asyncio.get_running_loop().call_later(delay, self._on_timer)
 
-    def _tick(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
-        self.context.timer_lag.add(self.context.clock() - self._timer_due)
+        self.context.timer_lag.add(self.context.clock() - self._timer_due_at)
         self.advance()
-        self._schedule_tick()
+        self._reschedule_timer()
