--- a/lugtally/testbed/loadgen/__init__.py
+++ b/lugtally/testbed/loadgen/__init__.py
@@ -1,5 +1,5 @@
-"""The load generator: open-loop clients beside each sidecar.
+"""The load generator: open-loop clients of each sidecar.
 
-It owns the clients, their retries, their connections and the records of their attempts.  Of the sidecar it knows the
-address alone.  It does not check responses against the rules: the verifier does.
+It contains the clients with their retries and connections, and records their attempts.  It uses nothing of a sidecar
+but its address.  It does not check the responses against the rules; the verifier does.
 """
