--- a/lugtally/testbed/loadgen/connection_pool.py
+++ b/lugtally/testbed/loadgen/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections of the clients of one sidecar.  The most recently used idle one is reused first."""
+"""Pool of the connections to one sidecar.  The most recently used idle connection is reused first."""
 
 from __future__ import annotations
 
@@ -11,38 +11,38 @@
 from lugtally.testbed.loadgen.connection import ClientConnection
 
 CONNECT_TIMEOUT_S = 2.0
-UseConnection = Callable[[ClientConnection | None], None]  # None if the sidecar cannot be reached
+ConnectionCallback = Callable[[ClientConnection | None], None]  # called with None if connecting failed
 
 
 class ConnectionPool:
-    """A bounded pool.  Requests beyond the bound wait in a FIFO queue."""
+    """A pool with a maximum number of connections.  Requests that find none wait in a FIFO queue."""
 
     def __init__(self, host: str, max_connections: int) -> None:
         self._host = host
         self._max_connections = max_connections
-        self._open = 0
+        self._open_count = 0
         self._idle: list[ClientConnection] = []
-        self._waiting: deque[UseConnection] = deque()
+        self._waiting: deque[ConnectionCallback] = deque()
 
-    def acquire(self, use: UseConnection) -> None:
-        """Call ``use`` with an idle connection, or with a new one."""
+    def acquire(self, on_connection: ConnectionCallback) -> None:
+        """Pass an idle connection to ``on_connection``, or a new one if none is idle."""
         while self._idle:
             connection = self._idle.pop()
             if connection.is_open:
-                use(connection)
+                on_connection(connection)
                 return
-        self.acquire_new(use)
+        self.acquire_new(on_connection)
 
-    def acquire_new(self, use: UseConnection) -> None:
-        """Call ``use`` with a new connection as soon as the bound allows one."""
-        if self._open >= self._max_connections:
-            self._waiting.append(use)  # the wait is part of the measured latency
+    def acquire_new(self, on_connection: ConnectionCallback) -> None:
+        """Pass a new connection to ``on_connection`` as soon as the maximum allows one."""
+        if self._open_count >= self._max_connections:
+            self._waiting.append(on_connection)  # this wait is part of the measured latency
             return
-        self._open += 1
-        asyncio.get_running_loop().create_task(self._connect(use))
+        self._open_count += 1
+        asyncio.get_running_loop().create_task(self._connect(on_connection))
 
     def release(self, connection: ClientConnection) -> None:
-        """Return a connection after a complete response, so that another request can use it."""
+        """Return a connection to the pool after a complete response, so that another request can on_connection it."""
         if not connection.is_reusable or not connection.is_open:
             connection.close()
         elif self._waiting:
@@ -55,7 +55,7 @@
         for connection in list(self._idle):
             connection.close()
 
-    async def _connect(self, use: UseConnection) -> None:
+    async def _connect(self, on_connection: ConnectionCallback) -> None:
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
@@ -63,13 +63,13 @@
                     lambda: ClientConnection(self._on_closed), self._host, loopback.PORT, family=socket.AF_INET
                 )
         except (OSError, TimeoutError):
-            self._open -= 1
-            use(None)
+            self._open_count -= 1
+            on_connection(None)
             return
-        use(connection if connection.is_open else None)
+        on_connection(connection if connection.is_open else None)
 
     def _on_closed(self, connection: ClientConnection) -> None:
-        self._open -= 1
+        self._open_count -= 1
         if connection in self._idle:
             self._idle.remove(connection)
         if self._waiting:
