--- a/lugtally/testbed/loadgen/load_run.py
+++ b/lugtally/testbed/loadgen/load_run.py
@@ -1,4 +1,4 @@
-"""State that all clients of a run share."""
+"""State that the clients of a run share."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
             )
             for sidecar in range(scenario.fleet.sidecars)
         ]
-        self.start = 0.0  # seconds since the base at which the scenario begins
-        self.pending = 0  # attempts in flight or observed, and scheduled retries
+        self.start = 0.0  # when the scenario begins, in seconds since the base time
+        self.pending = 0  # attempts that are in flight or wait for a late response, and scheduled retries
         self._base = specification.base
 
     def clock(self) -> float:
-        """Return the seconds since the base."""
+        """Return the seconds since the base time of the run."""
         return time.monotonic() - self._base
 
     def close(self) -> None:
