--- a/lugtally/testbed/loadgen/connection_pool.py
+++ b/lugtally/testbed/loadgen/connection_pool.py
@@ -42,7 +42,7 @@
         asyncio.get_running_loop().create_task(self._connect(on_connection))
 
     def release(self, connection: ClientConnection) -> None:
-        """Return a connection to the pool after a complete response, so that another request can on_connection it."""
+        """Return a connection to the pool after a complete response, so that another request can use it."""
         if not connection.is_reusable or not connection.is_open:
             connection.close()
         elif self._waiting:
