--- a/lugtally/testbed/loadgen/attempt.py
+++ b/lugtally/testbed/loadgen/attempt.py
@@ -1,6 +1,6 @@
 """One attempt of a client.
 
-It is sent once, and once more if an idle connection was closed while the request was being written to it.
+Its request is sent a second time if the sidecar closed an idle connection while the request was being written to it.
 """
 
 from __future__ import annotations
@@ -17,32 +17,41 @@
 from lugtally.testbed.scenario.random_streams import named_uniform
 from lugtally.testbed.verification.records import ClientAttempt, ClientOutcome
 
-OBSERVATION_S = 0.4  # after the client's deadline, to distinguish a late response from none
+LATE_RESPONSE_WAIT_S = 0.4  # after the deadline of the client, to distinguish a late response from a missing one
 REJECTION_STATUSES = (429, 503)
 
 
 class AttemptObserver(Protocol):
-    """Receiver of the end of an attempt; one of its methods is called once."""
+    """Interface for the end of an attempt: exactly one of the methods is called, and only once."""
 
     def on_attempt_end(self, record: ClientAttempt) -> None:
-        """Handle the end of an attempt before its deadline."""
+        """Handle an attempt that ended before its deadline."""
 
     def on_attempt_timeout(self, record: ClientAttempt) -> None:
-        """Handle the deadline, at which the client stops waiting."""
+        """Handle an attempt that reached its deadline, at which the client stops waiting."""
 
 
 class OutgoingAttempt:
-    """An attempt in flight, and the handler of its response.
+    """An attempt in flight, which handles its own response.
 
-    The observer is called once, when the attempt ends or the client stops waiting for it.
+    It notifies its observer once, when the attempt ends or the client stops waiting for it.
     """
 
-    __slots__ = ("_run", "_record", "_data", "_observer", "_connection", "_timer", "_is_abandoned", "_is_recorded")
+    __slots__ = (
+        "_run",
+        "_record",
+        "_request_bytes",
+        "_observer",
+        "_connection",
+        "_timer",
+        "_is_abandoned",
+        "_is_recorded",
+    )
 
     def __init__(self, run: LoadRun, record: ClientAttempt, data: bytes, observer: AttemptObserver) -> None:
         self._run = run
         self._record = record
-        self._data = data
+        self._request_bytes = data
         self._observer = observer
         self._connection: ClientConnection | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -54,11 +63,11 @@
         return self._run.pools[self._record.sidecar]
 
     def start(self) -> None:
-        """Send the request over an idle or a new connection."""
+        """Send the request over an idle or a new connection, and start the timer of the deadline."""
         self._run.pending += 1
         self._pool.acquire(self._send_over)
-        wait = max(0.0, self._record.deadline_at - self._run.clock())
-        self._timer = asyncio.get_running_loop().call_later(wait, self._on_deadline)
+        time_left_s = max(0.0, self._record.deadline_at - self._run.clock())
+        self._timer = asyncio.get_running_loop().call_later(time_left_s, self._on_deadline)
 
     def _send_over(self, connection: ClientConnection | None) -> None:
         if self._is_recorded or self._is_abandoned:
@@ -71,7 +80,7 @@
             return
         self._connection = connection
         self._record.sent_at = self._run.clock()
-        connection.send(self._data, self)
+        connection.send(self._request_bytes, self)
 
     def on_response(self, response: Response) -> None:
         """Record the response and release the connection."""
@@ -90,18 +99,18 @@
         return ClientOutcome.FAILED
 
     def on_disconnect(self, received_bytes: bool) -> None:
-        """Send the request again if the connection was an idle one that closed; else record that it was dropped."""
+        """Send the request again if an idle connection was closed, otherwise record that it was dropped."""
         connection, self._connection = self._connection, None
         assert connection is not None
         if not received_bytes and connection.was_used and not self._record.resent and not self._is_abandoned:
-            # The sidecar closed an idle connection while the request was written to it.
+            # The sidecar closed the idle connection while the request was being written to it.
             self._record.resent = True
             self._pool.acquire_new(self._send_over)
             return
         self._finish(ClientOutcome.DROPPED)
 
     def on_duplicate(self) -> None:
-        """Mark the record as duplicate, or add a record if this attempt is already in the event log."""
+        """Mark the record as a duplicate response; write a further record if it is already in the event log."""
         self._record.duplicate_response = True
         if self._is_recorded:
             self._run.event_log.write(
@@ -116,11 +125,11 @@
             )
 
     def is_own_body(self, body: bytes) -> bool:
-        """Return whether a server made this body for this request."""
+        """Return whether a server created this body for this request."""
         return is_genuine(body, self._run.seed, self._record.request_id)
 
     def _on_deadline(self) -> None:
-        """Stop waiting.  Impatient clients disconnect; others stay connected so that a late response is recorded."""
+        """Stop waiting.  Impatient clients disconnect; others stay connected, so that a late response is recorded."""
         self._is_abandoned = True
         if (
             named_uniform(self._run.seed, "impatient", self._record.request_id)
@@ -129,10 +138,10 @@
             self._close_connection()
             self._finish(ClientOutcome.CLIENT_LEFT)
         else:
-            self._timer = asyncio.get_running_loop().call_later(OBSERVATION_S, self._on_observation_end)
+            self._timer = asyncio.get_running_loop().call_later(LATE_RESPONSE_WAIT_S, self._on_late_response_timeout)
         self._observer.on_attempt_timeout(self._record)
 
-    def _on_observation_end(self) -> None:
+    def _on_late_response_timeout(self) -> None:
         self._finish(ClientOutcome.PENDING if self._close_connection() else ClientOutcome.UNREACHABLE)
 
     def _close_connection(self) -> bool:
@@ -144,7 +153,7 @@
         return True
 
     def _finish(self, outcome: ClientOutcome) -> None:
-        """Record the outcome, once."""
+        """Record the outcome, unless it has been recorded."""
         if self._is_recorded:
             return
         self._is_recorded = True
