--- a/lugtally/testbed/loadgen/connection.py
+++ b/lugtally/testbed/loadgen/connection.py
@@ -1,6 +1,6 @@
-"""Connection of a client to its sidecar.
+"""Connection of a client to its sidecar, for one request at a time.
 
-It carries one request at a time and attributes each response to its request, also a duplicate that arrives late.
+It attributes each response to its request, even a duplicate that arrives while the next request is in flight.
 """
 
 from __future__ import annotations
@@ -26,23 +26,23 @@
 
 
 class ResponseHandler(Protocol):
-    """Receiver of what happens to a request; ``on_response`` or ``on_disconnect`` is called once."""
+    """Interface for the events of a request: ``on_response`` or ``on_disconnect`` is called, once."""
 
     def on_response(self, response: Response) -> None:
         """Handle the response."""
 
     def on_disconnect(self, received_bytes: bool) -> None:
-        """Handle the end of the connection; ``received_bytes`` says whether a part of a response arrived."""
+        """Handle the loss of the connection; ``received_bytes`` tells whether a part of the response arrived."""
 
     def on_duplicate(self) -> None:
         """Handle bytes that follow the response.  Called at most once."""
 
     def is_own_body(self, body: bytes) -> bool:
-        """Return whether a body was made for this request."""
+        """Return whether a body was created for this request."""
 
 
 class ConnectionState(Enum):
-    """State of a connection, and of the request on it."""
+    """State of a connection and of the last request on it."""
 
     CONNECTING = auto()
     UNUSED = auto()  # open, no request sent yet
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True)
 class _Exchange:
-    """A request that was sent."""
+    """A request that was sent on the connection."""
 
     handler: ResponseHandler
     duplicate_reported: bool = False
@@ -71,7 +71,7 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """A connection to a sidecar."""
+    """A connection to a sidecar, which sends requests and parses the responses."""
 
     def __init__(self, on_closed: Callable[[ClientConnection], None]) -> None:
         self.is_reusable = True
@@ -97,7 +97,7 @@
         self._state = ConnectionState.UNUSED
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Report the end of the connection to its owner and to the request in flight."""
+        """Report the loss of the connection to its pool and to the request in flight."""
         state, self._state = self._state, ConnectionState.CLOSED
         self._on_closed(self)
         if state in IN_PROGRESS:
@@ -114,14 +114,14 @@
         self._transport.write(data)
 
     def close(self) -> None:
-        """Reset the connection.  A request in flight gets no further report."""
+        """Reset the connection.  Nothing more is reported to a request in flight."""
         if self._state in IN_PROGRESS:
             self._state = ConnectionState.ABANDONED
         if self._transport is not None:
             self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Parse bytes of a response.  Reset the connection if they are malformed or none are expected."""
+        """Parse bytes of a response.  Reset the connection if they are malformed or no response is expected."""
         if self._state in NO_RESPONSE_EXPECTED:
             self._reject_extra_bytes()
             return
@@ -136,23 +136,23 @@
                 self._transport.abort()
 
     def on_message_begin(self) -> None:
-        """Report a second response that follows a complete one in the same segment."""
+        """Report a second response in the same segment as a complete one."""
         if self._state is ConnectionState.RESPONSE_COMPLETE:
             self._reject_extra_bytes()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Apply Connection and Retry-After."""
-        lower = name.lower()
-        if lower == b"connection" and value.lower() == b"close":
+        """Evaluate the headers Connection and Retry-After."""
+        lower_name = name.lower()
+        if lower_name == b"connection" and value.lower() == b"close":
             self.is_reusable = False
-        elif lower == b"retry-after":
+        elif lower_name == b"retry-after":
             try:
                 self._retry_after_s = float(value)
             except ValueError:
                 self._retry_after_s = NO_RETRY_AFTER
 
     def on_body(self, body: bytes) -> None:
-        """Append a piece of the body."""
+        """Append a part of the body."""
         self._body += body
 
     def on_message_complete(self) -> None:
@@ -168,9 +168,9 @@
         self._exchange.handler.on_response(Response(status, self._body, self._retry_after_s))
 
     def _is_duplicate_of_previous(self) -> bool:
-        """Return whether this is a second response to the previous request, and report it there if so.
+        """Return whether this is a second response to the previous request; if so, report it to that request.
 
-        The request in flight then still awaits its own response, and the connection is not used again after that.
+        The request in flight then still awaits its own response.  The connection is not reused after that response.
         """
         previous = self._previous_exchange
         if previous is None or not previous.handler.is_own_body(self._body):
@@ -181,7 +181,7 @@
         return True
 
     def _await_response(self) -> None:
-        """Start a new response."""
+        """Prepare for a new response."""
         self._state = ConnectionState.AWAITING_RESPONSE
         self._body, self._retry_after_s = b"", NO_RETRY_AFTER
 
