--- a/lugtally/testbed/loadgen/generator.py
+++ b/lugtally/testbed/loadgen/generator.py
@@ -1,12 +1,13 @@
-"""Process of the load generator: open-loop clients beside each sidecar.
+"""The process of the load generator: open-loop clients of each sidecar.
 
-Arrivals are drawn before the run and do not wait for responses.  Latency counts from the time at which a request was
-to be sent, so that a stall shows in full (no coordinated omission; G. Tene, "How not to measure latency", 2013).
-Retries of a client belong to its first attempt.  The lag of each send is recorded: a run with a late load generator
-is void.
+Arrivals are drawn before the run and do not wait for responses.  Latency is measured from the time at which a request
+was due to be sent, so that it includes a stall in full (this avoids coordinated omission; G. Tene, "How not to measure
+latency", 2013).  Retries count as part of the client's first attempt.  The lag of each send is recorded: a run whose
+load generator was late is void.
 
-The process is started with the path of a specification and prints ``ready``.  It begins on ``go SECONDS`` from
-standard input and prints ``done`` at its end.  It ends early on ``stop`` or at the end of standard input.
+The argument of the process is the path of a specification.  It prints ``ready``, and on ``go SECONDS`` from standard
+input starts the load at that time.  It prints ``done`` at its end, and ends early on ``stop`` or at the end of standard
+input.
 """
 
 from __future__ import annotations
@@ -22,26 +23,26 @@
 from lugtally.testbed.scenario.schedule import Schedule, make_schedule
 from lugtally.testbed.scenario.specification import ProcessSpecification, read_specification
 
-DUPLICATE_WAIT_S = 0.3  # after the last response, for duplicates of it
-MIN_WAIT_S = 0.0005  # shorter waits are left out
-MAX_LAG_S = 0.01  # from which the loop yields between arrivals
+DUPLICATE_WAIT_S = 0.3  # after the last attempt, for duplicate responses
+MIN_SLEEP_S = 0.0005  # a request that is due earlier is sent at once
+MAX_LAG_WITHOUT_YIELD_S = 0.01  # above this lag, the loop yields to the event loop between arrivals
 FLUSH_INTERVAL_S = 1.0
 PENDING_POLL_S = 0.05
 
 
 class LoadGenerator:
-    """All clients of a run."""
+    """Sends the requests of all clients of a run."""
 
     def __init__(self, specification: ProcessSpecification) -> None:
         self._schedule: Schedule = make_schedule(specification.scenario, specification.seed)
         self._run = LoadRun(specification)
 
     async def run(self) -> None:
-        """Send all arrivals, then wait until the last attempt has ended."""
+        """Wait for the command to start, then send all requests and wait until the last attempt has ended."""
         loop = asyncio.get_running_loop()
         commands = asyncio.StreamReader()
         await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(commands), sys.stdin)
-        # Exclude the schedule from garbage collection: it is large and lives to the end.
+        # Exclude the schedule from garbage collection: it is large and needed to the end.
         gc.collect()
         gc.freeze()
         print("ready", flush=True)
@@ -49,34 +50,34 @@
         if not command or command[0] != "go":
             return
         self._run.start = float(command[1])
-        stopped = loop.create_task(commands.readline())  # ``stop``, or the end of standard input
-        playing = loop.create_task(self._play())
-        await asyncio.wait((stopped, playing), return_when=asyncio.FIRST_COMPLETED)
-        playing.cancel()
+        stop_command = loop.create_task(commands.readline())  # ``stop``, or the end of standard input
+        generating = loop.create_task(self._generate_load())
+        await asyncio.wait((stop_command, generating), return_when=asyncio.FIRST_COMPLETED)
+        generating.cancel()
         self._run.close()
         print("done", flush=True)
 
-    async def _play(self) -> None:
+    async def _generate_load(self) -> None:
         await self._send_arrivals()
-        while self._run.pending:  # ends: each attempt has a deadline and an observation time
+        while self._run.pending:  # ends, as each attempt ends within LATE_RESPONSE_WAIT_S of its deadline
             await asyncio.sleep(PENDING_POLL_S)
         await asyncio.sleep(DUPLICATE_WAIT_S)
         for pool in self._run.pools:
             pool.close()
 
     async def _send_arrivals(self) -> None:
-        """Send each request at its time, and flush the event log each second."""
-        run, flushed_at = self._run, 0.0
+        """Send each request when it is due, and flush the event log every FLUSH_INTERVAL_S."""
+        run, last_flush_at = self._run, 0.0
         for arrival_index, arrival in enumerate(self._schedule.arrivals):
             due = run.start + arrival.at
-            while (wait := due - run.clock()) > MIN_WAIT_S:
-                await asyncio.sleep(wait)
+            while (wait_s := due - run.clock()) > MIN_SLEEP_S:
+                await asyncio.sleep(wait_s)
             run.timer_lag.add(run.clock() - due)
             ClientRequest(run, arrival_index, arrival).start_attempt(due)
-            if due > flushed_at + FLUSH_INTERVAL_S:
-                flushed_at = due
+            if due > last_flush_at + FLUSH_INTERVAL_S:
+                last_flush_at = due
                 run.event_log.flush()
-            elif wait < -MAX_LAG_S:
+            elif wait_s < -MAX_LAG_WITHOUT_YIELD_S:
                 await asyncio.sleep(0)  # behind schedule: let responses be read
 
 
