--- a/lugtally/testbed/scenario/arrivals.py
+++ b/lugtally/testbed/scenario/arrivals.py
@@ -1,4 +1,4 @@
-"""Arrivals of a run: time, sidecar, class and work of each first attempt."""
+"""Arrivals of a run: the time, sidecar, class and work of each first attempt."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from lugtally.testbed.scenario.random_streams import stream
 from lugtally.testbed.scenario.scenario import RequestClass, Scenario
 
-PROFILE_INTERVAL_S = 0.01  # between the times at which the maximum rate is sought
-PROFILE_MARGIN = 1.001  # factor on the maximum rate
-BURST_INTERVAL_S = 0.5  # over which a bursty rate is constant
+PROFILE_SAMPLE_INTERVAL_S = 0.01  # between the samples of which the maximum is taken
+MAX_RATE_MARGIN = 1.001  # factor on the maximum of the samples
+BURST_INTERVAL_S = 0.5  # for which the rate of a bursty load stays constant
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A first attempt: ``at`` seconds into the run, ``work`` in core-seconds."""
+    """A first attempt, ``at`` seconds after the start of the run; ``work`` is in core-seconds."""
 
     at: float
     sidecar: int
@@ -26,18 +26,18 @@
 
 
 def draw_arrivals(scenario: Scenario, seed: int, rate: float, mean_work: tuple[float, ...]) -> tuple[Arrival, ...]:
-    """Draw a Poisson process for each sidecar, thinned to the profile (Lewis and Shedler, 1979)."""
+    """Draw a Poisson process for each sidecar, thinned to the rate profile (Lewis and Shedler, 1979)."""
     weights = _sidecar_weights(scenario, seed)
-    grid = np.arange(0, scenario.length_s, PROFILE_INTERVAL_S)
-    max_factor = float(_profile(scenario, seed, grid).max()) * PROFILE_MARGIN
+    sample_times = np.arange(0, scenario.length_s, PROFILE_SAMPLE_INTERVAL_S)
+    max_factor = float(_rate_profile(scenario, seed, sample_times).max()) * MAX_RATE_MARGIN
     arrivals: list[Arrival] = []
     for sidecar, weight in enumerate(weights):
-        arrivals += _draw_sidecar(scenario, seed, sidecar, rate * weight, max_factor, mean_work)
+        arrivals += _draw_sidecar_arrivals(scenario, seed, sidecar, rate * weight, max_factor, mean_work)
     return tuple(sorted(arrivals, key=lambda arrival: arrival.at))
 
 
 def draw_work(request_class: RequestClass, mean: float, random: np.random.Generator, count: int) -> np.ndarray:
-    """Draw the core-seconds of ``count`` requests.  Every shape has the same mean."""
+    """Draw the work of ``count`` requests, in core-seconds.  All shapes have the same mean."""
     spread = request_class.spread
     if request_class.shape == "fixed":
         return np.full(count, mean)
@@ -49,7 +49,7 @@
 
 
 def _sidecar_weights(scenario: Scenario, seed: int) -> list[float]:
-    """Draw the share of the load of each sidecar."""
+    """Draw the share of the load that each sidecar gets."""
     sigma = sqrt(log(1 + scenario.load.sidecar_cv**2))
     sidecars = range(scenario.fleet.sidecars)
     weights = np.array([stream(seed, "weight", sidecar).lognormal(0, sigma) for sidecar in sidecars])
@@ -57,15 +57,15 @@
     return [float(weight) for weight in weights]
 
 
-def _draw_sidecar(
+def _draw_sidecar_arrivals(
     scenario: Scenario, seed: int, sidecar: int, rate: float, max_factor: float, mean_work: tuple[float, ...]
 ) -> list[Arrival]:
-    """Draw the arrivals of one sidecar: candidates at the maximum rate, thinned to the profile."""
+    """Draw the arrivals of one sidecar: candidates at the maximum rate, thinned to the rate profile."""
     random = stream(seed, "arrivals", sidecar)
     length_s, max_rate = scenario.length_s, rate * max_factor
     count = int(max_rate * length_s + 10 * sqrt(max_rate * length_s) + 20)
     times = np.cumsum(random.exponential(1 / max_rate, count))
-    passes = random.random(count) * max_factor < _profile(scenario, seed, np.minimum(times, length_s))
+    accepted = random.random(count) * max_factor < _rate_profile(scenario, seed, np.minimum(times, length_s))
     classes = _draw_classes(scenario, random, count)
     work = [
         draw_work(request_class, mean_work[class_index], stream(seed, "work", sidecar, request_class.name), count)
@@ -74,7 +74,7 @@
     return [
         Arrival(float(times[index]), sidecar, int(classes[index]), float(work[int(classes[index])][index]))
         for index in range(count)
-        if passes[index] and times[index] < length_s
+        if accepted[index] and times[index] < length_s
     ]
 
 
@@ -83,8 +83,8 @@
     return np.minimum(np.searchsorted(shares, random.random(count), side="right"), len(shares) - 1)
 
 
-def _profile(scenario: Scenario, seed: int, times: np.ndarray) -> np.ndarray:
-    """Return the rate at each time as a multiple of the mean rate, bursts included."""
+def _rate_profile(scenario: Scenario, seed: int, times: np.ndarray) -> np.ndarray:
+    """Return the rate at each time as a multiple of the mean rate, including bursts."""
     load = scenario.load
     factor = np.ones_like(times)
     random = stream(seed, "profile")
