--- a/lugtally/testbed/scenario/fault_events.py
+++ b/lugtally/testbed/scenario/fault_events.py
@@ -1,4 +1,4 @@
-"""Events of a run: the begin and end of each fault, and the servers that it affects."""
+"""Fault events of a run: the start and end of each fault, and the servers that it affects."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultEvent:
-    """Begin or end of a fault, ``at`` seconds into the run, for the servers of these indices."""
+    """The start or end of a fault on some servers, ``at`` seconds after the start of the run."""
 
     at: float
-    begins: bool
+    begins: bool  # True for the start of the fault, False for its end
     fault: Fault
     server_indices: ServerIndices
 
     @property
     def active_size(self) -> float:
-        """Size of the fault from this event on; 0 after its end."""
+        """Size of the fault after this event: 0 if the fault has ended."""
         return self.fault.size if self.begins else 0.0
 
 
 def draw_fault_events(scenario: Scenario, seed: int, zones: tuple[str, ...]) -> tuple[FaultEvent, ...]:
-    """Draw all events, in order of time; ``zones`` has the zone of each server."""
+    """Draw all events, in the shuffled of their times; ``zones`` has the zone of each server."""
     events: list[FaultEvent] = []
     targets = _choose_servers(scenario, seed, zones)
     for index, (fault, server_indices) in enumerate(zip(scenario.faults, targets, strict=True)):
@@ -42,13 +42,13 @@
 
 
 def _choose_servers(scenario: Scenario, seed: int, zones: tuple[str, ...]) -> list[ServerIndices]:
-    """Return the servers of each fault."""
+    """Return the servers that each fault affects."""
     chosen: list[ServerIndices] = []
-    next_index = scenario.fleet.servers  # of a server that joins
+    next_joining_index = scenario.fleet.servers  # of the next server that joins the fleet
     for index, fault in enumerate(scenario.faults):
         if fault.kind == "join":
-            server_indices = tuple(range(next_index, next_index + (fault.servers or 1)))
-            next_index = server_indices[-1] + 1
+            server_indices = tuple(range(next_joining_index, next_joining_index + (fault.servers or 1)))
+            next_joining_index = server_indices[-1] + 1
         elif fault.same_as is not None:
             server_indices = chosen[fault.same_as]
         else:
@@ -58,7 +58,7 @@
 
 
 def _draw_servers(scenario: Scenario, seed: int, index: int, fault: Fault, zones: tuple[str, ...]) -> ServerIndices:
-    """Draw the servers of a fault among those of its zone."""
+    """Draw the servers of a fault from those in its zone."""
     eligible = [
         server_index for server_index in range(scenario.fleet.servers) if fault.zone in (None, zones[server_index])
     ]
@@ -67,14 +67,14 @@
     count = fault.servers
     if count is None:
         count = max(1, round((fault.server_share or 0) * len(eligible)))
-    order = stream(seed, "trouble", index).permutation(len(eligible))
-    return tuple(sorted(eligible[int(position)] for position in order[:count]))
+    shuffled = stream(seed, "trouble", index).permutation(len(eligible))
+    return tuple(sorted(eligible[int(position)] for position in shuffled[:count]))
 
 
 def _begin_and_end(
     seed: int, index: int, fault: Fault, start: float, server_indices: ServerIndices
 ) -> list[FaultEvent]:
-    """Return the events of a fault that begins at ``start``."""
+    """Return the events of a fault that starts at ``start``."""
     begin = FaultEvent(start, True, fault, server_indices)
     if fault.for_s is None:
         return [begin]
@@ -95,7 +95,7 @@
     end: FaultEvent,
     server_indices: ServerIndices,
 ) -> Iterator[FaultEvent]:
-    """Yield the alternating begins and ends of a fault that goes on and off."""
+    """Yield the events of a fault that goes on and off between ``begin`` and ``end``."""
     at, begins = begin.at, True
     while at < end.at:
         yield FaultEvent(at, begins, begin.fault, server_indices)
