--- a/lugtally/testbed/scenario/scenario.py
+++ b/lugtally/testbed/scenario/scenario.py
@@ -1,9 +1,10 @@
-"""Values of a scenario file, with their defaults and limits.
+"""Contents of a scenario file, with defaults and limits.
 
-The keys of the files are stored data: a field whose name differs from its key is listed in its ``rename`` table.
+The keys of the files are stored data: a field whose name differs from its key is listed in the ``rename`` table of its
+struct.
 
-Units are part of the names: ``_s`` seconds, ``_ms`` milliseconds, ``_per_s`` a second; a share is between 0 and 1.  A
-value of the type :data:`Range` is a number, or a pair ``[lower, upper]`` between which the seed draws.
+Units are part of the names: ``_s`` seconds, ``_ms`` milliseconds, ``_per_s`` per second; a share is between 0 and 1.  A
+value of type :data:`Range` is a number, or a pair ``[lower, upper]`` between which a value is drawn with the seed.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 
 class Bounds(NamedTuple):
-    """Limits between which a value is drawn."""
+    """The limits between which a value is drawn."""
 
     lower: float
     upper: float
@@ -50,10 +51,10 @@
     "sidecar-hup",
     "sidecar-starved",
 ]
-SIDECAR_PREFIX = "sidecar-"  # of the faults that the runner applies
-LOAD_FAULTS = ("burst",)  # applied to the arrivals as they are drawn
+SIDECAR_PREFIX = "sidecar-"  # of the kinds of faults that the runner applies
+LOAD_FAULTS = ("burst",)  # kinds of faults that are applied when the arrivals are drawn
 
-# By the effect of a class of requests: the key in the sidecar's settings, and the method.
+# By the effect of a request class: its name in the sidecar's settings, and the HTTP method of the requests.
 EFFECT_SETTINGS = {"safe": "idempotent", "keyed": "deduplicated", "unsafe": "at_most_once"}
 METHODS = {"safe": "GET", "keyed": "POST", "unsafe": "POST"}
 
@@ -74,20 +75,20 @@
         "deduplication_window_ms": "key_ttl_ms",
     },
 ):
-    """A class of requests, as in the table of the operators' brief."""
+    """A request class: its share of the load, its work, its objectives and its effect."""
 
     name: str
     share: Share
-    work_ms: Range  # mean work of one request on a core of speed 1, drawn for each run
-    latency_objective_ms: Positive  # a response within it earns the full weight
-    deadline_ms: Positive  # for which the client waits, over all attempts
+    work_ms: Range  # mean work of a request on a core of speed 1, drawn for each run
+    latency_objective_ms: Positive  # a response within this time earns the full weight
+    deadline_ms: Positive  # how long the client waits, all attempts together
     priority_weight: Positive
     effect: Literal["safe", "keyed", "unsafe"]
-    late_priority_weight: Share = 0.2  # share of the weight for a response between objective and deadline
+    late_priority_weight: Share = 0.2  # share of the weight that a response between objective and deadline earns
     deduplication_scope: Literal["all", "zone", "cell"] = "zone"
     deduplication_window_ms: Positive = 600
     shape: Literal["lognormal", "pareto", "exponential", "fixed"] = "lognormal"
-    spread: Positive = 0.5  # lognormal: sigma; pareto: index (above 1); unused otherwise
+    spread: Positive = 0.5  # lognormal: sigma; pareto: index (above 1); otherwise unused
 
 
 class Fleet(
@@ -117,24 +118,24 @@
     cores: Count = 2
     slots_per_core: Count = 1  # requests in service at once
     queue_per_core: Count = 38
-    speed: Range = Bounds(0.85, 1.1)  # drawn for each run
-    speed_cv: NotNegative = 0.1  # coefficient of variation among the servers
+    speed: Range = Bounds(0.85, 1.1)  # core-seconds of work per second and core, drawn for each run
+    speed_cv: NotNegative = 0.1  # coefficient of variation of the speed among the servers
     attempt_noise: NotNegative = 0.1  # standard deviation of a uniform factor on the work of each attempt
-    congestion_threshold: Positive = 4.0  # requests a core above which the speed falls
-    congestion_loss: NotNegative = 0.4  # factor on the speed: 1 / (1 + loss * (requests / threshold - 1))
-    choke_threshold: Positive = 5.0  # requests a core above which the server chokes after choke_onset_s
+    congestion_threshold: Positive = 4.0  # requests per core above which the speed falls
+    congestion_loss: NotNegative = 0.4  # speed factor: 1 / (1 + loss * (requests / threshold - 1))
+    choke_threshold: Positive = 5.0  # requests per core above which the server chokes after choke_onset_s
     choke_onset_s: Positive = 2.0
-    choke_slowdown: Annotated[float, Meta(ge=1)] = 2.8
+    choke_slowdown: Annotated[float, Meta(ge=1)] = 2.8  # factor by which a choked server is slower
     choke_idle_s: Positive = 3.5  # of idleness that ends the choke
-    max_choke_s: Positive = 25.0
+    max_choke_s: Positive = 25.0  # after which a choke ends in any case
     initial_capacity: Share = 0.35  # share of the full capacity at a cold start
     warm_up_s: Positive = 5.0
     warm_up_by: Literal["time", "work"] = "work"
-    collapse_multiple: Positive = 2.5  # of the present capacity, above which a server that warms up collapses
-    collapse_window_s: Positive = 1.0
-    error_rate: Share = 0.0002
-    pinned: bool = False  # pin each sidecar to a core of its own, as far as the machine has them
-    drops_expired: bool = True  # reject a request that is past its deadline when it leaves the queue
+    collapse_multiple: Positive = 2.5  # of the present capacity, above which a server collapses during its warm-up
+    collapse_window_s: Positive = 1.0  # over which the arriving work is averaged
+    error_rate: Share = 0.0002  # share of the responses that are errors without any fault
+    pinned: bool = False  # pin each sidecar to a separate core, as far as the machine has enough
+    drops_expired: bool = True  # servers drop a request that is past its deadline when it arrives or leaves the queue
 
 
 class Network(
@@ -151,13 +152,13 @@
 ):
     """The network between sidecars and servers, and the cost of connections."""
 
-    same_zone_ms: NotNegative = 0.2  # one way
+    same_zone_ms: NotNegative = 0.2  # one-way delay
     cross_zone_ms: NotNegative = 0.7
-    max_connections: Count = 68  # of one server
-    handshake_ms: Range = Bounds(8.0, 12.8)  # work of the server for a new connection
-    handshake_round_trips: NotNegative = 2  # before the first request of a connection
+    max_connections: Count = 68  # in the connection table of one server
+    handshake_ms: Range = Bounds(8.0, 12.8)  # work of the server for each new connection
+    handshake_round_trips: NotNegative = 2  # round trips before the first request of a connection
     full_table_loss: Share = 0.25  # share of the capacity that a full connection table costs
-    idle_timeout_s: Positive = 60  # after which the server closes a connection
+    idle_timeout_s: Positive = 60  # after which the server closes an idle connection
     health_check_ms: NotNegative = 0.18  # work of one health check
 
 
@@ -173,24 +174,28 @@
         "poll_within_s": "ask_within_s",
     },
 ):
-    """The discovery service: propagation delays and limited capacity."""
+    """The discovery service, with its propagation delays and limited capacity."""
 
-    propagation_s: Range = Bounds(0.65, 3.0)  # from a change until the list has it
+    propagation_s: Range = Bounds(0.65, 3.0)  # from a change until the endpoint list contains it
     silent_propagation_s: Range = Bounds(6.3, 12)  # the same for a machine that disappears silently
-    max_parallel_calls: Count = 4
-    call_ms: NotNegative = 2.0  # duration of a call, to which each entry adds a hundredth
-    max_wait_s: Positive = 3.0  # for capacity, after which a call fails with 503
-    poll_within_s: Positive = 10.0  # a sidecar without a call for this time counts as notified; 4 times after a failure
+    max_parallel_calls: Count = 4  # of all sidecars together
+    call_ms: NotNegative = 2.0  # duration of a call without entries; each entry adds a hundredth of it
+    max_wait_s: Positive = 3.0  # longest wait of a call for capacity, after which it fails with 503
+    poll_within_s: Positive = (
+        10.0  # a sidecar that makes no call for this time (4 times this after a failed one) counts as notified
+    )
 
 
 class Load(Struct, frozen=True, forbid_unknown_fields=True):
     """The rate of the clients' requests."""
 
-    rate_per_s: Positive = 180.0  # first attempts of all sidecars together
-    utilisation: Annotated[float, Meta(gt=0, le=3)] | None = None  # of the fleet; replaces the rate
+    rate_per_s: Positive = 180.0  # first attempts, for all sidecars together
+    utilisation: Annotated[float, Meta(gt=0, le=3)] | None = (
+        None  # load as a share of the capacity of the fleet; replaces rate_per_s
+    )
     shape: Literal["steady", "wave", "bursty"] = "wave"
-    swing: Share = 0.25  # amplitude of a wave, or sigma of bursts
-    wave_s: Positive = 20.0
+    swing: Share = 0.25  # amplitude of a wave, or sigma of a bursty load
+    wave_s: Positive = 20.0  # period of a wave
     sidecar_cv: NotNegative = 0.9  # coefficient of variation of the load among the sidecars
 
 
@@ -209,11 +214,11 @@
     """Retries, timeouts and connections of the applications."""
 
     retries: Annotated[int, Meta(ge=0, le=10)] = 3
-    attempt_share: Share = 0.55  # of the deadline, after which an attempt times out
+    attempt_share: Share = 0.55  # share of the deadline after which an attempt times out
     backoff_ms: NotNegative = 100  # before a retry
     retry_after_share: Share = 0.3  # share of the clients that follow Retry-After
-    impatient_share: Share = 0.02  # share of the attempts whose connection is closed at their timeout
-    max_connections: Count = 256  # of one application to its sidecar
+    impatient_share: Share = 0.02  # share of the attempts whose connection the client closes at their timeout
+    max_connections: Count = 256  # from one application to its sidecar
 
 
 class Fault(
@@ -222,24 +227,24 @@
     forbid_unknown_fields=True,
     rename={"server_share": "part"},
 ):
-    """A fault of servers, network, discovery, load or a sidecar."""
+    """A fault of servers, the network, discovery, the load or a sidecar."""
 
     kind: FaultKind
     at_s: NotNegative
     for_s: Positive | None = None  # None: until the end of the run
-    server_share: Share | None = None  # of the servers, which the seed draws
+    server_share: Share | None = None  # share of the servers, which are drawn with the seed
     servers: Count | None = None  # number of servers, instead of the share
     zone: str | None = None  # only servers of that zone
-    same_as: Annotated[int, Meta(ge=0)] | None = None  # index of an earlier fault with the same servers
-    sidecar: Annotated[int, Meta(ge=0)] = 0  # for sidecar-*
-    size: NotNegative = 0.5  # share, factor, duration or probability, by kind
-    on_off_s: Bounds | None = None  # duration of each on and each off phase, for a neighbour
-    every_s: NotNegative = 0  # between one server and the next, for drain, restart and replace
+    same_as: Annotated[int, Meta(ge=0)] | None = None  # index of an earlier fault, whose servers this one affects too
+    sidecar: Annotated[int, Meta(ge=0)] = 0  # index of the sidecar, for the kinds sidecar-*
+    size: NotNegative = 0.5  # share, factor, duration or probability, depending on the kind
+    on_off_s: Bounds | None = None  # duration of each on phase and each off phase, for a fault that goes on and off
+    every_s: NotNegative = 0  # delay between one server and the next, for drain, restart and replace
     takes_s: NotNegative = 3.0  # duration of a drain, or of the downtime of a crash
 
 
 class Expect(Struct, frozen=True, forbid_unknown_fields=True):
-    """Minimum scores of a passing run, 0.05 or more below the measured ones."""
+    """Minimum scores of a run that passes.  They are at least 0.05 below the measured ones."""
 
     service: Share = 0.0
     worst_class: Share = 0.0
@@ -252,7 +257,7 @@
     forbid_unknown_fields=True,
     rename={"faults": "troubles"},
 ):
-    """A scenario: everything that a run is drawn from, except for the seed."""
+    """A scenario, from which a run is drawn with a seed."""
 
     name: str
     about: str
