--- a/lugtally/testbed/scenario/scenario_file.py
+++ b/lugtally/testbed/scenario/scenario_file.py
@@ -1,4 +1,4 @@
-"""Scenario files: decoding, validation, and the scenarios that are shipped."""
+"""Scenario files: decoding and validation, also of the scenarios that the package contains."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
     ScenarioError,
 )
 
-SHARES_TOLERANCE = 0.001
+SHARE_SUM_TOLERANCE = 0.001
 SUFFIX = ".toml"
 
 
 def load(name: str) -> Scenario:
-    """Load a shipped scenario by its name, or a file by its path.  Raises ScenarioError."""
+    """Load a shipped scenario by its name, or a scenario file by its path.  Raises ScenarioError."""
     texts = shipped()
     if name in texts:
         return decode(texts[name], f"{name}{SUFFIX}")
@@ -61,7 +61,7 @@
 
 
 def from_tree(tree: dict[str, Any], name: str) -> Scenario:
-    """Build a scenario from the tree of values of a file called ``name``.  Raises ScenarioError."""
+    """Build a scenario from the decoded contents of a file called ``name``.  Raises ScenarioError."""
     try:
         scenario = msgspec.convert(tree, Scenario)
     except msgspec.ValidationError as error:
@@ -69,21 +69,21 @@
     if not scenario.classes:
         scenario = msgspec.structs.replace(scenario, classes=DEFAULT_CLASSES)
     try:
-        _check(scenario)
+        _validate(scenario)
     except ScenarioError as error:
         raise ScenarioError(f"{name}: {error}") from None
     return scenario
 
 
 def _with_path_first(error: str) -> str:
-    """Move ``$.fleet.servers`` from the end of msgspec's message to its start, as table and field."""
+    """Move a path such as ``$.fleet.servers`` from the end of msgspec's message to the start, without ``$.``."""
     text, _, path = error.partition(" - at `$")
     path = path.rstrip("`").lstrip(".")
     return f"{path}: {text}" if path else text
 
 
-def _check(scenario: Scenario) -> None:
-    """Check what the types do not.  Raises ScenarioError, without the name of the file."""
+def _validate(scenario: Scenario) -> None:
+    """Check the constraints that the types do not express.  Raises ScenarioError without the name of the file."""
     tables = {
         "fleet": scenario.fleet,
         "network": scenario.network,
@@ -92,41 +92,41 @@
         "clients": scenario.clients,
     }
     for path, table in tables.items():
-        _check_ranges(path, table)
+        _validate_ranges(path, table)
     for index, request_class in enumerate(scenario.classes):
-        _check_class(f"classes[{index}]", request_class)
-    _check_classes(scenario.classes)
+        _validate_class(f"classes[{index}]", request_class)
+    _validate_classes(scenario.classes)
     if not scenario.fleet.zones:
         raise ScenarioError("fleet.zones: is empty")
     for index, fault in enumerate(scenario.faults):
-        _check_fault(f"troubles[{index}]", index, fault, scenario)
+        _validate_fault(f"troubles[{index}]", index, fault, scenario)
 
 
-def _check_ranges(path: str, table: Struct) -> None:
-    """Check the order of all bounds in a table."""
+def _validate_ranges(path: str, table: Struct) -> None:
+    """Check that the lower bound of each range in a table is at most the upper one."""
     for field, key in zip(table.__struct_fields__, table.__struct_encode_fields__, strict=True):
         value = getattr(table, field)
         if isinstance(value, Bounds) and not 0 <= value.lower <= value.upper:
             raise ScenarioError(f"{path}.{key}: {list(value)} is no range [lower, upper]")
 
 
-def _check_class(path: str, request_class: RequestClass) -> None:
-    _check_ranges(path, request_class)
+def _validate_class(path: str, request_class: RequestClass) -> None:
+    _validate_ranges(path, request_class)
     if request_class.latency_objective_ms > request_class.deadline_ms:
         raise ScenarioError(f"{path}.aim_ms: exceeds the deadline")
     if request_class.shape == "pareto" and request_class.spread <= 1:
         raise ScenarioError(f"{path}.spread: a pareto index must be above 1 for a mean to exist")
 
 
-def _check_classes(classes: tuple[RequestClass, ...]) -> None:
+def _validate_classes(classes: tuple[RequestClass, ...]) -> None:
     total = sum(request_class.share for request_class in classes)
-    if abs(total - 1) > SHARES_TOLERANCE:
+    if abs(total - 1) > SHARE_SUM_TOLERANCE:
         raise ScenarioError(f"classes: the shares add up to {total:.3f}, not to 1")
     if len({request_class.name for request_class in classes}) < len(classes):
         raise ScenarioError("classes: two have the same name")
 
 
-def _check_fault(path: str, index: int, fault: Fault, scenario: Scenario) -> None:
+def _validate_fault(path: str, index: int, fault: Fault, scenario: Scenario) -> None:
     fleet = scenario.fleet
     if fault.at_s >= scenario.length_s:
         raise ScenarioError(f"{path}.at_s: {fault.at_s} is not within the {scenario.length_s} s of the run")
