--- a/lugtally/testbed/scenario/schedule.py
+++ b/lugtally/testbed/scenario/schedule.py
@@ -1,6 +1,6 @@
-"""Schedule of a run: everything that a seed draws from a scenario before the run.
+"""Schedule of a run: everything that is drawn before the run, from a scenario and a seed.
 
-The schedule is a pure function of both.  The load generator and the emulated fleet each compute it.
+The schedule is a pure function of the two.  The load generator and the emulated fleet each compute it.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Machine:
-    """A server's name, zone and properties."""
+    """The name, zone and properties of a server."""
 
     name: str
     zone: str
@@ -34,9 +34,9 @@
     machines: tuple[Machine, ...]
     sidecar_zones: tuple[str, ...]
     events: tuple[FaultEvent, ...]
-    mean_work: tuple[float, ...]  # by class, core-seconds
-    rate: float  # first attempts a second
-    propagation_s: float  # from a change until the endpoint list has it
+    mean_work: tuple[float, ...]  # of a request, in core-seconds, by class
+    rate: float  # first attempts per second
+    propagation_s: float  # from a change until the endpoint list contains it
     silent_propagation_s: float  # the same for a machine that disappears silently
 
 
@@ -50,7 +50,7 @@
     discovery = stream(seed, "discovery")
     propagation_s = draw_from(discovery, scenario.discovery.propagation_s)
     silent_propagation_s = draw_from(discovery, scenario.discovery.silent_propagation_s)
-    rate = _rate(scenario, machines, mean_work)
+    rate = _arrival_rate(scenario, machines, mean_work)
     zones = scenario.fleet.zones
     return Schedule(
         scenario=scenario,
@@ -67,7 +67,7 @@
 
 
 def draw_machine(scenario: Scenario, seed: int, server_index: int, name: str = "") -> Machine:
-    """Draw the server of an index.  A replacement at the same index is drawn by its own ``name``."""
+    """Draw the server with this index.  A replacement at the same index is drawn by its own ``name``."""
     fleet, network = scenario.fleet, scenario.network
     name = name or f"s-{server_index:03d}"
     random = stream(seed, "server", name)
@@ -96,28 +96,28 @@
         handshake_work=draw_from(random, network.handshake_ms) / 1000,
         drops_expired=fleet.drops_expired,
     )
-    return Machine(name, _zone(scenario, server_index), traits)
+    return Machine(name, _zone_of(scenario, server_index), traits)
 
 
-def _zone(scenario: Scenario, server_index: int) -> str:
-    """Return the zone of a server.  It depends on the index alone, so that a further server moves no other."""
+def _zone_of(scenario: Scenario, server_index: int) -> str:
+    """Return the zone of a server.  It depends only on the index, so that adding a server moves no other."""
     fleet = scenario.fleet
     is_first = (server_index + 0.5) * fleet.zone_skew % 1 < fleet.zone_skew or len(fleet.zones) == 1
     return fleet.zones[0] if is_first else fleet.zones[1 + server_index % (len(fleet.zones) - 1)]
 
 
 def _draw_machines(scenario: Scenario, seed: int) -> tuple[Machine, ...]:
-    """Draw the initial servers and those that join during the run."""
+    """Draw the initial servers and the servers that join during the run."""
     joining = sum(fault.servers or 1 for fault in scenario.faults if fault.kind == "join")
     return tuple(draw_machine(scenario, seed, server_index) for server_index in range(scenario.fleet.servers + joining))
 
 
-def _rate(scenario: Scenario, machines: tuple[Machine, ...], mean_work: tuple[float, ...]) -> float:
-    """Return the first attempts a second, as given or from the utilisation of the fleet."""
+def _arrival_rate(scenario: Scenario, machines: tuple[Machine, ...], mean_work: tuple[float, ...]) -> float:
+    """Return the first attempts per second, as the scenario gives them or from the utilisation of the fleet."""
     if scenario.load.utilisation is None:
         return scenario.load.rate_per_s
-    present = machines[: scenario.fleet.servers]
-    capacity = sum(machine.traits.cores * machine.traits.speed for machine in present)
+    initial_machines = machines[: scenario.fleet.servers]
+    capacity = sum(machine.traits.cores * machine.traits.speed for machine in initial_machines)
     work_per_request = sum(
         request_class.share * work for request_class, work in zip(scenario.classes, mean_work, strict=True)
     )
