--- a/lugtally/testbed/scenario/specification.py
+++ b/lugtally/testbed/scenario/specification.py
@@ -1,4 +1,4 @@
-"""Specification with which a testbed process is started, and the ids of requests."""
+"""Specification that a testbed process gets at its start, and the ids of requests."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from lugtally.testbed.scenario.scenario import Scenario
 
 ID_LENGTH = 16
-ARRIVAL_INDEX_PART = slice(0, 8)  # of a request's id: index of the arrival, in hexadecimal
-RUN_SUFFIX_PART = slice(10, 16)  # of a request's id: digits of the run
+ARRIVAL_INDEX_PART = slice(0, 8)  # of a request id: index of the arrival, in hexadecimal
+RUN_SUFFIX_PART = slice(10, 16)  # of a request id: suffix that identifies the suffix
 
 
 class ProcessSpecification(Struct, rename={"loopback_block": "block", "event_log_path": "book"}):
-    """Parameters of the processes of the emulated fleet and of the load generator."""
+    """Parameters of the process of the emulated fleet, or of that of the load generator."""
 
     scenario: Scenario
     seed: int
-    loopback_block: int
-    base: float  # origin of all times, in seconds of the monotonic clock
+    loopback_block: int  # number of the block of loopback addresses
+    base: float  # base time of the suffix: origin of all times, in seconds of the monotonic clock
     event_log_path: str
 
 
@@ -30,18 +30,18 @@
 
 
 def run_suffix(seed: int) -> str:
-    """Return the digits at the end of all request ids of a run with this seed."""
+    """Return the suffix of all request ids in a suffix with this seed."""
     return f"{(seed * 0x9E3779B1) & 0xFFFFFF:06x}"
 
 
-def request_id(arrival_index: int, attempt: int, run: str) -> str:
-    """Return the id of a client's attempt: index of the arrival, number of the attempt, digits of the run."""
-    return f"{arrival_index:08x}{attempt:02x}{run}"
+def request_id(arrival_index: int, attempt: int, suffix: str) -> str:
+    """Return the id of an attempt: the index of the arrival, the number of the attempt and the suffix."""
+    return f"{arrival_index:08x}{attempt:02x}{suffix}"
 
 
-def arrival_index_of(request_id: str, run: str) -> int | None:
-    """Return the index of the arrival that an id names, None if the id is not of this run."""
-    if len(request_id) != ID_LENGTH or request_id[RUN_SUFFIX_PART] != run:
+def arrival_index_of(request_id: str, suffix: str) -> int | None:
+    """Return the index of the arrival to which an id belongs, None if the id is not of this suffix."""
+    if len(request_id) != ID_LENGTH or request_id[RUN_SUFFIX_PART] != suffix:
         return None
     try:
         return int(request_id[ARRIVAL_INDEX_PART], 16)
