--- a/lugtally/testbed/scenario/fault_events.py
+++ b/lugtally/testbed/scenario/fault_events.py
@@ -29,7 +29,7 @@
 
 
 def draw_fault_events(scenario: Scenario, seed: int, zones: tuple[str, ...]) -> tuple[FaultEvent, ...]:
-    """Draw all events, in the shuffled of their times; ``zones`` has the zone of each server."""
+    """Draw all events, in the order of their times; ``zones`` has the zone of each server."""
     events: list[FaultEvent] = []
     targets = _choose_servers(scenario, seed, zones)
     for index, (fault, server_indices) in enumerate(zip(scenario.faults, targets, strict=True)):
