--- a/lugtally/testbed/scenario/specification.py
+++ b/lugtally/testbed/scenario/specification.py
@@ -11,7 +11,7 @@
 
 ID_LENGTH = 16
 ARRIVAL_INDEX_PART = slice(0, 8)  # of a request id: index of the arrival, in hexadecimal
-RUN_SUFFIX_PART = slice(10, 16)  # of a request id: suffix that identifies the suffix
+RUN_SUFFIX_PART = slice(10, 16)  # of a request id: suffix that identifies the run
 
 
 class ProcessSpecification(Struct, rename={"loopback_block": "block", "event_log_path": "book"}):
@@ -20,7 +20,7 @@
     scenario: Scenario
     seed: int
     loopback_block: int  # number of the block of loopback addresses
-    base: float  # base time of the suffix: origin of all times, in seconds of the monotonic clock
+    base: float  # base time of the run: origin of all times, in seconds of the monotonic clock
     event_log_path: str
 
 
@@ -30,7 +30,7 @@
 
 
 def run_suffix(seed: int) -> str:
-    """Return the suffix of all request ids in a suffix with this seed."""
+    """Return the suffix of all request ids in a run with this seed."""
     return f"{(seed * 0x9E3779B1) & 0xFFFFFF:06x}"
 
 
@@ -40,7 +40,7 @@
 
 
 def arrival_index_of(request_id: str, suffix: str) -> int | None:
-    """Return the index of the arrival to which an id belongs, None if the id is not of this suffix."""
+    """Return the index of the arrival to which an id belongs, None if the id has another suffix."""
     if len(request_id) != ID_LENGTH or request_id[RUN_SUFFIX_PART] != suffix:
         return None
     try:
