--- a/lugtally/testbed/emulator/fault_injector.py
+++ b/lugtally/testbed/emulator/fault_injector.py
@@ -123,7 +123,7 @@
             self._call_later(event.fault.takes_s + event.fault.size, self._fleet.start_cold, server)
 
     def _replace(self, server: EmulatedServer, event: FaultEvent) -> None:
-        """Drain and remove a server, and run_start another one with a new name at its address."""
+        """Drain and remove a server, and start another one with a new name at its address."""
         self._drain(server, event)
         if event.begins:
             self._call_later(event.fault.takes_s + event.fault.size, self._fleet.replace, server)
