--- a/lugtally/testbed/emulator/fleet.py
+++ b/lugtally/testbed/emulator/fleet.py
@@ -33,9 +33,7 @@
             server_index: EmulatedServer(self._context, machine, server_index)
             for server_index, machine in enumerate(self.schedule.machines)
         }
-        self._restarted_ms: dict[
-            str, int
-        ] = {}  # time of the last restart in milliseconds since the epoch, by server name
+        self._restarted_ms: dict[str, int] = {}  # milliseconds since the epoch, by server name
         self.discovery = self._build_discovery()
 
     def clock(self) -> float:
