--- a/lugtally/testbed/emulator/discovery.py
+++ b/lugtally/testbed/emulator/discovery.py
@@ -22,7 +22,7 @@
 
 ENDPOINT_LIST_PATH = "/catalog/members"
 MAX_HOLD_MS = 60_000
-ENTRIES_PER_CALL_DURATION = 100  # number of entries that takes as long to return as the call itself
+ENTRIES_PER_CALL_DURATION = 100  # returning this many entries takes as long as a call without entries
 
 
 class _PollParameters(NamedTuple):
