--- a/lugtally/testbed/emulator/endpoint_registry.py
+++ b/lugtally/testbed/emulator/endpoint_registry.py
@@ -28,7 +28,7 @@
 
 
 class _Change(NamedTuple):
-    """A changed entry, and the version of the list since which it applies."""
+    """A changed entry, and the first version of the list that contains the change."""
 
     version: int
     entry: EndpointEntry
