--- a/lugtally/testbed/loadgen/generator.py
+++ b/lugtally/testbed/loadgen/generator.py
@@ -24,7 +24,7 @@
 from lugtally.testbed.scenario.specification import ProcessSpecification, read_specification
 
 DUPLICATE_WAIT_S = 0.3  # after the last attempt, for duplicate responses
-MIN_SLEEP_S = 0.0005  # a request that is due earlier is sent at once
+MIN_SLEEP_S = 0.0005  # a request that is due within this time is sent at once
 MAX_LAG_WITHOUT_YIELD_S = 0.01  # above this lag, the loop yields to the event loop between arrivals
 FLUSH_INTERVAL_S = 1.0
 PENDING_POLL_S = 0.05
@@ -51,9 +51,9 @@
             return
         self._run.start = float(command[1])
         stop_command = loop.create_task(commands.readline())  # ``stop``, or the end of standard input
-        generating = loop.create_task(self._generate_load())
-        await asyncio.wait((stop_command, generating), return_when=asyncio.FIRST_COMPLETED)
-        generating.cancel()
+        load_task = loop.create_task(self._generate_load())
+        await asyncio.wait((stop_command, load_task), return_when=asyncio.FIRST_COMPLETED)
+        load_task.cancel()
         self._run.close()
         print("done", flush=True)
 
