--- a/lugtally/testbed/scenario/scenario.py
+++ b/lugtally/testbed/scenario/scenario.py
@@ -181,18 +181,14 @@
     max_parallel_calls: Count = 4  # of all sidecars together
     call_ms: NotNegative = 2.0  # duration of a call without entries; each entry adds a hundredth of it
     max_wait_s: Positive = 3.0  # longest wait of a call for capacity, after which it fails with 503
-    poll_within_s: Positive = (
-        10.0  # a sidecar that makes no call for this time (4 times this after a failed one) counts as notified
-    )
+    poll_within_s: Positive = 10.0  # a sidecar counts as notified this long after its last call; 4 times if that failed
 
 
 class Load(Struct, frozen=True, forbid_unknown_fields=True):
     """The rate of the clients' requests."""
 
     rate_per_s: Positive = 180.0  # first attempts, for all sidecars together
-    utilisation: Annotated[float, Meta(gt=0, le=3)] | None = (
-        None  # load as a share of the capacity of the fleet; replaces rate_per_s
-    )
+    utilisation: Annotated[float, Meta(gt=0, le=3)] | None = None  # of the capacity of the fleet; replaces rate_per_s
     shape: Literal["steady", "wave", "bursty"] = "wave"
     swing: Share = 0.25  # amplitude of a wave, or sigma of a bursty load
     wave_s: Positive = 20.0  # period of a wave
