--- a/lugtally/testbed/scenario/scenario_file.py
+++ b/lugtally/testbed/scenario/scenario_file.py
@@ -1,4 +1,4 @@
-"""Scenario files: decoding and validation, also of the scenarios that the package contains."""
+"""Scenario files: decoding, validation, and the scenarios that are shipped with the package."""
 
 from __future__ import annotations
 
@@ -103,7 +103,7 @@
 
 
 def _validate_ranges(path: str, table: Struct) -> None:
-    """Check that the lower bound of each range in a table is at most the upper one."""
+    """Check that the bounds of each range in a table are in order and not negative."""
     for field, key in zip(table.__struct_fields__, table.__struct_encode_fields__, strict=True):
         value = getattr(table, field)
         if isinstance(value, Bounds) and not 0 <= value.lower <= value.upper:
