--- a/lugtally/testbed/emulator/idempotency.py
+++ b/lugtally/testbed/emulator/idempotency.py
@@ -32,7 +32,7 @@
         return class_name in self._window_s
 
     def record_execution(self, class_name: str, key: str, zone: str, arrived_at: float) -> bool:
-        """Return whether the execution of a request has an effect, and store its key if so.
+        """Record the execution of a request and return whether it has an effect.
 
         It has none if it is a duplicate within the deduplication window.
         """
