--- a/lugtally/testbed/scenario/scenario_file.py
+++ b/lugtally/testbed/scenario/scenario_file.py
@@ -31,7 +31,7 @@
         return decode(texts[name], f"{name}{SUFFIX}")
     path = Path(name)
     if path.suffix not in (SUFFIX, ".json"):
-        raise ScenarioError(f"{name}: no shipped scenario of that name, and no .toml file")
+        raise ScenarioError(f"{name}: neither a shipped scenario nor a .toml file")
     try:
         text = path.read_text(encoding="utf-8")
     except OSError as error:
@@ -56,7 +56,7 @@
     try:
         tree = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        raise ScenarioError(f"{name}: no TOML: {error}") from error
+        raise ScenarioError(f"{name}: invalid TOML: {error}") from error
     return from_tree(tree, name)
 
 
@@ -97,7 +97,7 @@
         _validate_class(f"classes[{index}]", request_class)
     _validate_classes(scenario.classes)
     if not scenario.fleet.zones:
-        raise ScenarioError("fleet.zones: is empty")
+        raise ScenarioError("fleet.zones: must not be empty")
     for index, fault in enumerate(scenario.faults):
         _validate_fault(f"troubles[{index}]", index, fault, scenario)
 
@@ -107,7 +107,7 @@
     for field, key in zip(table.__struct_fields__, table.__struct_encode_fields__, strict=True):
         value = getattr(table, field)
         if isinstance(value, Bounds) and not 0 <= value.lower <= value.upper:
-            raise ScenarioError(f"{path}.{key}: {list(value)} is no range [lower, upper]")
+            raise ScenarioError(f"{path}.{key}: {list(value)} is not a range [lower, upper]")
 
 
 def _validate_class(path: str, request_class: RequestClass) -> None:
@@ -123,7 +123,7 @@
     if abs(total - 1) > SHARE_SUM_TOLERANCE:
         raise ScenarioError(f"classes: the shares add up to {total:.3f}, not to 1")
     if len({request_class.name for request_class in classes}) < len(classes):
-        raise ScenarioError("classes: two have the same name")
+        raise ScenarioError("classes: two classes have the same name")
 
 
 def _validate_fault(path: str, index: int, fault: Fault, scenario: Scenario) -> None:
@@ -131,9 +131,9 @@
     if fault.at_s >= scenario.length_s:
         raise ScenarioError(f"{path}.at_s: {fault.at_s} is not within the {scenario.length_s} s of the run")
     if fault.zone is not None and fault.zone not in fleet.zones:
-        raise ScenarioError(f"{path}.zone: {fault.zone!r} is no zone of the fleet")
+        raise ScenarioError(f"{path}.zone: {fault.zone!r} is not a zone of the fleet")
     if fault.same_as is not None and fault.same_as >= index:
-        raise ScenarioError(f"{path}.same_as: names no earlier fault")
+        raise ScenarioError(f"{path}.same_as: is not the index of an earlier fault")
     if fault.kind == "sidecar-starved" and not (fleet.pinned and fault.size < 1):
         raise ScenarioError(f"{path}: sidecar-starved needs fleet.pinned and a size, the share taken, under 1")
     if fault.kind.startswith(SIDECAR_PREFIX) and fault.sidecar >= fleet.sidecars:
--- a/tests/testbed/test_scenario.py
+++ b/tests/testbed/test_scenario.py
@@ -48,16 +48,19 @@
 @pytest.mark.parametrize(
     ("text", "complaint"),
     [
-        ("name = ", "day.toml: no TOML: "),
+        ("name = ", "day.toml: invalid TOML: "),
         ("name = 'x'", "day.toml: Object missing required field `about`"),
         ("[fleet]\nservers = 0", "day.toml: fleet.servers: Expected `int` >= 1"),
         ("[fleet]\nserver = 3", "day.toml: fleet: Object contains unknown field `server`"),
-        ("[fleet]\nspeed = [2.0, 1.0]", "day.toml: fleet.speed: [2.0, 1.0] is no range"),
+        ("[fleet]\nspeed = [2.0, 1.0]", "day.toml: fleet.speed: [2.0, 1.0] is not a range"),
         ("[load]\nrate_per_s = 'many'", "day.toml: load.rate_per_s: Expected `float`, got `str`"),
         ("[[troubles]]\nkind = 'flood'\nat_s = 1", "day.toml: troubles[0].kind: Invalid enum value 'flood'"),
         ("[[troubles]]\nkind = 'silent'\nat_s = 99", "day.toml: troubles[0].at_s: 99.0 is not within the 20.0 s"),
-        ("[[troubles]]\nkind = 'silent'\nat_s = 1\nzone = 'moon'", "day.toml: troubles[0].zone: 'moon' is no zone"),
-        ("[[troubles]]\nkind = 'silent'\nat_s = 1\nsame_as = 0", "day.toml: troubles[0].same_as: names no earlier"),
+        ("[[troubles]]\nkind = 'silent'\nat_s = 1\nzone = 'moon'", "day.toml: troubles[0].zone: 'moon' is not a zone"),
+        (
+            "[[troubles]]\nkind = 'silent'\nat_s = 1\nsame_as = 0",
+            "day.toml: troubles[0].same_as: is not the index of an earlier fault",
+        ),
         ("[[troubles]]\nkind = 'sidecar-kill'\nat_s = 1\nsidecar = 9", "day.toml: troubles[0].sidecar: there are 4"),
         (
             "[[classes]]\nname = 'a'\nshare = 0.5\nwork_ms = 1\naim_ms = 1\ndeadline_ms = 2\nworth = 1\n"
