--- a/lugtally/testbed/emulator/fleet.py
+++ b/lugtally/testbed/emulator/fleet.py
@@ -54,7 +54,7 @@
         self._event_log.write(self._timer_lag.report())
         self._event_log.close()
 
-    def sample(self) -> None:
+    def sample_load(self) -> None:
         """Record the load of each server, and shut down those that have collapsed."""
         for server in self.servers.values():
             if server.running:
--- a/lugtally/testbed/emulator/process.py
+++ b/lugtally/testbed/emulator/process.py
@@ -26,7 +26,7 @@
     commands = asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(commands), sys.stdin)
     print("ready", flush=True)
-    sampling = loop.create_task(_sample(fleet))
+    sampling = loop.create_task(_sample_periodically(fleet))
     await _execute_commands(commands, FaultInjector(fleet))
     sampling.cancel()
     fleet.stop()
@@ -40,10 +40,10 @@
             return
 
 
-async def _sample(fleet: EmulatedFleet) -> None:
+async def _sample_periodically(fleet: EmulatedFleet) -> None:
     while True:
         await asyncio.sleep(SAMPLE_INTERVAL_S)
-        fleet.sample()
+        fleet.sample_load()
 
 
 async def _main(path: str) -> None:
