--- a/lugtally/testbed/emulator/fleet.py
+++ b/lugtally/testbed/emulator/fleet.py
@@ -27,7 +27,7 @@
         self._specification = specification
         self._run_suffix = run_suffix(specification.seed)
         self._event_log = EventLogWriter(Path(specification.event_log_path))
-        self._timer_lag = TimerLag("stand-ins")
+        self._timer_lag = TimerLag("stand-ins")  # name of this process in the event log
         self._context = self._build_context()
         self.servers = {
             server_index: EmulatedServer(self._context, machine, server_index)
@@ -95,12 +95,12 @@
         The delay is longer for a ``silent`` server, one that disappears without notice.
         """
         delay = self.schedule.silent_propagation_s if silent else self.schedule.propagation_s
-        asyncio.get_running_loop().call_later(delay, self.discovery.update, self._entry(server, state))
+        asyncio.get_running_loop().call_later(delay, self.discovery.update, self._list_entry(server, state))
 
     def _initial_servers(self) -> list[EmulatedServer]:
         return [self.servers[server_index] for server_index in range(self._specification.scenario.fleet.servers)]
 
-    def _entry(self, server: EmulatedServer, state: str) -> EndpointEntry:
+    def _list_entry(self, server: EmulatedServer, state: str) -> EndpointEntry:
         cell = self._specification.scenario.fleet.zones.index(server.zone)
         return EndpointEntry(server.name, server.zone, cell, state, self._restarted_ms.get(server.name, 0))
 
@@ -124,7 +124,7 @@
             loopback.discovery_host(self._specification.loopback_block, sidecar)
             for sidecar in range(scenario.fleet.sidecars)
         ]
-        registry = EndpointRegistry([self._entry(server, READY) for server in self._initial_servers()])
+        registry = EndpointRegistry([self._list_entry(server, READY) for server in self._initial_servers()])
         return DiscoveryService(
             hosts, registry, self.clock, self._event_log.write, self._server_address, scenario.discovery
         )
