--- a/lugtally/testbed/loadgen/load_run.py
+++ b/lugtally/testbed/loadgen/load_run.py
@@ -22,7 +22,7 @@
         self.client_behaviour = scenario.clients
         self.run_suffix = run_suffix(specification.seed)
         self.event_log = EventLogWriter(Path(specification.event_log_path))
-        self.timer_lag = TimerLag("load")
+        self.timer_lag = TimerLag("load")  # name of this process in the event log
         self.pools = [
             ConnectionPool(
                 loopback.sidecar_host(specification.loopback_block, sidecar), scenario.clients.max_connections
