--- a/lugtally/testbed/emulator/server_connection.py
+++ b/lugtally/testbed/emulator/server_connection.py
@@ -110,10 +110,10 @@
         request = self._build_request()
         if not request.is_health_check:
             self.request = request
-        one_way_delay = self._one_way_delay_s()
-        handshake = 0.0 if self._was_used else 2 * one_way_delay * self._server.context.network.handshake_round_trips
+        delay_s = self._one_way_delay_s()
+        handshake_s = 0.0 if self._was_used else 2 * delay_s * self._server.context.network.handshake_round_trips
         self._first_byte_at, self._was_used = -1.0, True
-        self._call_after(one_way_delay + handshake, self._deliver, request)
+        self._call_after(delay_s + handshake_s, self._deliver, request)
 
     def respond(self, status: int, body: bytes, *, unprocessed: bool = False, write_duration_s: float = 0.0) -> None:
         """Write a complete response after the delay of the network.
@@ -123,14 +123,14 @@
         self.request = None
         unprocessed_header = "X-Unprocessed: 1\r\n" if unprocessed else ""
         data = f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{unprocessed_header}\r\n".encode() + body
-        one_way_delay = self._one_way_delay_s()
+        delay_s = self._one_way_delay_s()
         if write_duration_s <= 0:
-            self._call_after(one_way_delay, self._write, data)
+            self._call_after(delay_s, self._write, data)
             return
         piece_length = -(-len(data) // SLOW_RESPONSE_PIECES)
         for index in range(SLOW_RESPONSE_PIECES):
             piece = data[index * piece_length : (index + 1) * piece_length]
-            self._call_after(one_way_delay + index * write_duration_s / SLOW_RESPONSE_PIECES, self._write, piece)
+            self._call_after(delay_s + index * write_duration_s / SLOW_RESPONSE_PIECES, self._write, piece)
 
     def respond_malformed(self, data: bytes) -> None:
         """Write bytes that are not a valid response.  The connection stays open."""
