--- a/lugtally/testbed/loadgen/load_run.py
+++ b/lugtally/testbed/loadgen/load_run.py
@@ -1,4 +1,4 @@
-"""State that all clients of a run share."""
+"""State that the clients of a run share."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from lugtally.testbed.emulator import loopback
 from lugtally.testbed.emulator.timer_lag import TimerLag
 from lugtally.testbed.loadgen.connection_pool import ConnectionPool
-from lugtally.testbed.scenario.specification import ProcessSpecification, run_digits
+from lugtally.testbed.scenario.specification import ProcessSpecification, run_suffix
 from lugtally.testbed.verification.event_log import EventLogWriter
 
 
@@ -20,21 +20,21 @@
         self.seed = specification.seed
         self.classes = scenario.classes
         self.client_behaviour = scenario.clients
-        self.run_digits = run_digits(specification.seed)
+        self.run_suffix = run_suffix(specification.seed)
         self.event_log = EventLogWriter(Path(specification.event_log_path))
-        self.timer_lag = TimerLag("load")
+        self.timer_lag = TimerLag("load")  # name of this process in the event log
         self.pools = [
             ConnectionPool(
                 loopback.sidecar_host(specification.loopback_block, sidecar), scenario.clients.max_connections
             )
             for sidecar in range(scenario.fleet.sidecars)
         ]
-        self.start = 0.0  # seconds since the base at which the scenario begins
-        self.pending = 0  # attempts in flight or observed, and scheduled retries
+        self.start = 0.0  # when the scenario begins, in seconds since the base time
+        self.pending = 0  # attempts that are in flight or wait for a late response, and scheduled retries
         self._base = specification.base
 
     def clock(self) -> float:
-        """Return the seconds since the base."""
+        """Return the seconds since the base time of the run."""
         return time.monotonic() - self._base
 
     def close(self) -> None:
