--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,8 @@
-"""Expected failures: a run passes over the tests that ``KNOWN-RED.txt`` lists, and prints them.
+"""Marks the tests listed in ``KNOWN-RED.txt`` as expected failures, and prints them at the end of a run.
 
-A line is ``test | cause | issue``, with the test's id in pytest (``tests/test_x.py::test_y``).  A run fails if a listed
-test passes, if more than ``MAX_KNOWN_RED`` are listed, or, in a run of all tests, if a listed test does not exist.
+A line is ``test | cause | issue``, where ``test`` is a pytest node id such as ``tests/test_x.py::test_y``.  A run fails
+if a listed test passes or if more than ``MAX_KNOWN_FAILURES`` tests are listed.  A run of all tests also fails if a
+listed test does not exist.
 """
 
 from __future__ import annotations
@@ -11,12 +12,12 @@
 
 import pytest
 
-MAX_KNOWN_RED = 3
-FILE = "KNOWN-RED.txt"
+MAX_KNOWN_FAILURES = 3
+KNOWN_FAILURES_FILE = "KNOWN-RED.txt"
 
 
 class KnownFailure(NamedTuple):
-    """One line of the file."""
+    """One line of ``KNOWN-RED.txt``."""
 
     test_id: str
     cause: str
@@ -24,17 +25,17 @@
 
 
 def _read_known_failures(root: Path) -> list[KnownFailure]:
-    """Return the lines of the file; none if there is no file.
+    """Return the lines of the file, or an empty list if the file does not exist.
 
     Raises:
-        pytest.UsageError: there are too many lines, or a line has not three fields.
+        pytest.UsageError: there are too many lines, or a line does not have three fields.
     """
-    path = root / FILE
+    path = root / KNOWN_FAILURES_FILE
     if not path.exists():
         return []
     rows = [line.split(" | ") for line in path.read_text().splitlines() if line.strip()]
-    if len(rows) > MAX_KNOWN_RED or any(len(row) != 3 or not all(field.strip() for field in row) for row in rows):
-        raise pytest.UsageError(f"{FILE}: at most {MAX_KNOWN_RED} lines of 'test | cause | issue'")
+    if len(rows) > MAX_KNOWN_FAILURES or any(len(row) != 3 or not all(field.strip() for field in row) for row in rows):
+        raise pytest.UsageError(f"{KNOWN_FAILURES_FILE}: at most {MAX_KNOWN_FAILURES} lines of 'test | cause | issue'")
     return [KnownFailure(*row) for row in rows]
 
 
@@ -46,7 +47,7 @@
         if (item := by_id.get(failure.test_id)) is not None:
             item.add_marker(pytest.mark.xfail(reason=f"{failure.cause} ({failure.issue})", strict=True))
         elif runs_all_tests:
-            raise pytest.UsageError(f"{FILE}: {failure.test_id} is no test of this run")
+            raise pytest.UsageError(f"{KNOWN_FAILURES_FILE}: {failure.test_id} is not among the collected tests")
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Tests of ``KNOWN-RED.txt``: a run fails unless exactly the listed tests fail."""
+"""Tests of ``KNOWN-RED.txt``: a run passes only if the listed tests fail and all other tests pass."""
 
 from __future__ import annotations
 
@@ -9,18 +9,22 @@
 import pytest
 
 TEST_MODULE = "def test_red(): assert False\ndef test_green(): assert True\n"
-RED = "tests/test_a.py::test_red | it is not mended | issue 1"
+KNOWN_FAILURE = "tests/test_a.py::test_red | the bug is not fixed | issue 1"
 
 
 @pytest.mark.parametrize(
     ("lines", "status", "printed"),
     [
-        ([RED], 0, "known red: tests/test_a.py::test_red: it is not mended (issue 1)"),
+        ([KNOWN_FAILURE], 0, "known red: tests/test_a.py::test_red: the bug is not fixed (issue 1)"),
         ([], 1, "1 failed, 1 passed"),
-        ([RED, "tests/test_a.py::test_green | no fault | issue 1"], 1, "[XPASS(strict)]"),
-        ([RED, "tests/test_a.py::test_gone | it went | issue 1"], 4, "test_gone is no test of this run"),
-        ([RED, "tests/test_a.py::test_green"], 4, "at most 3 lines of 'test | cause | issue'"),
-        ([RED] * 4, 4, "at most 3 lines"),
+        ([KNOWN_FAILURE, "tests/test_a.py::test_green | no bug | issue 1"], 1, "[XPASS(strict)]"),
+        (
+            [KNOWN_FAILURE, "tests/test_a.py::test_gone | the test was removed | issue 1"],
+            4,
+            "test_gone is not among the collected tests",
+        ),
+        ([KNOWN_FAILURE, "tests/test_a.py::test_green"], 4, "at most 3 lines of 'test | cause | issue'"),
+        ([KNOWN_FAILURE] * 4, 4, "at most 3 lines"),
     ],
     ids=["listed failure", "unlisted failure", "passing test", "unknown test", "missing field", "too many lines"],
 )
@@ -30,12 +34,12 @@
     (tmp_path / "tests" / "test_a.py").write_text(TEST_MODULE)
     (tmp_path / "tests" / "conftest.py").write_text((Path(__file__).parent / "conftest.py").read_text())
     (tmp_path / "KNOWN-RED.txt").write_text("\n".join(lines))
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "pytest", "-p", "no:cacheprovider"],
         cwd=tmp_path,
         text=True,
         capture_output=True,
         check=False,
     )
-    assert done.returncode == status, done.stdout + done.stderr
-    assert printed in done.stdout + done.stderr
+    assert completed.returncode == status, completed.stdout + completed.stderr
+    assert printed in completed.stdout + completed.stderr
