--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Tests that imports between packages only go to a lower floor of ``docs/architecture.md``."""
+"""Tests that a package imports only packages of lower layers; ``docs/architecture.md`` describes the layers."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 import pytest
 
-ROOT = Path(__file__).parents[1] / "lugtally"
-FLOORS = {
+PACKAGE_ROOT = Path(__file__).parents[1] / "lugtally"
+LAYERS = {
     "cli": 8,
     "__main__": 9,
     "testbed": 7,
@@ -29,22 +29,22 @@
     "units": 1,
     "address": 1,
 }
-ALLOWED_ON_SAME_FLOOR = {
+ALLOWED_IN_SAME_LAYER = {
     ("downstream", "upstream"),
     ("discovery", "upstream"),
     ("dispatch", "overload"),
     ("simulator", "config"),
 }
-ALLOWED_ON_FLOOR_1 = {("eventloop", "units"), ("http1", "units"), ("http1", "address")}
+ALLOWED_IN_LAYER_1 = {("eventloop", "units"), ("http1", "units"), ("http1", "address")}
 TESTBED_MAY_USE = {"balancing", "units", "daemon", "config"}
-"""The public interface; ``daemon`` and ``config`` are for the baselines alone, which run the daemon."""
+"""The public interface.  Only ``baselines.py``, which runs the daemon, may import ``daemon`` and ``config``."""
 
 
 def imported_packages(path: Path) -> Iterator[str]:
-    """Yield the package of each import in a file, including imports inside functions."""
+    """Yield the ``lugtally`` package of each import in a file, including imports inside functions."""
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.ImportFrom) and node.module == "lugtally":
-            yield from (alias.name for alias in node.names if alias.name in FLOORS)
+            yield from (alias.name for alias in node.names if alias.name in LAYERS)
         elif isinstance(node, ast.ImportFrom) and (node.module or "").startswith("lugtally."):
             yield str(node.module).split(".")[1]
         elif isinstance(node, ast.Import):
@@ -52,29 +52,29 @@
 
 
 def package_of(path: Path) -> str:
-    return path.relative_to(ROOT).parts[0].removesuffix(".py")
+    return path.relative_to(PACKAGE_ROOT).parts[0].removesuffix(".py")
 
 
-FILES = sorted(path for path in ROOT.rglob("*.py") if path != ROOT / "__init__.py")
+SOURCE_FILES = sorted(path for path in PACKAGE_ROOT.rglob("*.py") if path != PACKAGE_ROOT / "__init__.py")
 
 
-def test_every_package_has_a_floor() -> None:
-    assert {package_of(path) for path in FILES} == set(FLOORS)
+def test_every_package_has_a_layer() -> None:
+    assert {package_of(path) for path in SOURCE_FILES} == set(LAYERS)
 
 
-@pytest.mark.parametrize("path", FILES, ids=lambda path: str(path.relative_to(ROOT)))
-def test_imports_go_to_lower_floors(path: Path) -> None:
+@pytest.mark.parametrize("path", SOURCE_FILES, ids=lambda path: str(path.relative_to(PACKAGE_ROOT)))
+def test_packages_import_only_lower_layers(path: Path) -> None:
     package = package_of(path)
-    allowed = ALLOWED_ON_SAME_FLOOR | ALLOWED_ON_FLOOR_1
+    allowed = ALLOWED_IN_SAME_LAYER | ALLOWED_IN_LAYER_1
     upward_imports = {
         imported
         for imported in imported_packages(path)
-        if imported != package and FLOORS[imported] >= FLOORS[package] and (package, imported) not in allowed
+        if imported != package and LAYERS[imported] >= LAYERS[package] and (package, imported) not in allowed
     }
     assert not upward_imports
 
 
-@pytest.mark.parametrize("path", sorted((ROOT / "testbed").rglob("*.py")), ids=lambda path: path.stem)
+@pytest.mark.parametrize("path", sorted((PACKAGE_ROOT / "testbed").rglob("*.py")), ids=lambda path: path.stem)
 def test_testbed_imports_only_the_public_interface(path: Path) -> None:
     used = set(imported_packages(path)) - {"testbed"}
     assert used <= TESTBED_MAY_USE
