--- a/tests/sidecar_program.py
+++ b/tests/sidecar_program.py
@@ -1,4 +1,4 @@
-"""The sidecar as a program under test: its configuration, command and environment."""
+"""The configuration, command and environment with which tests run the sidecar as a process."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 def sidecar_settings(
     *, latency_objective_s: float = 2.0, deadline_s: float = 8.0, keepalive_s: float = 60.0, slow_start_s: float = 7.5
 ) -> dict[str, Any]:
-    """Return the field ``settings`` of a configuration with three classes, one for each kind of idempotency."""
+    """Return the ``settings`` of a configuration with three request classes, one for each kind of idempotency."""
     limits = {"slo_ns": int(latency_objective_s * NS_PER_S), "hard_limit_ns": int(deadline_s * NS_PER_S)}
     key = {"effect": "deduplicated", "key_scope": "zone", "key_ttl_ns": 6 * NS_PER_S}
     return {
@@ -51,7 +51,7 @@
 def endpoint_record(
     endpoint_id: str, address: str, *, zone: str = "a", cell: int = 0, state: str = "ready", started_ms: int = 0
 ) -> dict[str, Any]:
-    """Return an endpoint as endpoint lists and the field ``known`` of a configuration hold it."""
+    """Return an endpoint in the form of endpoint lists and of the ``known`` field of a configuration."""
     return {
         "id": endpoint_id,
         "addr": address,
@@ -65,7 +65,7 @@
 
 
 def serve_command(max_descriptors: int) -> list[str]:
-    """Return the command that runs ``lugtally serve`` under a limit of open files."""
+    """Return the command that runs ``lugtally serve`` with at most ``max_descriptors`` open files."""
     return ["sh", "-c", f'ulimit -n {max_descriptors}; exec "$0" -B -m lugtally serve', sys.executable]
 
 
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets of the peers of a sidecar under test."""
+"""Sockets for the clients, endpoints and discovery services of a sidecar under test."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 def address(sock: socket.socket) -> str:
-    """Return ``host:port`` of a listening socket."""
+    """Return the address of a listening socket as ``host:port``."""
     host, port = sock.getsockname()
     return f"{host}:{port}"
 
 
 def reset_on_close(sock: socket.socket) -> None:
-    """Make the close of a connection reset it."""
+    """Make closing the socket reset its connection: it lingers for 0 s."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
