--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,7 +1,7 @@
-"""Fake clients, endpoints and discovery servers, run as tasks of the sidecar's own event loop.
+"""Fake clients, endpoints and discovery servers that share the event loop of the sidecar under test.
 
-A test is one task, ``script``, which sends events in the order that it checks.  It waits for each expected event, and
-fails if one does not arrive within ``MAX_WAIT_NS``.
+A test runs as one task, its ``script``.  The script sends and receives in a fixed order, waits for each expected event,
+and fails if one does not arrive within ``MAX_WAIT_NS``.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 
 def send_each_request_to(endpoint_id: int) -> Decide:
-    """Send each request to one endpoint, and fail it when its attempt has finished."""
+    """Return a function that sends each request to one endpoint, and fails it if its attempt ends without an answer."""
 
     def decide(event: balancing.Event) -> list[balancing.Action]:
         if isinstance(event, balancing.Request):
@@ -61,7 +61,7 @@
 
 
 class ScriptedBalancer:
-    """Records each event and returns the actions that ``decide`` gives for it."""
+    """A balancer that records each event and answers with the actions that ``decide`` returns for it."""
 
     def __init__(self) -> None:
         self.events: list[balancing.Event] = []
@@ -73,11 +73,11 @@
         return self.decide(event)
 
     def may_start(self, now: int, request_id: str, attempt: int) -> bool:
-        """Whether an attempt may start, which the dispatcher checks right before its bytes are written."""
+        """Whether an attempt may start; the dispatcher asks right before it writes the bytes of the attempt."""
         return self.may_start_attempts
 
     def endpoint_updates(self) -> list[tuple[str, dict[int, str]]]:
-        """Kind and states by endpoint id of each update."""
+        """The kind of each endpoint update, with the states that it sets by endpoint id."""
         return [
             (event.kind.value, {endpoint.id: endpoint.state.value for endpoint in event.endpoints})
             for event in self.events
@@ -94,7 +94,7 @@
 
 
 class PeerConnection:
-    """The peer's end of one connection."""
+    """The end of a connection that a client, an endpoint or discovery holds."""
 
     def __init__(self, loop: EventLoop, sock: socket.socket) -> None:
         self.loop, self.sock = loop, sock
@@ -102,7 +102,7 @@
         self.received = b""
 
     def read(self) -> bytes:
-        """Wait for bytes; return none if the connection was closed or reset."""
+        """Wait for bytes; return ``b""`` if the connection was closed or reset."""
         assert self.loop.wait(self.sock.fileno(), READABLE, self.loop.now() + MAX_WAIT_NS) is WakeReason.READY, (
             "no bytes arrived"
         )
@@ -118,14 +118,14 @@
         return bool(data)
 
     def read_head(self) -> str:
-        """Read the next message, which has no body; return its first line."""
+        """Read the next message, which must have no body; return its first line."""
         while b"\r\n\r\n" not in self.received:
             assert self.read_more(), "the connection ended"
         head, _, self.received = self.received.partition(b"\r\n\r\n")
         return head.partition(b"\r\n")[0].decode()
 
     def read_until(self, is_enough: Callable[[bytes], bool]) -> bytes:
-        """Read until ``is_enough`` holds of the bytes received; fail if the connection ends before."""
+        """Read until ``is_enough(received)`` is true; fail if the connection ends before that."""
         received = self.received
         while not is_enough(received):
             data = self.read()
@@ -149,12 +149,12 @@
         self.send(b"HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n" % (status.encode(), len(body)) + body)
 
     def send_endpoint_list(self, version: int, full: bool, *rows: dict[str, Any]) -> None:
-        """Respond with an endpoint list, indented as discovery does."""
+        """Respond with an endpoint list, indented as discovery sends it."""
         self.respond(ujson.dumps({"version": version, "full": full, "servers": rows}, indent=2).encode())
 
 
 class FakeServer:
-    """A listening server: an upstream server or discovery."""
+    """A listening server that stands for an endpoint or for discovery."""
 
     def __init__(self, loop: EventLoop) -> None:
         self.loop = loop
@@ -174,13 +174,13 @@
         return PeerConnection(self.loop, self.sock.accept()[0])
 
     def accept_request(self) -> PeerConnection:
-        """Wait for the next connection and read one request, which has no body."""
+        """Wait for the next connection and read one request, which must have no body."""
         connection = self.accept()
         connection.read_head()
         return connection
 
     def is_idle(self) -> bool:
-        """Whether the backlog is empty; closes a connection that waits there."""
+        """Whether no connection waits to be accepted; closes the one that does."""
         try:
             self.sock.accept()[0].close()
         except BlockingIOError:
@@ -189,7 +189,7 @@
 
 
 class Sidecar:
-    """The network code with a scripted balancer (or the real one) and a fake server of each kind."""
+    """The network code of a sidecar, with a given or scripted balancer, a fake endpoint and fake discovery servers."""
 
     def __init__(self, balancer: Any = None, *, max_clients: int = 64) -> None:
         self.loop = EventLoop()
@@ -213,7 +213,7 @@
         return {"id": name, "addr": f"{host}:{port}", "zone": "a", "cell": 1, "state": state, "started_ms": 0, **fields}
 
     def listen(self) -> Address:
-        """Accept clients; return the address."""
+        """Start to accept clients; return the address."""
         self.downstream.listen(Address("127.0.0.1", 0))
         assert self.downstream.listener is not None
         host, port = self.downstream.listener.getsockname()
@@ -224,7 +224,7 @@
         return self.downstream.listener is not None and self.downstream.listener.fileno() < 0
 
     def keep_running_after_shutdown(self) -> None:
-        """Let the script continue when the sidecar has ended itself; ``has_shut_down`` says that it has."""
+        """Let the script continue after the sidecar has shut down, which sets ``has_shut_down``."""
         stop_loop = self.loop.stop
 
         def stop_with_script() -> None:
@@ -236,7 +236,7 @@
         self.loop.stop = stop_with_script  # type: ignore[method-assign]
 
     def listen_with_one_endpoint(self) -> Address:
-        """Accept clients, with one endpoint listed and each request forwarded there."""
+        """Start to accept clients, with one endpoint in the list to which each request is sent."""
         self.balancer.decide = send_each_request_to(ENDPOINT_A)
         endpoints = {"version": 1, "full": True, "servers": [self.endpoint_row("s-a")]}
         self.endpoint_watcher.start(parse_endpoint_list(endpoints, "known"))
@@ -247,7 +247,7 @@
         return PeerConnection(self.loop, socket.create_connection(address))
 
     def serve(self, client: PeerConnection, request_id: str = "first") -> PeerConnection:
-        """Serve one request of a client; return the upstream connection, which is pooled then."""
+        """Send one request of a client and serve it; return its upstream connection, which is then in the pool."""
         client.send(request("read", request_id))
         connection = self.server.accept_request()
         connection.respond()
@@ -261,39 +261,39 @@
         sock.connect(address)
         return PeerConnection(self.loop, sock)
 
-    def wait_until(self, done: Callable[[], bool]) -> None:
-        """Let the other tasks run until ``done()`` is true."""
+    def wait_until(self, is_done: Callable[[], bool]) -> None:
+        """Let the other tasks run until ``is_done()`` is true."""
         deadline_ns = self.loop.now() + MAX_WAIT_NS
-        while not done():
-            assert self.loop.now() < deadline_ns, "the condition never held"
+        while not is_done():
+            assert self.loop.now() < deadline_ns, "the condition did not become true in time"
             self.loop.sleep(NS_PER_MS)
 
     def run(self, script: Callable[[], None]) -> None:
-        """Run the script as a task until it ends; a sidecar that shuts down stops the loop before."""
-        failed: list[BaseException] = []
+        """Run the script as a task until it ends; fail if a shutdown of the sidecar stops the loop before."""
+        errors: list[BaseException] = []
 
-        def body() -> None:
+        def run_script() -> None:
             try:
                 script()
             except BaseException as error:
-                failed.append(error)
+                errors.append(error)
             finally:
                 self.stopped = True
                 self.loop.stop()
 
-        self.loop.spawn(body)
+        self.loop.spawn(run_script)
         self.loop.run(self.dispatcher.run_due_timers)
         for server in (self.discovery, self.second_discovery, self.server):
             server.sock.close()
-        if failed:
-            raise failed[0]
+        if errors:
+            raise errors[0]
         assert self.stopped, "the loop stopped before the script ended"
 
 
 def request(
     path: str, request_id: str = "r1", *, method: str = "GET", headers: str = "", time_left_s: float = 5.0
 ) -> bytes:
-    """Serialize a valid request; ``headers`` are further lines, each with its end."""
+    """Serialize a valid request; ``headers`` are further header lines, each ending in CRLF."""
     return (
         f"{method} /{path} HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: {request_id}\r\n"
         f"X-Time-Left: {time_left_s:.3f}\r\n{headers}\r\n"
@@ -301,7 +301,7 @@
 
 
 def disconnect(sock: socket.socket, how: str) -> None:
-    """End one side of a connection: by ``close``, by ``reset``, or by ``half`` for a half-close."""
+    """End a connection as ``how`` says: ``close`` it, ``reset`` it, or ``half``-close it."""
     if how == "half":
         sock.shutdown(socket.SHUT_WR)
         return
@@ -312,5 +312,5 @@
 
 @pytest.fixture
 def sidecar() -> Sidecar:
-    """A sidecar with a scripted balancer and a fake server of each kind."""
+    """A sidecar with a scripted balancer, a fake endpoint and two fake discovery servers."""
     return Sidecar()
