--- a/tests/downstream/test_closing.py
+++ b/tests/downstream/test_closing.py
@@ -39,7 +39,7 @@
         sidecar.wait_until(lambda: sidecar.downstream.open == 0)
 
     def stop_when_finished() -> None:
-        sidecar.loop._stopped = sidecar.loop._stopped or sidecar.stopped
+        sidecar.loop._stopped = sidecar.loop._stopped or sidecar.script_ended
 
     sidecar.loop.stop = stop_when_finished  # type: ignore[method-assign]
     sidecar.run(script)
--- a/tests/downstream/test_connection_limit.py
+++ b/tests/downstream/test_connection_limit.py
@@ -34,7 +34,7 @@
     """Let the endpoint respond to each request on each connection that it accepts from now on."""
 
     def accept() -> None:
-        while not sidecar.stopped:
+        while not sidecar.script_ended:
             sidecar.loop.spawn(respond_to_each, sidecar.server.accept())
 
     sidecar.loop.spawn(accept)
--- a/tests/downstream/test_guards.py
+++ b/tests/downstream/test_guards.py
@@ -93,7 +93,7 @@
         assert client.read_to_end().startswith(b"HTTP/1.1 200")
 
     stop = sidecar.loop.stop
-    sidecar.loop.stop = lambda: stop() if sidecar.stopped else None  # type: ignore[method-assign]
+    sidecar.loop.stop = lambda: stop() if sidecar.script_ended else None  # type: ignore[method-assign]
     sidecar.run(script)
 
 
--- a/tests/downstream/test_shutdown.py
+++ b/tests/downstream/test_shutdown.py
@@ -35,7 +35,7 @@
         self.loop.stop = self._record_end  # type: ignore[method-assign]
 
     def _record_end(self) -> None:
-        if self.stopped:
+        if self.script_ended:
             self._stop_loop()
         elif self.ended_ns is None:
             self.ended_ns = self.loop.now()
@@ -73,7 +73,7 @@
                 connection.respond(path.encode())
 
         def accept() -> None:
-            while not self.stopped:
+            while not self.script_ended:
                 self.loop.spawn(serve, self.server.accept())
 
         self.loop.spawn(accept)
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -205,7 +205,7 @@
         )
         self.dispatcher.set_handlers(self.upstream.close_idle_connections, self.endpoint_watcher.watch)
         self.downstream = DownstreamServer(self.loop, self.dispatcher, self.upstream, CLASSES, max_clients)
-        self.stopped = self.has_shut_down = False
+        self.script_ended = self.has_shut_down = False
 
     def endpoint_row(self, name: str, state: str = "ready", **fields: Any) -> dict[str, Any]:
         """One row of an endpoint list, with the address of the fake endpoint."""
@@ -228,7 +228,7 @@
         stop_loop = self.loop.stop
 
         def stop_with_script() -> None:
-            if self.stopped:
+            if self.script_ended:
                 stop_loop()
             else:
                 self.has_shut_down = True
@@ -278,7 +278,7 @@
             except BaseException as error:
                 errors.append(error)
             finally:
-                self.stopped = True
+                self.script_ended = True
                 self.loop.stop()
 
         self.loop.spawn(run_script)
@@ -287,7 +287,7 @@
             server.sock.close()
         if errors:
             raise errors[0]
-        assert self.stopped, "the loop stopped before the script ended"
+        assert self.script_ended, "the loop stopped before the script ended"
 
 
 def request(
