--- a/tests/fault_injection/__init__.py
+++ b/tests/fault_injection/__init__.py
@@ -1,1 +1,4 @@
-"""Real sidecar processes under seeded faults, judged by their wire alone; ``__main__`` documents the command."""
+"""Fault injection: real sidecar processes run under seeded faults, and what they send and receive is checked.
+
+``__main__`` documents the command.
+"""
--- a/tests/fault_injection/__main__.py
+++ b/tests/fault_injection/__main__.py
@@ -1,9 +1,9 @@
-"""The command that injects seeded faults into real sidecars and judges every request; see README.md.
+"""The command that injects seeded faults into real sidecars and checks every request; see README.md.
 
     python -m tests.fault_injection --seed N --seconds S --sidecars K [--only FAULT,...]
 
-The exit status is 1 if a rule was violated.  ``--only`` takes the names in ``behaviour.py``; without it every fault is
-injected, with ``--only none`` no fault.
+The exit status is 1 if a rule was violated.  ``--only`` takes the names of faults in ``behaviour.py``; without it every
+fault is injected, and with ``--only none`` no fault is.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
         return ()
     names = text.split(",")
     if unknown := [name for name in names if name not in ALL_FAULTS]:
-        raise argparse.ArgumentTypeError(f"{unknown[0]} is none of {', '.join(ALL_FAULTS)}")
+        raise argparse.ArgumentTypeError(f"{unknown[0]} is not one of {', '.join(ALL_FAULTS)}")
     return tuple(ALL_FAULTS[name] for name in names)
 
 
 def main() -> int:
-    """Run one seed and return the exit status."""
+    """Run one scenario, print its verdict, and return the exit status."""
     parser = argparse.ArgumentParser(prog="python -m tests.fault_injection")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=30.0)
--- a/tests/fault_injection/checker.py
+++ b/tests/fault_injection/checker.py
@@ -1,17 +1,17 @@
-"""Judges the records of a run against the rules; no I/O and no clock.
+"""Checks the records of a run against the rules; it does no I/O and reads no clock.
 
-A request without an answer is not always lost.  The following are not judged but counted in ``Verdict.not_judged``:
+A missing answer is not always a violation.  The following are not checked but counted in ``Verdict.unchecked``:
 
 * requests pending at a sidecar that was killed;
-* requests behind a malformed request on the same connection, which the sidecar closes after it;
+* requests after a malformed request on the same connection, which the sidecar closes after it;
 * requests on a connection that was closed after an earlier answer, if no endpoint received a byte of an attempt and no
-  request of the same write was answered, which would prove that it was read (``NotJudged.CROSSED_CLOSE``, or
-  ``NotJudged.PENDING_AT_CLOSE`` where it was written more than ``CROSSING_NS`` before the close);
+  request of the same write was answered, which would prove that it was read (``UncheckedReason.CROSSED_CLOSE``, or
+  ``UncheckedReason.PENDING_AT_CLOSE`` where it was written more than ``CROSSING_NS`` before the close);
 * answers with a body that the endpoint truncated after the sidecar had forwarded part of it;
-* the times of requests during which the process of the checker ran late; bodies and counts are judged.
+* the times of requests during which the checking process ran late; their bodies and counts are checked.
 
-For an answer of a stopped sidecar the slack starts at SIGCONT, if that is after the deadline.  The limit for attempts
-is the deadline itself.
+If a sidecar was stopped and continued only after the deadline, the slack for its answer starts at SIGCONT.  No attempt
+may start after the deadline, with or without a stop.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
     RunRecords,
     SentRequest,
 )
-from tests.fault_injection.verdict import NotJudged, Rule, Verdict, Violation
+from tests.fault_injection.verdict import Rule, UncheckedReason, Verdict, Violation
 
 ANSWER_SLACK_NS = 500 * NS_PER_MS
 TIME_LEFT_SLACK_NS = 150 * NS_PER_MS
@@ -116,16 +116,16 @@
             self._check_complete_request(request, answers, attempts)
 
     def _check_incomplete_request(self, request: SentRequest, attempts: list[Attempt]) -> None:
-        self._verdict.not_judged[NotJudged.NEVER_COMPLETE] += 1
+        self._verdict.unchecked[UncheckedReason.NEVER_COMPLETE] += 1
         for attempt in attempts:
             self._add(Rule.FORWARDED_AFTER_END, request.request_id, f"{attempt.endpoint}: it was never complete")
 
     def _check_complete_request(self, request: SentRequest, answers: list[Answer], attempts: list[Attempt]) -> None:
-        self._verdict.judged += 1
+        self._verdict.checked += 1
         complete_answer = next((answer for answer in answers if answer.is_complete), None)
         self._check_answer(request, complete_answer, answers)
         if self._has_own_lag(request):
-            self._verdict.not_judged[NotJudged.OWN_LAG] += 1
+            self._verdict.unchecked[UncheckedReason.OWN_LAG] += 1
             return
         if complete_answer is not None:
             self._check_answer_time(request, complete_answer)
@@ -137,9 +137,9 @@
             self._verdict.rejected_or_failed += complete_answer.status != 200
         elif request.disconnected_ns is not None and request.disconnected_ns < self._due_ns(request):
             self._verdict.disconnected += 1
-        elif (reason := self._reason_not_judged(request, answers)) is not None:
-            self._verdict.not_judged[reason] += 1
-            if reason is NotJudged.PENDING_AT_CLOSE:
+        elif (reason := self._unchecked_reason(request, answers)) is not None:
+            self._verdict.unchecked[reason] += 1
+            if reason is UncheckedReason.PENDING_AT_CLOSE:
                 self._verdict.pending_at_close.append(request.request_id)
         else:
             self._add(Rule.NO_ANSWER, request.request_id, self._missing_answer_detail(request, answers))
@@ -160,18 +160,18 @@
             attempts += ", in one write with an answered one"
         return f"{outcome}; {connection} connection; {attempts}"
 
-    def _reason_not_judged(self, request: SentRequest, answers: list[Answer]) -> NotJudged | None:
+    def _unchecked_reason(self, request: SentRequest, answers: list[Answer]) -> UncheckedReason | None:
         if self._was_pending_at_kill(request):
-            return NotJudged.SIDECAR_KILLED
+            return UncheckedReason.SIDECAR_KILLED
         if request.follows_malformed:
-            return NotJudged.BEHIND_MALFORMED
+            return UncheckedReason.AFTER_MALFORMED_REQUEST
         if any(self._was_truncated_by_endpoint(request, answer) for answer in answers):
-            return NotJudged.TRUNCATED_BY_ENDPOINT
+            return UncheckedReason.TRUNCATED_BY_ENDPOINT
         if not answers and self._may_be_unread(request):
             assert request.last_byte_ns is not None
             ended_ns = self._records.ended_connections[request.connection].ended_ns
             crossed = ended_ns - request.last_byte_ns <= CROSSING_NS
-            return NotJudged.CROSSED_CLOSE if crossed else NotJudged.PENDING_AT_CLOSE
+            return UncheckedReason.CROSSED_CLOSE if crossed else UncheckedReason.PENDING_AT_CLOSE
         return None
 
     def _was_pending_at_kill(self, request: SentRequest) -> bool:
--- a/tests/fault_injection/records.py
+++ b/tests/fault_injection/records.py
@@ -126,7 +126,7 @@
 
 @dataclass(slots=True)
 class SidecarKill:
-    """The moment at which a sidecar was killed; its pending requests are not judged."""
+    """The moment at which a sidecar was killed; its pending requests are not checked."""
 
     sidecar: int
     at_ns: int
--- a/tests/fault_injection/report.py
+++ b/tests/fault_injection/report.py
@@ -10,7 +10,7 @@
 from lugtally.units import NS_PER_MS, NS_PER_S
 from tests.fault_injection.records import RunRecords, SentRequest
 from tests.fault_injection.scenario import RunResult, Scenario
-from tests.fault_injection.verdict import NotJudged, Verdict, Violation
+from tests.fault_injection.verdict import UncheckedReason, Verdict, Violation
 
 FAULT_PREFIX = "fault: "
 MAX_TIMELINES_PER_SHAPE = 2
@@ -38,20 +38,20 @@
         yield f"  {rule.name.lower():22} {count:5}"
     lags = result.records.own_lags
     longest_ms = max((lag.end_ns - lag.start_ns for lag in lags), default=0) / NS_PER_MS
-    yield f"  the judging process ran late {len(lags)} times, {longest_ms:.0f} ms at most"
+    yield f"  the checking process ran late {len(lags)} times, {longest_ms:.0f} ms at most"
     yield from _shapes(verdict)
-    for reason, count in verdict.not_judged.most_common():
-        yield f"  not judged: {reason.value}: {count}"
+    for reason, count in verdict.unchecked.most_common():
+        yield f"  not checked: {reason.value}: {count}"
     yield from _violations(verdict, result)
     for request_id in verdict.pending_at_close[:MAX_TIMELINES_PER_SHAPE]:
-        yield f"not judged {request_id}: {NotJudged.PENDING_AT_CLOSE.value}"
+        yield f"not checked {request_id}: {UncheckedReason.PENDING_AT_CLOSE.value}"
         yield from _timeline(request_id, result)
 
 
 def _summary(scenario: Scenario, result: RunResult, verdict: Verdict) -> str:
     summary = "BREACHED" if verdict.violations else "KEPT"
     return (
-        f"{summary} seed {scenario.seed}: {verdict.judged} requests judged, {verdict.served} served, "
+        f"{summary} seed {scenario.seed}: {verdict.checked} requests checked, {verdict.served} served, "
         f"{verdict.rejected_or_failed} refused or failed, {verdict.disconnected} left; "
         f"{len(result.records.attempts)} attempts"
     )
--- a/tests/fault_injection/test_checker.py
+++ b/tests/fault_injection/test_checker.py
@@ -22,7 +22,7 @@
     SidecarKill,
     SidecarStop,
 )
-from tests.fault_injection.verdict import NotJudged, Rule, Verdict
+from tests.fault_injection.verdict import Rule, UncheckedReason, Verdict
 
 SENT_MS = 1000
 DEADLINE_MS = 2000
@@ -84,7 +84,7 @@
 def test_answered_request_violates_no_rule(run: Run) -> None:
     verdict = run.verdict()
     assert not verdict.violations
-    assert (verdict.judged, verdict.served) == (1, 1)
+    assert (verdict.checked, verdict.served) == (1, 1)
     assert set(verdict.counts().values()) == {0}
 
 
@@ -110,22 +110,22 @@
     assert run.violated_rules() == [Rule.NO_ANSWER]
 
 
-def test_stream_truncated_by_its_endpoint_is_not_judged(run: Run) -> None:
+def test_stream_truncated_by_its_endpoint_is_not_checked(run: Run) -> None:
     run.answer.body, run.answer.is_complete = BODY[:200], False
     run.attempt.response_kind = ResponseKind.INCOMPLETE
-    assert run.verdict().not_judged[NotJudged.TRUNCATED_BY_ENDPOINT] == 1
+    assert run.verdict().unchecked[UncheckedReason.TRUNCATED_BY_ENDPOINT] == 1
     assert not run.violated_rules()
 
 
 def test_request_crossing_the_close_of_a_reused_connection(run: Run) -> None:
-    """It is not judged; one written more than ``CROSSING_NS`` before the close is counted separately."""
+    """It is not checked; one written more than ``CROSSING_NS`` before the close is counted separately."""
     crossing = run.add_request("r2", position=1, write_number=1)
     crossing.last_byte_ns = ns(1300)
     run.end_connection(1301)
     assert not run.violated_rules()
-    assert run.verdict().not_judged[NotJudged.CROSSED_CLOSE] == 1
+    assert run.verdict().unchecked[UncheckedReason.CROSSED_CLOSE] == 1
     run.end_connection(1500)
-    assert run.verdict().not_judged[NotJudged.PENDING_AT_CLOSE] == 1
+    assert run.verdict().unchecked[UncheckedReason.PENDING_AT_CLOSE] == 1
 
 
 def test_request_in_one_write_with_an_answered_one_is_lost(run: Run) -> None:
@@ -144,17 +144,17 @@
     assert run.violated_rules() == [Rule.NO_ANSWER]
 
 
-def test_request_pending_at_a_kill_is_not_judged(run: Run) -> None:
+def test_request_pending_at_a_kill_is_not_checked(run: Run) -> None:
     run.remove_answer()
     run.end_connection(1150, ConnectionEnd.RESET_BY_SIDECAR)
     run.records.kills.append(SidecarKill(0, ns(1150)))
     assert not run.violated_rules()
-    assert run.verdict().not_judged[NotJudged.SIDECAR_KILLED] == 1
+    assert run.verdict().unchecked[UncheckedReason.SIDECAR_KILLED] == 1
     run.records.kills = [SidecarKill(1, ns(1150))]
     assert run.violated_rules() == [Rule.NO_ANSWER], "another sidecar was killed"
 
 
-def test_request_behind_a_malformed_one_needs_no_answer(run: Run) -> None:
+def test_request_after_a_malformed_one_needs_no_answer(run: Run) -> None:
     run.remove_answer()
     run.request.follows_malformed = True
     assert not run.violated_rules()
@@ -192,7 +192,7 @@
     run.answer.ended_ns = ns(DEADLINE_MS + 600)
     run.records.own_lags.append(Interval(ns(1500), ns(1560)))
     assert not run.violated_rules()
-    assert run.verdict().not_judged[NotJudged.OWN_LAG] == 1
+    assert run.verdict().unchecked[UncheckedReason.OWN_LAG] == 1
 
 
 def test_second_answer_is_a_violation(run: Run) -> None:
--- a/tests/fault_injection/verdict.py
+++ b/tests/fault_injection/verdict.py
@@ -1,4 +1,4 @@
-"""The verdict of a run: the rules, their violations, and the requests that could not be judged."""
+"""The verdict on a run: the rules, their violations, and the requests that could not be checked."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Rule(Enum):
-    """A rule for one request; the value describes its violation."""
+    """A rule for each request; the value describes a violation of it."""
 
     NO_ANSWER = "no complete answer"
     LATE_ANSWER = "the answer arrived after the deadline and the slack"
@@ -20,16 +20,16 @@
     AT_MOST_ONCE_TWICE = "two attempts of a non-idempotent request may have run"
 
 
-class NotJudged(Enum):
-    """Why a request, or the times of one, could not be judged."""
+class UncheckedReason(Enum):
+    """Why a request, or only its times, could not be checked."""
 
     SIDECAR_KILLED = "its sidecar was killed"
-    BEHIND_MALFORMED = "behind a malformed request"
-    CROSSED_CLOSE = "crossed the close of a reused connection"
-    PENDING_AT_CLOSE = "sent well before the close of a reused connection; whether it was read cannot be seen"
-    TRUNCATED_BY_ENDPOINT = "streamed, and truncated by its endpoint"
+    AFTER_MALFORMED_REQUEST = "sent after a malformed request on the same connection"
+    CROSSED_CLOSE = "sent right before the close of a reused connection"
+    PENDING_AT_CLOSE = "sent well before the close of a reused connection; it is unknown whether the sidecar read it"
+    TRUNCATED_BY_ENDPOINT = "its endpoint truncated a streamed response"
     NEVER_COMPLETE = "never written completely"
-    OWN_LAG = "the judging process ran late (times alone)"
+    OWN_LAG = "the checking process ran late, so its times are not checked"
 
 
 @dataclass(slots=True, frozen=True)
@@ -43,16 +43,16 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """The violations of a run, and the number of requests by result."""
+    """The violations in a run, and the number of requests by result."""
 
     violations: list[Violation] = field(default_factory=list)
-    judged: int = 0
+    checked: int = 0
     served: int = 0
     rejected_or_failed: int = 0
     disconnected: int = 0
-    not_judged: Counter[NotJudged] = field(default_factory=Counter)
+    unchecked: Counter[UncheckedReason] = field(default_factory=Counter)
     pending_at_close: list[str] = field(default_factory=list)
-    """The ids of the requests counted as ``NotJudged.PENDING_AT_CLOSE``, for their timelines."""
+    """The ids of the requests counted as ``UncheckedReason.PENDING_AT_CLOSE``, for their timelines."""
 
     def counts(self) -> dict[Rule, int]:
         """Return the number of violations of each rule."""
