--- a/tests/fault_injection/checker.py
+++ b/tests/fault_injection/checker.py
@@ -124,8 +124,8 @@
         self._verdict.checked += 1
         complete_answer = next((answer for answer in answers if answer.is_complete), None)
         self._check_answer(request, complete_answer, answers)
-        if self._has_own_lag(request):
-            self._verdict.unchecked[UncheckedReason.OWN_LAG] += 1
+        if self._overlaps_scheduling_lag(request):
+            self._verdict.unchecked[UncheckedReason.SCHEDULING_LAG] += 1
             return
         if complete_answer is not None:
             self._check_answer_time(request, complete_answer)
@@ -243,9 +243,9 @@
                 until_ns = max(until_ns, stop.end_ns)
         return until_ns + ANSWER_SLACK_NS
 
-    def _has_own_lag(self, request: SentRequest) -> bool:
+    def _overlaps_scheduling_lag(self, request: SentRequest) -> bool:
         assert request.last_byte_ns is not None
-        return _any_overlaps(self._records.own_lags, request.last_byte_ns, self._due_ns(request))
+        return _any_overlaps(self._records.scheduling_lags, request.last_byte_ns, self._due_ns(request))
 
     def _check_answer_time(self, request: SentRequest, answer: Answer) -> None:
         late_ns = answer.ended_ns - self._due_ns(request)
--- a/tests/fault_injection/records.py
+++ b/tests/fault_injection/records.py
@@ -152,6 +152,6 @@
     attempts: list[Attempt] = field(default_factory=list)
     stops: list[SidecarStop] = field(default_factory=list)
     kills: list[SidecarKill] = field(default_factory=list)
-    own_lags: list[Interval] = field(default_factory=list)
+    scheduling_lags: list[Interval] = field(default_factory=list)
     """When the process of the checker ran late."""
     faults: list[InjectedFault] = field(default_factory=list)
--- a/tests/fault_injection/report.py
+++ b/tests/fault_injection/report.py
@@ -36,7 +36,7 @@
     yield _summary(scenario, result, verdict)
     for rule, count in verdict.counts().items():
         yield f"  {rule.name.lower():22} {count:5}"
-    lags = result.records.own_lags
+    lags = result.records.scheduling_lags
     longest_ms = max((lag.end_ns - lag.start_ns for lag in lags), default=0) / NS_PER_MS
     yield f"  the checking process ran late {len(lags)} times, {longest_ms:.0f} ms at most"
     yield from _shapes(verdict)
--- a/tests/fault_injection/scenario.py
+++ b/tests/fault_injection/scenario.py
@@ -9,7 +9,7 @@
 
 from tests.fault_injection.behaviour import ALL_FAULTS, ClientBehaviour, EndpointBehaviour, Fault, TimedFault
 from tests.fault_injection.client import Client, ClientFleet
-from tests.fault_injection.clock import now_ns, watch_own_lag
+from tests.fault_injection.clock import now_ns, record_scheduling_lags
 from tests.fault_injection.discovery import READY, DiscoveryService, EndpointCatalog
 from tests.fault_injection.endpoint import Endpoint
 from tests.fault_injection.endpoint_connection import EndpointFleet
@@ -68,14 +68,14 @@
         self._is_stopping = False
 
     async def run(self) -> RunResult:
-        lag_watch = asyncio.create_task(watch_own_lag(self._records))
+        lag_recorder = asyncio.create_task(record_scheduling_lags(self._records))
         try:
             site = await self._start()
             started_ns = now_ns()
             await self._run_clients_and_faults(site)
             return RunResult(self._records, [sidecar.log for sidecar in self._sidecars], started_ns)
         finally:
-            lag_watch.cancel()
+            lag_recorder.cancel()
             await self._end()
 
     async def _start(self) -> Site:
--- a/tests/fault_injection/test_checker.py
+++ b/tests/fault_injection/test_checker.py
@@ -188,11 +188,11 @@
     assert run.violated_rules() == [Rule.LATE_ANSWER], "another sidecar was stopped"
 
 
-def test_times_are_not_judged_during_own_lag(run: Run) -> None:
+def test_times_are_not_checked_during_a_scheduling_lag(run: Run) -> None:
     run.answer.ended_ns = ns(DEADLINE_MS + 600)
-    run.records.own_lags.append(Interval(ns(1500), ns(1560)))
+    run.records.scheduling_lags.append(Interval(ns(1500), ns(1560)))
     assert not run.violated_rules()
-    assert run.verdict().unchecked[UncheckedReason.OWN_LAG] == 1
+    assert run.verdict().unchecked[UncheckedReason.SCHEDULING_LAG] == 1
 
 
 def test_second_answer_is_a_violation(run: Run) -> None:
--- a/tests/fault_injection/verdict.py
+++ b/tests/fault_injection/verdict.py
@@ -29,7 +29,7 @@
     PENDING_AT_CLOSE = "sent well before the close of a reused connection; it is unknown whether the sidecar read it"
     TRUNCATED_BY_ENDPOINT = "its endpoint truncated a streamed response"
     NEVER_COMPLETE = "never written completely"
-    OWN_LAG = "the checking process ran late, so its times are not checked"
+    SCHEDULING_LAG = "the checking process ran late, so its times are not checked"
 
 
 @dataclass(slots=True, frozen=True)
