--- a/tests/fault_injection/behaviour.py
+++ b/tests/fault_injection/behaviour.py
@@ -1,4 +1,4 @@
-"""The faults that a run can inject; the value of each is its name for ``--only``."""
+"""The faults that a run can inject.  The value of a fault is its name for ``--only``."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class ClientBehaviour(Enum):
-    """The behaviour of a client on one connection."""
+    """How a client behaves on one connection."""
 
-    PLAIN = "plain"
+    NORMAL = "plain"
     PIECES = "pieces"
     PIPELINE = "pipeline"
     ABANDON = "abandon"
@@ -18,9 +18,9 @@
 
 
 class EndpointBehaviour(Enum):
-    """The behaviour of an endpoint for one attempt."""
+    """How an endpoint handles one attempt."""
 
-    SOUND = "sound"
+    NORMAL = "sound"
     RESET = "reset"
     TRUNCATED = "cut"
     SILENCE = "silence"
@@ -53,5 +53,5 @@
     fault.value: fault
     for group in (ClientBehaviour, EndpointBehaviour, TimedFault)
     for fault in group
-    if fault not in (ClientBehaviour.PLAIN, EndpointBehaviour.SOUND)
+    if fault not in (ClientBehaviour.NORMAL, EndpointBehaviour.NORMAL)
 }
--- a/tests/fault_injection/client.py
+++ b/tests/fault_injection/client.py
@@ -104,7 +104,7 @@
     def _draw_behaviour(self) -> ClientBehaviour:
         if self._fleet.enabled and self._random.random() < FAULTY_SHARE:
             return self._random.choice(self._fleet.enabled)
-        return ClientBehaviour.PLAIN
+        return ClientBehaviour.NORMAL
 
     async def _connect(self, sidecar: int, behaviour: ClientBehaviour) -> ClientConnection:
         sock = socket.socket()
--- a/tests/fault_injection/response_plan.py
+++ b/tests/fault_injection/response_plan.py
@@ -43,7 +43,7 @@
     place: Place
 
     def __str__(self) -> str:
-        fault = f"{self.behaviour.value} {self.place.value}, " if self.behaviour is not EndpointBehaviour.SOUND else ""
+        fault = f"{self.behaviour.value} {self.place.value}, " if self.behaviour is not EndpointBehaviour.NORMAL else ""
         return f"{fault}{self.latency_s * 1000:.0f} ms, {self.body_bytes} bytes by {self.framing.value}"
 
 
@@ -53,7 +53,7 @@
     """Return the plan for the ``ordinal``-th attempt of a request; equal arguments give equal plans."""
     random = Random(f"{seed}/{request_id}/{ordinal}")
     latency_s = min(MAX_LATENCY_S, MIN_LATENCY_S + random.expovariate(1 / MEAN_LATENCY_S))
-    behaviour = EndpointBehaviour.SOUND
+    behaviour = EndpointBehaviour.NORMAL
     if enabled and random.random() < FAULTY_SHARE:
         behaviour = random.choice(enabled)
     long_body = behaviour is EndpointBehaviour.LONG_BODY or (
--- a/tests/fault_injection/test_fault_injection.py
+++ b/tests/fault_injection/test_fault_injection.py
@@ -28,7 +28,7 @@
         ClientBehaviour.SHORT_DEADLINE,
     ),
     "endpoints": (
-        *(behaviour for behaviour in EndpointBehaviour if behaviour is not EndpointBehaviour.SOUND),
+        *(behaviour for behaviour in EndpointBehaviour if behaviour is not EndpointBehaviour.NORMAL),
         TimedFault.RELOAD,
         TimedFault.DRAIN,
         TimedFault.ENDPOINT_KILL,
@@ -60,7 +60,7 @@
 
 def test_response_plans_depend_only_on_the_seed() -> None:
     """The plans of 200 requests contain every behaviour of an endpoint."""
-    enabled = tuple(behaviour for behaviour in EndpointBehaviour if behaviour is not EndpointBehaviour.SOUND)
+    enabled = tuple(behaviour for behaviour in EndpointBehaviour if behaviour is not EndpointBehaviour.NORMAL)
     plans = [plan_response(SEED, f"r{number}", 0, 1.0, enabled) for number in range(200)]
     assert plans == [plan_response(SEED, f"r{number}", 0, 1.0, enabled) for number in range(200)]
     assert {plan.behaviour for plan in plans} == set(EndpointBehaviour)
