--- a/tests/fault_injection/client.py
+++ b/tests/fault_injection/client.py
@@ -49,7 +49,7 @@
 )
 
 
-class ClientFleet:
+class SharedClientState:
     """The state that all clients of a run share."""
 
     def __init__(
@@ -79,17 +79,17 @@
 class Client:
     """One client, which opens one connection after the other."""
 
-    def __init__(self, fleet: ClientFleet, number: int) -> None:
-        self._fleet = fleet
+    def __init__(self, shared: SharedClientState, number: int) -> None:
+        self._shared = shared
         self._number = number
-        self._random = Random(f"{fleet.seed}/client/{number}")
+        self._random = Random(f"{shared.seed}/client/{number}")
         self._request_numbers = itertools.count(1)
 
     async def run(self) -> None:
         """Send requests until the run stops, and wait for the answers of those already sent."""
-        while not self._fleet.is_stopping():
+        while not self._shared.is_stopping():
             behaviour = self._draw_behaviour()
-            sidecar = self._random.randrange(len(self._fleet.sidecars))
+            sidecar = self._random.randrange(len(self._shared.sidecars))
             try:
                 connection = await self._connect(sidecar, behaviour)
             except (OSError, TimeoutError):
@@ -102,8 +102,8 @@
             await asyncio.sleep(self._random.uniform(0, MAX_THINK_S))
 
     def _draw_behaviour(self) -> ClientBehaviour:
-        if self._fleet.enabled and self._random.random() < FAULTY_SHARE:
-            return self._random.choice(self._fleet.enabled)
+        if self._shared.enabled and self._random.random() < FAULTY_SHARE:
+            return self._random.choice(self._shared.enabled)
         return ClientBehaviour.NORMAL
 
     async def _connect(self, sidecar: int, behaviour: ClientBehaviour) -> ClientConnection:
@@ -114,17 +114,17 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SLOW_RECEIVE_BUFFER_BYTES)
         loop = asyncio.get_running_loop()
         try:
-            await asyncio.wait_for(loop.sock_connect(sock, self._fleet.sidecars[sidecar]), CONNECT_TIMEOUT_S)
+            await asyncio.wait_for(loop.sock_connect(sock, self._shared.sidecars[sidecar]), CONNECT_TIMEOUT_S)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         except BaseException:
             sock.close()
             raise
-        number = next(self._fleet.connection_numbers)
-        return ClientConnection(self._fleet.records, sock, number, sidecar, reads_slowly)
+        number = next(self._shared.connection_numbers)
+        return ClientConnection(self._shared.records, sock, number, sidecar, reads_slowly)
 
     async def _send_requests(self, connection: ClientConnection, behaviour: ClientBehaviour) -> None:
         remaining = self._random.randint(*REQUESTS_PER_CONNECTION)
-        while remaining > 0 and connection.is_open and connection.may_send and not self._fleet.is_stopping():
+        while remaining > 0 and connection.is_open and connection.may_send and not self._shared.is_stopping():
             count = self._draw_request_count(behaviour)
             prepared = [self._prepare_request(connection, behaviour) for _ in range(count)]
             remaining -= count
@@ -147,7 +147,7 @@
 
     def _draw_time_left_s(self, behaviour: ClientBehaviour) -> float:
         is_short = behaviour is ClientBehaviour.SHORT_DEADLINE or (
-            ClientBehaviour.SHORT_DEADLINE in self._fleet.enabled and self._random.random() < FAULTY_SHARE
+            ClientBehaviour.SHORT_DEADLINE in self._shared.enabled and self._random.random() < FAULTY_SHARE
         )
         return round(self._random.uniform(*(SHORT_TIME_LEFT_S if is_short else TIME_LEFT_S)), 3)
 
--- a/tests/fault_injection/endpoint.py
+++ b/tests/fault_injection/endpoint.py
@@ -7,7 +7,7 @@
 
 from lugtally.units import NS_PER_S
 from tests.fault_injection.clock import now_ns
-from tests.fault_injection.endpoint_connection import EndpointConnection, EndpointFleet
+from tests.fault_injection.endpoint_connection import EndpointConnection, SharedEndpointState
 
 BACKLOG = 256
 
@@ -15,11 +15,11 @@
 class Endpoint:
     """One endpoint: a listener and its connections."""
 
-    def __init__(self, name: str, fleet: EndpointFleet, zone: str, cell: int) -> None:
+    def __init__(self, name: str, shared: SharedEndpointState, zone: str, cell: int) -> None:
         self.name = name
         self.zone = zone
         self.cell = cell
-        self._fleet = fleet
+        self._shared = shared
         self._listener = _listen(("127.0.0.1", 0))
         self.address: tuple[str, int] = self._listener.getsockname()
         self._connections: dict[asyncio.Task[None], socket.socket] = {}
@@ -55,7 +55,7 @@
                 await asyncio.sleep(wait_ns / NS_PER_S)
             sock, peer = await loop.sock_accept(listener)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            task = asyncio.create_task(EndpointConnection(self._fleet, self.name, sock, peer[1]).serve())
+            task = asyncio.create_task(EndpointConnection(self._shared, self.name, sock, peer[1]).serve())
             self._connections[task] = sock
             task.add_done_callback(lambda done: self._connections.pop(done, None))
 
--- a/tests/fault_injection/endpoint_connection.py
+++ b/tests/fault_injection/endpoint_connection.py
@@ -27,7 +27,7 @@
 RECEIVE_BYTES = 64 * 1024
 
 
-class EndpointFleet:
+class SharedEndpointState:
     """The state that all endpoints of a run share."""
 
     def __init__(self, seed: int, records: RunRecords, enabled: tuple[EndpointBehaviour, ...]) -> None:
@@ -42,8 +42,8 @@
 class EndpointConnection:
     """Serve one connection until it closes."""
 
-    def __init__(self, fleet: EndpointFleet, endpoint: str, sock: socket.socket, peer_port: int) -> None:
-        self._fleet = fleet
+    def __init__(self, shared: SharedEndpointState, endpoint: str, sock: socket.socket, peer_port: int) -> None:
+        self._shared = shared
         self._endpoint = endpoint
         self._sock = sock
         self._peer_port = peer_port
@@ -89,9 +89,9 @@
 
     def _begin_attempt(self) -> Attempt:
         arrived_ns = latest_arrival_ns(self._sock)
-        number = next(self._fleet.attempt_numbers)
+        number = next(self._shared.attempt_numbers)
         attempt = Attempt(number, self._endpoint, "", self._peer_port, arrived_ns, latest_byte_ns=arrived_ns)
-        self._fleet.records.attempts.append(attempt)
+        self._shared.records.attempts.append(attempt)
         return attempt
 
     def _consume_request(self, attempt: Attempt) -> bool:
@@ -112,10 +112,10 @@
 
     async def _respond(self, attempt: Attempt) -> bool:
         """Plan the response and send it; return whether the connection stays open."""
-        fleet = self._fleet
-        ordinal = fleet.ordinals[attempt.request_id]
-        fleet.ordinals[attempt.request_id] += 1
-        plan = plan_response(fleet.seed, attempt.request_id, ordinal, attempt.time_left_ns / NS_PER_S, fleet.enabled)
+        shared = self._shared
+        ordinal = shared.ordinals[attempt.request_id]
+        shared.ordinals[attempt.request_id] += 1
+        plan = plan_response(shared.seed, attempt.request_id, ordinal, attempt.time_left_ns / NS_PER_S, shared.enabled)
         attempt.plan = str(plan)
         try:
             await self._wait_unless_closed(plan.latency_s)
--- a/tests/fault_injection/scenario.py
+++ b/tests/fault_injection/scenario.py
@@ -8,11 +8,11 @@
 from pathlib import Path
 
 from tests.fault_injection.behaviour import ALL_FAULTS, ClientBehaviour, EndpointBehaviour, Fault, TimedFault
-from tests.fault_injection.client import Client, ClientFleet
+from tests.fault_injection.client import Client, SharedClientState
 from tests.fault_injection.clock import now_ns, record_scheduling_lags
 from tests.fault_injection.discovery import READY, DiscoveryService, EndpointCatalog
 from tests.fault_injection.endpoint import Endpoint
-from tests.fault_injection.endpoint_connection import EndpointFleet
+from tests.fault_injection.endpoint_connection import SharedEndpointState
 from tests.fault_injection.faults import draw_schedule
 from tests.fault_injection.injector import FaultInjector, Site
 from tests.fault_injection.records import RunRecords
@@ -81,9 +81,9 @@
     async def _start(self) -> Site:
         scenario = self._scenario
         enabled = tuple(fault for fault in scenario.faults if isinstance(fault, EndpointBehaviour))
-        fleet = EndpointFleet(scenario.seed, self._records, enabled)
+        shared = SharedEndpointState(scenario.seed, self._records, enabled)
         for number in range(scenario.endpoints):
-            endpoint = Endpoint(f"e{number}", fleet, ZONES[number % len(ZONES)], number // len(ZONES))
+            endpoint = Endpoint(f"e{number}", shared, ZONES[number % len(ZONES)], number // len(ZONES))
             endpoint.start()
             self._catalog.set_state(endpoint, READY)
             self._endpoints.append(endpoint)
@@ -93,8 +93,8 @@
         await asyncio.gather(*(sidecar.start() for sidecar in self._sidecars))
         return Site(self._sidecars, self._endpoints, self._catalog, self._services, addresses)
 
-    def _make_client_fleet(self) -> ClientFleet:
-        return ClientFleet(
+    def _make_shared_client_state(self) -> SharedClientState:
+        return SharedClientState(
             self._scenario.seed,
             self._records,
             [sidecar.address for sidecar in self._sidecars],
@@ -109,8 +109,8 @@
             TimeoutError: a client did not end in time.
         """
         scenario = self._scenario
-        fleet = self._make_client_fleet()
-        clients = [asyncio.create_task(Client(fleet, number).run()) for number in range(scenario.clients)]
+        shared = self._make_shared_client_state()
+        clients = [asyncio.create_task(Client(shared, number).run()) for number in range(scenario.clients)]
         enabled = tuple(fault for fault in scenario.faults if isinstance(fault, TimedFault))
         schedule = draw_schedule(scenario.seed, scenario.duration_s, enabled)
         injection = asyncio.create_task(FaultInjector(site, self._records).play(schedule))
