--- a/tests/fault_injection/injector.py
+++ b/tests/fault_injection/injector.py
@@ -19,7 +19,7 @@
 from tests.fault_injection.sidecar_process import SidecarProcess
 
 TERMINATION_GRACE_S = 3.7
-"""The time from SIGTERM to SIGKILL: the longest deadline and 0.7 s."""
+"""The time from SIGTERM to SIGKILL: 0.7 s longer than the longest ``X-Time-Left`` that clients send."""
 RELOADS_PER_FAULT = 3
 RELOAD_GAP_S = 0.15
 STARVE_PERIOD_S = 0.1
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class Site:
+class FaultTargets:
     """The processes and services into which faults are injected."""
 
     sidecars: list[SidecarProcess]
@@ -42,8 +42,8 @@
 class FaultInjector:
     """Injects the faults of one schedule and records them."""
 
-    def __init__(self, site: Site, records: RunRecords) -> None:
-        self._site = site
+    def __init__(self, targets: FaultTargets, records: RunRecords) -> None:
+        self._targets = targets
         self._records = records
         self._reserved_sidecars: set[int] = set()
         self._reserved_endpoints: set[str] = set()
@@ -61,7 +61,7 @@
             TimedFault.IDLE_FLOOD: self._flood_sidecar,
         }
 
-    async def play(self, schedule: list[ScheduledFault]) -> None:
+    async def run_schedule(self, schedule: list[ScheduledFault]) -> None:
         """Inject each fault at its time; return when the last one has ended."""
         started_ns = now_ns()
         async with asyncio.TaskGroup() as faults:
@@ -80,8 +80,8 @@
 
     @contextlib.contextmanager
     def _reserve_sidecar(self, fault: ScheduledFault) -> Iterator[SidecarProcess | None]:
-        """Yield the sidecar of a fault and reserve it; ``None`` if another fault has reserved it."""
-        sidecar = self._site.sidecars[fault.target % len(self._site.sidecars)]
+        """Reserve the sidecar of a fault and yield it; yield ``None`` if another fault has reserved it."""
+        sidecar = self._targets.sidecars[fault.target % len(self._targets.sidecars)]
         if sidecar.number in self._reserved_sidecars:
             yield None
             return
@@ -99,7 +99,7 @@
                 self._record(f"SIGCONT sidecar {sidecar.number}", sidecar)
 
     async def _pause(self, sidecar: SidecarProcess, duration_s: float) -> None:
-        """Stop a sidecar for the duration, and record the actual interval."""
+        """Stop a sidecar with SIGSTOP for the duration, and record the actual interval."""
         started_ns = now_ns()
         stop = SidecarStop(started_ns, started_ns + int(duration_s * NS_PER_S), sidecar.number)
         sidecar.send_signal(signal.SIGSTOP)
@@ -111,7 +111,7 @@
             stop.end_ns = now_ns()
 
     async def _starve_sidecar(self, fault: ScheduledFault) -> None:
-        """Stop a sidecar for most of each period, as a process without enough CPU time is."""
+        """Stop a sidecar for most of each period, like a process that gets too little CPU time."""
         with self._reserve_sidecar(fault) as sidecar:
             if sidecar is None:
                 return
@@ -121,14 +121,14 @@
                 await asyncio.sleep(STARVE_PERIOD_S - STARVE_STOPPED_S)
 
     async def _terminate_sidecar(self, fault: ScheduledFault) -> None:
-        """Shut a sidecar down, kill it after the grace period, and start it again."""
+        """Shut a sidecar down, kill it if it still runs after the grace period, and start it again."""
         with self._reserve_sidecar(fault) as sidecar:
             if sidecar is None:
                 return
             self._record(f"SIGTERM sidecar {sidecar.number}", sidecar)
             sidecar.send_signal(signal.SIGTERM)
-            ended = await sidecar.wait_for_exit(TERMINATION_GRACE_S)
-            self._record(f"sidecar {sidecar.number} {'has ended' if ended else 'still runs: SIGKILL'}", sidecar)
+            exited = await sidecar.wait_for_exit(TERMINATION_GRACE_S)
+            self._record(f"sidecar {sidecar.number} {'has exited' if exited else 'still runs: SIGKILL'}", sidecar)
             await self._restart_sidecar(sidecar)
 
     async def _kill_sidecar(self, fault: ScheduledFault) -> None:
@@ -142,22 +142,22 @@
     async def _restart_sidecar(self, sidecar: SidecarProcess) -> None:
         sidecar.kill()
         await sidecar.start()
-        self._record(f"sidecar {sidecar.number} is back", sidecar)
+        self._record(f"sidecar {sidecar.number} is ready again", sidecar)
 
     async def _reload_sidecars(self, fault: ScheduledFault) -> None:
         """Reload the sidecars several times, each time with another discovery service."""
-        site = self._site
+        targets = self._targets
         self._record("SIGHUP to all sidecars, several times")
         for reload_number in range(RELOADS_PER_FAULT):
-            for sidecar in site.sidecars:
+            for sidecar in targets.sidecars:
                 if sidecar.is_running and sidecar.number not in self._reserved_sidecars:
-                    service = (fault.target + reload_number) % len(site.service_addresses)
-                    sidecar.reload(site.service_addresses[service])
+                    service = (fault.target + reload_number) % len(targets.service_addresses)
+                    sidecar.reload(targets.service_addresses[service])
             await asyncio.sleep(RELOAD_GAP_S)
 
     async def _flood_sidecar(self, fault: ScheduledFault) -> None:
         """Open connections that send nothing, or half a request each, and close them after the duration."""
-        sidecar = self._site.sidecars[fault.target % len(self._site.sidecars)]
+        sidecar = self._targets.sidecars[fault.target % len(self._targets.sidecars)]
         sends_half = fault.strength % 2 == 1
         kind = "connections with half a request" if sends_half else "idle connections"
         self._record(f"{fault.strength} {kind} to sidecar {sidecar.number} for {fault.duration_s} s", sidecar)
@@ -168,7 +168,7 @@
 
     @staticmethod
     async def _open_connection(sidecar: SidecarProcess, sends_half: bool) -> socket.socket:
-        """Connect without waiting for the result; send half a request if the connection is established."""
+        """Start to connect without waiting for the result; send half a request if the connection is established."""
         sock = socket.socket()
         sock.setblocking(False)
         sock.connect_ex(sidecar.address)
@@ -182,8 +182,8 @@
 
     @contextlib.contextmanager
     def _reserve_endpoint(self, fault: ScheduledFault) -> Iterator[Endpoint | None]:
-        """Yield the endpoint of a fault and reserve it; ``None`` if it is reserved, or half of the endpoints are."""
-        endpoints = self._site.endpoints
+        """Reserve the endpoint of a fault and yield it; yield ``None`` if it or half of the endpoints are reserved."""
+        endpoints = self._targets.endpoints
         endpoint = endpoints[fault.target % len(endpoints)]
         if endpoint.name in self._reserved_endpoints or len(self._reserved_endpoints) >= len(endpoints) // 2:
             yield None
@@ -199,13 +199,13 @@
         with self._reserve_endpoint(fault) as endpoint:
             if endpoint is None:
                 return
-            self._record(f"{endpoint.name} drains")
-            self._site.catalog.set_state(endpoint, DRAINING)
+            self._record(f"{endpoint.name} is listed as draining")
+            self._targets.catalog.set_state(endpoint, DRAINING)
             await asyncio.sleep(fault.duration_s)
-            self._site.catalog.set_state(endpoint, REMOVED)
+            self._targets.catalog.set_state(endpoint, REMOVED)
             await asyncio.sleep(REMOVED_PERIOD_S)
-            self._record(f"{endpoint.name} joins")
-            self._site.catalog.set_state(endpoint, READY, started_now=True)
+            self._record(f"{endpoint.name} is listed as newly started")
+            self._targets.catalog.set_state(endpoint, READY, started_now=True)
 
     async def _kill_endpoint(self, fault: ScheduledFault) -> None:
         with self._reserve_endpoint(fault) as endpoint:
@@ -215,22 +215,22 @@
             await endpoint.stop()
             await asyncio.sleep(fault.duration_s)
             endpoint.restart()
-            self._site.catalog.set_state(endpoint, READY, started_now=True)
-            self._record(f"{endpoint.name} is back")
+            self._targets.catalog.set_state(endpoint, READY, started_now=True)
+            self._record(f"{endpoint.name} listens again")
 
     async def _slow_connect(self, fault: ScheduledFault) -> None:
-        endpoint = self._site.endpoints[fault.target % len(self._site.endpoints)]
-        self._record(f"{endpoint.name} accepts nothing for {fault.duration_s} s")
+        endpoint = self._targets.endpoints[fault.target % len(self._targets.endpoints)]
+        self._record(f"{endpoint.name} accepts no connection for {fault.duration_s} s")
         endpoint.delay_accepts(fault.duration_s)
 
     # ------------------------------------------------------------ discovery
 
     async def _reset_discovery(self, fault: ScheduledFault) -> None:
-        self._record("discovery resets its connections")
-        for service in self._site.services:
+        self._record("the discovery services reset their connections")
+        for service in self._targets.services:
             service.reset_connections()
 
     async def _silence_discovery(self, fault: ScheduledFault) -> None:
-        self._record(f"discovery is silent for {fault.duration_s} s")
-        for service in self._site.services:
+        self._record(f"the discovery services answer no call for {fault.duration_s} s")
+        for service in self._targets.services:
             service.pause_answers(fault.duration_s)
--- a/tests/fault_injection/scenario.py
+++ b/tests/fault_injection/scenario.py
@@ -14,7 +14,7 @@
 from tests.fault_injection.endpoint import Endpoint
 from tests.fault_injection.endpoint_connection import SharedEndpointState
 from tests.fault_injection.faults import draw_schedule
-from tests.fault_injection.injector import FaultInjector, Site
+from tests.fault_injection.injector import FaultInjector, FaultTargets
 from tests.fault_injection.records import RunRecords
 from tests.fault_injection.sidecar_process import SidecarProcess
 
@@ -70,15 +70,15 @@
     async def run(self) -> RunResult:
         lag_recorder = asyncio.create_task(record_scheduling_lags(self._records))
         try:
-            site = await self._start()
+            targets = await self._start()
             started_ns = now_ns()
-            await self._run_clients_and_faults(site)
+            await self._run_clients_and_faults(targets)
             return RunResult(self._records, [sidecar.log for sidecar in self._sidecars], started_ns)
         finally:
             lag_recorder.cancel()
             await self._end()
 
-    async def _start(self) -> Site:
+    async def _start(self) -> FaultTargets:
         scenario = self._scenario
         enabled = tuple(fault for fault in scenario.faults if isinstance(fault, EndpointBehaviour))
         shared = SharedEndpointState(scenario.seed, self._records, enabled)
@@ -91,7 +91,7 @@
         for sidecar in self._sidecars:
             sidecar.discovery = addresses[0]
         await asyncio.gather(*(sidecar.start() for sidecar in self._sidecars))
-        return Site(self._sidecars, self._endpoints, self._catalog, self._services, addresses)
+        return FaultTargets(self._sidecars, self._endpoints, self._catalog, self._services, addresses)
 
     def _make_shared_client_state(self) -> SharedClientState:
         return SharedClientState(
@@ -102,7 +102,7 @@
             lambda: self._is_stopping,
         )
 
-    async def _run_clients_and_faults(self, site: Site) -> None:
+    async def _run_clients_and_faults(self, targets: FaultTargets) -> None:
         """Run the clients and the fault schedule; raise the first exception of either.
 
         Raises:
@@ -113,7 +113,7 @@
         clients = [asyncio.create_task(Client(shared, number).run()) for number in range(scenario.clients)]
         enabled = tuple(fault for fault in scenario.faults if isinstance(fault, TimedFault))
         schedule = draw_schedule(scenario.seed, scenario.duration_s, enabled)
-        injection = asyncio.create_task(FaultInjector(site, self._records).play(schedule))
+        injection = asyncio.create_task(FaultInjector(targets, self._records).run_schedule(schedule))
         await asyncio.sleep(scenario.duration_s)
         self._is_stopping = True
         _, unfinished = await asyncio.wait(clients, timeout=CLIENT_SHUTDOWN_TIMEOUT_S)
