--- a/tests/fault_injection/injector.py
+++ b/tests/fault_injection/injector.py
@@ -158,10 +158,10 @@
     async def _flood_sidecar(self, fault: ScheduledFault) -> None:
         """Open connections that send nothing, or half a request each, and close them after the duration."""
         sidecar = self._targets.sidecars[fault.target % len(self._targets.sidecars)]
-        sends_half = fault.strength % 2 == 1
+        sends_half = fault.connection_count % 2 == 1
         kind = "connections with half a request" if sends_half else "idle connections"
-        self._record(f"{fault.strength} {kind} to sidecar {sidecar.number} for {fault.duration_s} s", sidecar)
-        sockets = [await self._open_connection(sidecar, sends_half) for _ in range(fault.strength)]
+        self._record(f"{fault.connection_count} {kind} to sidecar {sidecar.number} for {fault.duration_s} s", sidecar)
+        sockets = [await self._open_connection(sidecar, sends_half) for _ in range(fault.connection_count)]
         await asyncio.sleep(fault.duration_s)
         for sock in sockets:
             sock.close()
