--- a/tests/fault_injection/endpoint_connection.py
+++ b/tests/fault_injection/endpoint_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a sidecar to an endpoint: reads requests, and sends each response as its plan says."""
+"""The endpoint's side of one connection: it reads requests and sends each response as planned."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from tests.fault_injection.clock import latest_arrival_ns, now_ns
 from tests.fault_injection.identity import BodyIdentity, make_body
 from tests.fault_injection.records import Attempt, ResponseKind, RunRecords
-from tests.fault_injection.response_plan import LONG_BODY_BYTES, Framing, Place, ResponsePlan, plan_response
+from tests.fault_injection.response_plan import LONG_BODY_BYTES, FaultPosition, Framing, ResponsePlan, plan_response
 from tests.fault_injection.wire import HEAD_END, parse_head, serialize_chunk, serialize_head
 from tests.sockets import reset_on_close
 
 SILENCE_S = 6.0
 SECOND_COPY_DELAY_S = 0.002
 MAX_SECOND_COPY_DELAY_NS = 5 * NS_PER_MS
-"""No second copy is sent later than this: a sidecar waits 8 ms for one, and this process may run late itself."""
+"""No second copy is sent later than this.  A sidecar waits 8 ms for one, and this process may itself run late."""
 CHUNK_BYTES = 9000
 ENDLESS_PERIOD_S = 0.05
 ENDLESS_SLOW_CHUNK_BYTES = 100
@@ -35,12 +35,12 @@
         self.records = records
         self.enabled = enabled
         self.attempt_numbers = itertools.count(1)
-        self.ordinals: Counter[str] = Counter()
+        self.received_attempts: Counter[str] = Counter()
         """The number of attempts received, by request id."""
 
 
 class EndpointConnection:
-    """Serve one connection until it closes."""
+    """Serves the requests of one connection until it closes."""
 
     def __init__(self, shared: SharedEndpointState, endpoint: str, sock: socket.socket, peer_port: int) -> None:
         self._shared = shared
@@ -51,7 +51,7 @@
         self._buffer = bytearray()
 
     async def serve(self) -> None:
-        """Answer one request after the other; reset the connection on a fault or on cancellation."""
+        """Respond to one request after the other; reset the connection after a fault or a cancellation."""
         reset = True
         try:
             while (attempt := await self._read_request()) is not None:
@@ -62,7 +62,7 @@
         except OSError:
             pass  # the sidecar closed the connection, or the plan resets it
         except asyncio.CancelledError:
-            pass  # the endpoint is killed
+            pass  # a fault kills the endpoint, or the run ends
         finally:
             if reset:
                 with contextlib.suppress(OSError):
@@ -113,9 +113,11 @@
     async def _respond(self, attempt: Attempt) -> bool:
         """Plan the response and send it; return whether the connection stays open."""
         shared = self._shared
-        ordinal = shared.ordinals[attempt.request_id]
-        shared.ordinals[attempt.request_id] += 1
-        plan = plan_response(shared.seed, attempt.request_id, ordinal, attempt.time_left_ns / NS_PER_S, shared.enabled)
+        attempt_index = shared.received_attempts[attempt.request_id]
+        shared.received_attempts[attempt.request_id] += 1
+        plan = plan_response(
+            shared.seed, attempt.request_id, attempt_index, attempt.time_left_ns / NS_PER_S, shared.enabled
+        )
         attempt.plan = str(plan)
         try:
             await self._wait_unless_closed(plan.latency_s)
@@ -124,7 +126,7 @@
             attempt.ended_ns = now_ns()
 
     async def _wait_unless_closed(self, duration_s: float) -> None:
-        """Wait for the duration, and buffer what the sidecar sends meanwhile.
+        """Wait for the duration, or until the sidecar sends bytes, which are buffered.
 
         Raises:
             ConnectionResetError: the sidecar closed the connection.
@@ -134,11 +136,11 @@
         except TimeoutError:
             return
         if not data:
-            raise ConnectionResetError("the sidecar closed")
-        self._buffer += data  # a further request, which is read after this one
+            raise ConnectionResetError("the sidecar closed the connection")
+        self._buffer += data  # of a further request, which is read after the response to this one
 
     async def _send_response(self, attempt: Attempt, plan: ResponsePlan) -> bool:
-        """Send what the plan says; return whether the connection stays open."""
+        """Send the planned response; return whether the connection stays open."""
         match plan.behaviour:
             case EndpointBehaviour.UNPROCESSED:
                 attempt.response_kind = ResponseKind.UNPROCESSED
@@ -192,8 +194,8 @@
                 return serialize_head("HTTP/1.1 200 OK", {"Connection": "close"}) + body
 
     async def _send_twice(self, response: bytes, plan: ResponsePlan) -> None:
-        """Send a response twice: in one write, or the second copy some milliseconds later."""
-        if plan.place in (Place.BEFORE_HEAD, Place.IN_HEAD):
+        """Send a response twice: both copies in one write, or the second some milliseconds after the first."""
+        if plan.fault_position in (FaultPosition.BEFORE_HEAD, FaultPosition.IN_HEAD):
             await self._send(response + response)
             return
         await self._send(response)
@@ -203,33 +205,35 @@
             await self._send(response)
 
     async def _send_truncated(self, attempt: Attempt, plan: ResponsePlan) -> None:
-        """Send a response up to the planned place, then reset, shut down or send nothing more."""
+        """Send a response up to the planned position, then reset, shut down or send nothing more."""
         response = self._serialize(attempt, plan)
         head_bytes = response.find(HEAD_END) + len(HEAD_END)
         length = {
-            Place.BEFORE_HEAD: 0,
-            Place.IN_HEAD: head_bytes // 2,
-            Place.IN_BODY: (head_bytes + len(response)) // 2,
-            Place.AFTER: len(response),
-        }[plan.place]
-        # A reset discards undelivered bytes, and a body until close is complete only after an orderly close.
+            FaultPosition.BEFORE_HEAD: 0,
+            FaultPosition.IN_HEAD: head_bytes // 2,
+            FaultPosition.IN_BODY: (head_bytes + len(response)) // 2,
+            FaultPosition.AFTER: len(response),
+        }[plan.fault_position]
+        # A reset discards undelivered bytes, and a body framed by the close is complete only after an orderly close.
         may_be_complete = plan.behaviour is not EndpointBehaviour.RESET and plan.framing is not Framing.UNTIL_CLOSE
         attempt.response_kind = (
-            ResponseKind.COMPLETE if plan.place is Place.AFTER and may_be_complete else ResponseKind.INCOMPLETE
+            ResponseKind.COMPLETE
+            if plan.fault_position is FaultPosition.AFTER and may_be_complete
+            else ResponseKind.INCOMPLETE
         )
         await self._send(response[:length])
         match plan.behaviour:
             case EndpointBehaviour.RESET:
                 return  # ``serve`` resets the connection
             case EndpointBehaviour.TRUNCATED if plan.framing is not Framing.UNTIL_CLOSE:
-                self._sock.shutdown(socket.SHUT_WR)  # it would complete a body until close
+                self._sock.shutdown(socket.SHUT_WR)  # with this framing the shutdown would complete the body
         await self._wait_unless_closed(SILENCE_S)
 
     async def _send_endless(self, attempt: Attempt, plan: ResponsePlan) -> None:
-        """Send a response without an end, in large or small chunks by the planned place."""
+        """Send a response without an end, in large or small chunks depending on the planned position."""
         attempt.response_kind = ResponseKind.INCOMPLETE
         body = self._body(attempt, LONG_BODY_BYTES[1])
-        is_fast = plan.place in (Place.IN_BODY, Place.AFTER)
+        is_fast = plan.fault_position in (FaultPosition.IN_BODY, FaultPosition.AFTER)
         chunk_bytes = len(body) // 8 if is_fast else ENDLESS_SLOW_CHUNK_BYTES
         await self._send(serialize_head("HTTP/1.1 200 OK", {"Transfer-Encoding": "chunked"}))
         for start in range(0, len(body) - chunk_bytes, chunk_bytes):
