--- a/tests/fault_injection/endpoint_connection.py
+++ b/tests/fault_injection/endpoint_connection.py
@@ -36,7 +36,7 @@
         self.enabled = enabled
         self.attempt_numbers = itertools.count(1)
         self.received_attempts: Counter[str] = Counter()
-        """The number of attempts received, by request id."""
+        """The number of attempts received so far, by request id."""
 
 
 class EndpointConnection:
@@ -226,7 +226,8 @@
             case EndpointBehaviour.RESET:
                 return  # ``serve`` resets the connection
             case EndpointBehaviour.TRUNCATED if plan.framing is not Framing.UNTIL_CLOSE:
-                self._sock.shutdown(socket.SHUT_WR)  # with this framing the shutdown would complete the body
+                # Not for a body that ends with the connection: the shutdown would complete it.
+                self._sock.shutdown(socket.SHUT_WR)
         await self._wait_unless_closed(SILENCE_S)
 
     async def _send_endless(self, attempt: Attempt, plan: ResponsePlan) -> None:
