--- a/tests/fault_injection/client_connection.py
+++ b/tests/fault_injection/client_connection.py
@@ -17,7 +17,7 @@
     RunRecords,
     SentRequest,
 )
-from tests.fault_injection.wire import MalformedResponseError, ReadResponse, ResponseReader
+from tests.fault_injection.wire import MalformedResponseError, ParsedResponse, ResponseReader
 from tests.sockets import reset_on_close
 
 PATIENCE_AFTER_DEADLINE_NS = 4_200 * NS_PER_MS
@@ -145,12 +145,12 @@
         except OSError:
             end = ConnectionEnd.RESET_BY_SIDECAR
         except MalformedResponseError as error:
-            self._record_answer(ReadResponse(0, str(error).encode(), True, True), now_ns())
+            self._record_answer(ParsedResponse(0, str(error).encode(), True, True), now_ns())
         if (truncated := self._reader.end(end is ConnectionEnd.RESET_BY_SIDECAR)) is not None:
             self._record_answer(truncated, now_ns())
         self._end(end)
 
-    def _record_answer(self, response: ReadResponse, arrived_ns: int) -> None:
+    def _record_answer(self, response: ParsedResponse, arrived_ns: int) -> None:
         if self._belongs_to_malformed(response):
             return
         request = self._unanswered.popleft() if self._unanswered else None
@@ -160,7 +160,7 @@
         self.may_send = self.may_send and not response.closes
         self._answered.set()
 
-    def _belongs_to_malformed(self, response: ReadResponse) -> bool:
+    def _belongs_to_malformed(self, response: ParsedResponse) -> bool:
         """Return whether this is the 4xx answer to a malformed request, with all earlier requests answered."""
         if not self.sends_malformed or not 400 <= response.status < 500:
             return False
--- a/tests/fault_injection/wire.py
+++ b/tests/fault_injection/wire.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 of a sidecar's peers: requests read by endpoints, responses read by clients."""
+"""HTTP/1.1 for the endpoints and clients of a sidecar: heads, chunks, and a parser of responses."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 @dataclass(slots=True)
 class Head:
-    """A start line and its headers, with lower-case names."""
+    """A start line and the headers after it, by lower-case name."""
 
     start_line: str
     headers: dict[str, str]
 
 
 def parse_head(data: bytes) -> Head:
-    """Return the parsed head; ``data`` is without the empty line."""
+    """Return the parsed head; ``data`` excludes the empty line that ends it."""
     start_line, *lines = data.decode("latin-1").split("\r\n")
     headers = {}
     for line in lines:
@@ -30,8 +30,8 @@
 
 
 @dataclass(slots=True)
-class ReadResponse:
-    """A response as a client read it, complete or truncated."""
+class ParsedResponse:
+    """A response that a client received, complete or truncated."""
 
     status: int
     body: bytes
@@ -41,7 +41,7 @@
 
 
 class ResponseReader:
-    """Parses the responses of one connection; interim responses are skipped."""
+    """Parses the responses on one connection and skips interim (1xx) responses."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
@@ -49,8 +49,8 @@
         self._status = 0
         self._body = bytearray()
 
-    def feed(self, data: bytes) -> list[ReadResponse]:
-        """Return the responses that are complete with these bytes.
+    def feed(self, data: bytes) -> list[ParsedResponse]:
+        """Add received bytes; return the responses that they complete.
 
         Raises:
             MalformedResponseError: the bytes are not a response.
@@ -62,23 +62,23 @@
                 responses.append(response)
         return responses
 
-    def end(self, was_reset: bool) -> ReadResponse | None:
-        """Return the response that was in progress when the connection ended, if any."""
+    def end(self, was_reset: bool) -> ParsedResponse | None:
+        """Handle the end of the connection; return the response that it ended or truncated, if any."""
         if self._head is None:
-            return ReadResponse(0, bytes(self._buffer), False, True) if self._buffer else None
+            return ParsedResponse(0, bytes(self._buffer), False, True) if self._buffer else None
         until_close = not {"content-length", "transfer-encoding"} & self._head.headers.keys()
         is_chunked = "transfer-encoding" in self._head.headers
         self._body += self._buffer.partition(b"\r\n")[2] if is_chunked else self._buffer
-        return ReadResponse(self._status, bytes(self._body), until_close and not was_reset, True)
+        return ParsedResponse(self._status, bytes(self._body), until_close and not was_reset, True)
 
-    def _next(self) -> ReadResponse | None:
+    def _next(self) -> ParsedResponse | None:
         if self._head is None and not self._read_head():
             return None
         assert self._head is not None
         if not self._read_body(self._head):
             return None
         closes = self._head.headers.get("connection", "").lower() == "close"
-        response = ReadResponse(self._status, bytes(self._body), True, closes)
+        response = ParsedResponse(self._status, bytes(self._body), True, closes)
         self._head = None
         self._body.clear()
         return response
@@ -121,7 +121,7 @@
 
 
 def serialize_head(start_line: str, headers: dict[str, str]) -> bytes:
-    """Return a head, including its empty line."""
+    """Return a head, including the empty line that ends it."""
     lines = [start_line, *(f"{name}: {value}" for name, value in headers.items())]
     return "\r\n".join(lines).encode() + HEAD_END
 
