--- a/tests/fault_injection/client_connection.py
+++ b/tests/fault_injection/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a client: requests written, answers read, each recorded with its time."""
+"""The client's side of one connection: it writes requests, reads answers and records their times."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 from tests.fault_injection.wire import MalformedResponseError, ParsedResponse, ResponseReader
 from tests.sockets import reset_on_close
 
-PATIENCE_AFTER_DEADLINE_NS = 4_200 * NS_PER_MS
-"""The time that a client waits after a deadline: a sidecar may be stopped for 3 s."""
+MAX_WAIT_AFTER_DEADLINE_NS = 4_200 * NS_PER_MS
+"""The time that a client waits for an answer after the deadline, because a sidecar may be stopped for 3 s."""
 SLOW_READ_BYTES = 4096
 SLOW_READ_DELAY_S = 0.01
 RECEIVE_BYTES = 64 * 1024
 
 
 class ClientConnection:
-    """One connection of a client; it records requests, answers and its end."""
+    """One connection of a client, which records its requests, its answers and its end."""
 
     def __init__(self, records: RunRecords, sock: socket.socket, number: int, sidecar: int, reads_slowly: bool) -> None:
         self._records = records
@@ -47,14 +47,14 @@
         self.sends_malformed = False
         self.is_open = True
         self.may_send = True
-        """Whether no answer so far had ``Connection: close``."""
+        """Whether a further request may be sent: no answer so far had ``Connection: close``."""
 
     def next_position(self) -> int:
         """Return the index of the next request on this connection."""
         return next(self._positions)
 
     async def send(self, pieces: list[bytes], requests: list[SentRequest], delays: list[float] | None = None) -> None:
-        """Write the pieces, which together are the requests, and record when the last byte was written."""
+        """Write the pieces, which concatenated are the requests, and record when the last byte was written."""
         for request in requests:
             self._records.requests[request.request_id] = request
             self._unanswered.append(request)
@@ -71,7 +71,7 @@
             request.last_byte_ns, request.write_number = written_ns, write_number
 
     async def _write(self, data: bytes) -> bool:
-        """Write; return whether that succeeded.  The reader records the end of a broken connection."""
+        """Write; return whether that succeeded.  The read task records the end of a broken connection."""
         self._is_writing = True
         try:
             await self._loop.sock_sendall(self._sock, data)
@@ -83,13 +83,17 @@
                 self._sock.close()
         return True
 
-    async def wait_for_answers(self, limit_s: float | None = None) -> bool:
-        """Wait for the answers to all requests; return false on close, after ``limit_s`` or after the patience."""
-        limit_ns = None if limit_s is None else now_ns() + int(limit_s * NS_PER_S)
+    async def wait_for_answers(self, timeout_s: float | None = None) -> bool:
+        """Wait for the answers to all requests; return whether all arrived.
+
+        The wait ends when the connection ends and after ``timeout_s``; without a timeout it ends
+        ``MAX_WAIT_AFTER_DEADLINE_NS`` after the latest deadline.
+        """
+        timeout_end_ns = None if timeout_s is None else now_ns() + int(timeout_s * NS_PER_S)
         while self._unanswered and self.is_open:
             deadlines = [request.deadline_ns for request in self._unanswered if request.last_byte_ns is not None]
-            patience_ns = max(deadlines, default=now_ns()) + PATIENCE_AFTER_DEADLINE_NS
-            remaining_ns = (patience_ns if limit_ns is None else limit_ns) - now_ns()
+            latest_wait_end_ns = max(deadlines, default=now_ns()) + MAX_WAIT_AFTER_DEADLINE_NS
+            remaining_ns = (latest_wait_end_ns if timeout_end_ns is None else timeout_end_ns) - now_ns()
             if remaining_ns <= 0:
                 return False
             self._answered.clear()
@@ -98,7 +102,7 @@
         return not self._unanswered
 
     def abandon(self, reset: bool) -> None:
-        """Disconnect, also while requests are unanswered."""
+        """Disconnect, even if requests are unanswered, and record the time for each of them."""
         if not self.is_open:
             return
         unanswered = list(self._unanswered)
@@ -122,7 +126,7 @@
         self._read_task.cancel()
         self._loop.remove_reader(self._sock)
         if self._is_writing:
-            # After a close of its descriptor the write would never be resumed.
+            # If the descriptor were closed now, the pending write would never be resumed.
             with contextlib.suppress(OSError):
                 self._sock.shutdown(socket.SHUT_RDWR)
         else:
@@ -151,7 +155,7 @@
         self._end(end)
 
     def _record_answer(self, response: ParsedResponse, arrived_ns: int) -> None:
-        if self._belongs_to_malformed(response):
+        if self._answers_malformed_request(response):
             return
         request = self._unanswered.popleft() if self._unanswered else None
         request_id = None if request is None else request.request_id
@@ -160,8 +164,8 @@
         self.may_send = self.may_send and not response.closes
         self._answered.set()
 
-    def _belongs_to_malformed(self, response: ParsedResponse) -> bool:
-        """Return whether this is the 4xx answer to a malformed request, with all earlier requests answered."""
+    def _answers_malformed_request(self, response: ParsedResponse) -> bool:
+        """Return whether this is the 4xx answer to a malformed request, after answers to all earlier requests."""
         if not self.sends_malformed or not 400 <= response.status < 500:
             return False
         return not self._unanswered or self._unanswered[0].follows_malformed
