--- a/tests/fault_injection/client.py
+++ b/tests/fault_injection/client.py
@@ -1,4 +1,4 @@
-"""Clients of the sidecars: each draws its behaviour from the seed and its own number."""
+"""Clients of the sidecars; each draws its behaviour from the seed of the run and its own number."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 Address = tuple[str, int]
 
 FAULTY_SHARE = 0.6
-"""The share of connections with one of the enabled behaviours."""
+"""The share of connections with one of the enabled faults, and of requests with a short deadline if that is enabled."""
 REQUESTS_PER_CONNECTION = (1, 12)
 PIPELINED_REQUESTS = (2, 6)
-MAX_THINK_S = 0.12
+MAX_THINK_TIME_S = 0.12
 TIME_LEFT_S = (1.0, 3.0)
 SHORT_TIME_LEFT_S = (0.3, 2.0)
 RECONNECT_DELAY_S = 0.05
@@ -70,14 +70,14 @@
 
 @dataclass(slots=True)
 class _PreparedRequest:
-    """A request before it is written, with its bytes."""
+    """A request that is not yet written, and its bytes."""
 
     request: SentRequest
     data: bytes
 
 
 class Client:
-    """One client, which opens one connection after the other."""
+    """One client, which uses one connection after the other."""
 
     def __init__(self, shared: SharedClientState, number: int) -> None:
         self._shared = shared
@@ -86,7 +86,7 @@
         self._request_numbers = itertools.count(1)
 
     async def run(self) -> None:
-        """Send requests until the run stops, and wait for the answers of those already sent."""
+        """Send requests until the run stops, and wait for the answers to those already sent."""
         while not self._shared.is_stopping():
             behaviour = self._draw_behaviour()
             sidecar = self._random.randrange(len(self._shared.sidecars))
@@ -99,7 +99,7 @@
                 await self._send_requests(connection, behaviour)
             finally:
                 connection.close()
-            await asyncio.sleep(self._random.uniform(0, MAX_THINK_S))
+            await asyncio.sleep(self._random.uniform(0, MAX_THINK_TIME_S))
 
     def _draw_behaviour(self) -> ClientBehaviour:
         if self._shared.enabled and self._random.random() < FAULTY_SHARE:
@@ -135,7 +135,7 @@
                 return
             if not await connection.wait_for_answers() or behaviour is ClientBehaviour.MALFORMED_REQUEST:
                 return
-            await asyncio.sleep(self._random.uniform(0, MAX_THINK_S))
+            await asyncio.sleep(self._random.uniform(0, MAX_THINK_TIME_S))
 
     def _draw_request_count(self, behaviour: ClientBehaviour) -> int:
         """Return how many requests to send before the next wait for answers."""
@@ -196,7 +196,7 @@
                 await connection.send([data], [item.request for item in prepared])
 
     async def _send_with_malformed(self, connection: ClientConnection, prepared: list[_PreparedRequest]) -> None:
-        """Send a malformed request in one write with valid ones, before the last of them."""
+        """Send valid requests in one write, with a malformed request before the last of them."""
         *before, last = prepared
         last.request.follows_malformed = True
         data = b"".join(item.data for item in before) + self._random.choice(MALFORMED_REQUESTS) + last.data
