--- a/tests/fault_injection/records.py
+++ b/tests/fault_injection/records.py
@@ -1,4 +1,8 @@
-"""The records of a run; every time is of ``time.monotonic_ns``, one clock for all processes of this machine."""
+"""The records of a run.
+
+An answer is what a client read, a response what an endpoint sent.  Every time is from ``time.monotonic_ns``, which is
+one clock for all processes of the machine.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +11,7 @@
 
 
 class RequestClass(Enum):
-    """The classes of the settings in ``sidecar_process``; the value is the name on the wire."""
+    """The request classes in the settings of ``sidecar_process``; the value is the name on the wire."""
 
     IDEMPOTENT = "campaign-read"
     IDEMPOTENCY_KEY = "pledge-record"
@@ -15,7 +19,7 @@
 
 
 class ConnectionEnd(Enum):
-    """How a client's connection was closed, and by whom."""
+    """How a client's connection ended, and by whom."""
 
     CLOSED_BY_SIDECAR = "closed by the sidecar"
     RESET_BY_SIDECAR = "reset by the sidecar"
@@ -33,7 +37,7 @@
 
 @dataclass(slots=True)
 class SentRequest:
-    """One request as its client sent it."""
+    """One request that a client sent, completely or in part."""
 
     request_id: str
     request_class: RequestClass
@@ -43,18 +47,18 @@
     """Its index among the requests of its connection, from 0."""
     time_left_ns: int
     write_number: int = -1
-    """The write of its connection that contained its last byte; the bytes of one write are read together."""
+    """The number of the write on its connection that contained its last byte; a sidecar reads one write as a whole."""
     last_byte_ns: int | None = None
     """When the call that wrote its last byte returned; ``None`` while it is incomplete."""
     disconnected_ns: int | None = None
-    """When its client closed or reset the connection before the answer."""
+    """When its client closed or reset the connection before the answer; ``None`` if it did not."""
     reads_slowly: bool = False
     follows_malformed: bool = False
-    """Whether a malformed request precedes it on its connection: it needs no answer."""
+    """Whether a malformed request precedes it on its connection, so that it needs no answer."""
 
     @property
     def deadline_ns(self) -> int:
-        """Its deadline, which counts from its last byte."""
+        """The deadline: ``time_left_ns`` after its last byte."""
         assert self.last_byte_ns is not None
         return self.last_byte_ns + self.time_left_ns
 
@@ -84,7 +88,7 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One request as an endpoint received it."""
+    """One request that an endpoint received, completely or in part."""
 
     attempt_number: int
     """Unique among all endpoints of the run."""
@@ -101,7 +105,7 @@
     """When its latest byte arrived, also while it is incomplete."""
     response_kind: ResponseKind = ResponseKind.NONE
     plan: str = ""
-    """The planned behaviour of the endpoint, for timelines."""
+    """The planned response of the endpoint as text, for timelines."""
     ended_ns: int | None = None
 
 
@@ -113,7 +117,7 @@
     end_ns: int
 
     def overlaps(self, start_ns: int, end_ns: int) -> bool:
-        """Return whether the two periods have a moment in common."""
+        """Return whether this period and the given one overlap."""
         return self.start_ns <= end_ns and start_ns <= self.end_ns
 
 
@@ -134,7 +138,7 @@
 
 @dataclass(slots=True)
 class InjectedFault:
-    """A fault at the time of its injection, for timelines."""
+    """An injected fault and its time, for timelines."""
 
     at_ns: int
     text: str
@@ -153,5 +157,5 @@
     stops: list[SidecarStop] = field(default_factory=list)
     kills: list[SidecarKill] = field(default_factory=list)
     scheduling_lags: list[Interval] = field(default_factory=list)
-    """When the process of the checker ran late."""
+    """The periods in which the checking process ran late."""
     faults: list[InjectedFault] = field(default_factory=list)
