--- a/tests/fault_injection/records.py
+++ b/tests/fault_injection/records.py
@@ -47,7 +47,7 @@
     """Its index among the requests of its connection, from 0."""
     time_left_ns: int
     write_number: int = -1
-    """The number of the write on its connection that contained its last byte; a sidecar reads one write as a whole."""
+    """The number of the write on its connection that contained its last byte; its bytes are read together."""
     last_byte_ns: int | None = None
     """When the call that wrote its last byte returned; ``None`` while it is incomplete."""
     disconnected_ns: int | None = None
