--- a/tests/fault_injection/checker.py
+++ b/tests/fault_injection/checker.py
@@ -4,9 +4,10 @@
 
 * requests pending at a sidecar that was killed;
 * requests after a malformed request on the same connection, which the sidecar closes after it;
-* requests on a connection that was closed after an earlier answer, if no endpoint received a byte of an attempt and no
-  request of the same write was answered, which would prove that it was read (``UncheckedReason.CROSSED_CLOSE``, or
-  ``UncheckedReason.PENDING_AT_CLOSE`` where it was written more than ``CROSSING_NS`` before the close);
+* requests on a connection that was closed after an earlier answer, unless an endpoint received a byte of an attempt or
+  a request of the same write was answered, which would prove that the sidecar read the request.  The reason is
+  ``UncheckedReason.PENDING_AT_CLOSE`` if the request was written more than ``CROSSING_NS`` before the close, otherwise
+  ``UncheckedReason.CROSSED_CLOSE``;
 * answers with a body that the endpoint truncated after the sidecar had forwarded part of it;
 * the times of requests during which the checking process ran late; their bodies and counts are checked.
 
@@ -38,34 +39,34 @@
 TIME_LEFT_SLACK_NS = 150 * NS_PER_MS
 CANCELLATION_SLACK_NS = 100 * NS_PER_MS
 CLOCK_TOLERANCE_NS = 20 * NS_PER_MS
-"""The error of an arrival time: the kernel counts in milliseconds, and the event loop orders concurrent reads."""
+"""The error of an arrival time: the kernel counts in milliseconds, and the event loop orders simultaneous reads."""
 CROSSING_NS = 50 * NS_PER_MS
-"""The time before a close within which a request counts as crossing it."""
-PLAIN_STATUSES = frozenset({500, 502, 503})
-"""Rejections and failures that the sidecar itself may answer to a valid request."""
+"""A request written at most this long before a close may have crossed it: the sidecar closed before it could read."""
+SIDECAR_ERROR_STATUSES = frozenset({500, 502, 503})
+"""The statuses of rejections and failures with which the sidecar itself may answer a valid request."""
 
 
 class _Write(NamedTuple):
-    """One write of a client: its connection and its number there."""
+    """One write of a client: its connection and its number on that connection."""
 
     connection: int
     number: int
 
 
 class _RequestEnd(NamedTuple):
-    """A moment after which no attempt of a request may be sent, and its cause."""
+    """A time after which no attempt of a request may be sent, and its cause."""
 
     at_ns: int
     cause: str
 
 
 def check(records: RunRecords) -> Verdict:
-    """Return the verdict on all requests of a run."""
+    """Check all requests of a run and return the verdict."""
     return _Checker(records).check()
 
 
 class _Checker:
-    """The verdict on one run, with its attempts and answers by request."""
+    """Checks one run, whose attempts and answers it indexes by request."""
 
     def __init__(self, records: RunRecords) -> None:
         self._records = records
@@ -80,7 +81,9 @@
 
     def _index_answer(self, answer: Answer) -> None:
         if answer.request_id is None:
-            self._add(Rule.SECOND_ANSWER, f"connection {answer.connection}", f"status {answer.status} to no request")
+            self._add_violation(
+                Rule.SECOND_ANSWER, f"connection {answer.connection}", f"status {answer.status}, no request unanswered"
+            )
             return
         self._answers[answer.request_id].append(answer)
         request = self._records.requests[answer.request_id]
@@ -91,12 +94,12 @@
             self._check_request(request)
         for attempt in self._records.attempts:
             if attempt.request_id and attempt.request_id not in self._records.requests:
-                self._add(
-                    Rule.WRONG_ANSWER, attempt.request_id, f"{attempt.endpoint} got a request that no client sent"
+                self._add_violation(
+                    Rule.WRONG_ANSWER, attempt.request_id, f"{attempt.endpoint} received a request that no client sent"
                 )
         return self._verdict
 
-    def _add(self, rule: Rule, request_id: str, detail: str) -> None:
+    def _add_violation(self, rule: Rule, request_id: str, detail: str) -> None:
         self._verdict.violations.append(Violation(rule, request_id, detail))
 
     # ------------------------------------------------------------ one request
@@ -106,7 +109,7 @@
         if request.request_class is RequestClass.NON_IDEMPOTENT:
             self._check_non_idempotent(request, attempts)
         if len(answers) > 1:
-            self._add(Rule.SECOND_ANSWER, request.request_id, f"{len(answers)} answers")
+            self._add_violation(Rule.SECOND_ANSWER, request.request_id, f"{len(answers)} answers")
         for answer in answers:
             if answer.is_complete:
                 self._check_body(request, answer)
@@ -118,7 +121,9 @@
     def _check_incomplete_request(self, request: SentRequest, attempts: list[Attempt]) -> None:
         self._verdict.unchecked[UncheckedReason.NEVER_COMPLETE] += 1
         for attempt in attempts:
-            self._add(Rule.FORWARDED_AFTER_END, request.request_id, f"{attempt.endpoint}: it was never complete")
+            self._add_violation(
+                Rule.FORWARDED_AFTER_END, request.request_id, f"{attempt.endpoint}: the request was never complete"
+            )
 
     def _check_complete_request(self, request: SentRequest, answers: list[Answer], attempts: list[Attempt]) -> None:
         self._verdict.checked += 1
@@ -142,13 +147,13 @@
             if reason is UncheckedReason.PENDING_AT_CLOSE:
                 self._verdict.pending_at_close.append(request.request_id)
         else:
-            self._add(Rule.NO_ANSWER, request.request_id, self._missing_answer_detail(request, answers))
+            self._add_violation(Rule.NO_ANSWER, request.request_id, self._describe_missing_answer(request, answers))
 
-    def _missing_answer_detail(self, request: SentRequest, answers: list[Answer]) -> str:
+    def _describe_missing_answer(self, request: SentRequest, answers: list[Answer]) -> str:
         assert request.last_byte_ns is not None
         ended = self._records.ended_connections.get(request.connection)
         if ended is None or ended.end is ConnectionEnd.CLOSED_BY_CLIENT:
-            outcome = "no byte received"
+            outcome = "no answer received"
         else:
             elapsed_ms = (ended.ended_ns - request.last_byte_ns) / NS_PER_MS
             outcome = f"{ended.end.value} {elapsed_ms:.0f} ms after its last byte"
@@ -157,7 +162,7 @@
         connection = "reused" if request.position else "new"
         attempts = "forwarded" if self._attempts[request.request_id] else "never forwarded"
         if not answers and _write_of(request) in self._answered_writes:
-            attempts += ", in one write with an answered one"
+            attempts += ", in one write with an answered request"
         return f"{outcome}; {connection} connection; {attempts}"
 
     def _unchecked_reason(self, request: SentRequest, answers: list[Answer]) -> UncheckedReason | None:
@@ -185,7 +190,7 @@
         )
 
     def _may_be_unread(self, request: SentRequest) -> bool:
-        """Return whether the sidecar may have closed a reused connection before it read the request."""
+        """Return whether the sidecar may have closed a reused connection without reading the request."""
         ended = self._records.ended_connections.get(request.connection)
         return (
             ended is not None
@@ -196,7 +201,7 @@
         )
 
     def _was_truncated_by_endpoint(self, request: SentRequest, answer: Answer) -> bool:
-        """Return whether the answer is of an attempt whose endpoint sent an incomplete response."""
+        """Return whether the answer comes from an attempt whose endpoint sent an incomplete response."""
         identity = read_identity_prefix(answer.body)
         return identity is not None and any(
             attempt.attempt_number == identity.attempt_number and attempt.response_kind is ResponseKind.INCOMPLETE
@@ -211,32 +216,36 @@
         ]
         if len(may_have_run) > 1:
             endpoints = ", ".join(attempt.endpoint for attempt in may_have_run)
-            self._add(Rule.AT_MOST_ONCE_TWICE, request.request_id, f"complete at {endpoints}")
+            self._add_violation(Rule.AT_MOST_ONCE_TWICE, request.request_id, f"received completely by {endpoints}")
 
     def _check_body(self, request: SentRequest, answer: Answer) -> None:
-        if answer.status in PLAIN_STATUSES:
+        if answer.status in SIDECAR_ERROR_STATUSES:
             return
         if answer.status != 200:
             if not request.follows_malformed:
-                self._add(Rule.WRONG_ANSWER, request.request_id, f"status {answer.status} {answer.body[:60]!r}")
+                self._add_violation(
+                    Rule.WRONG_ANSWER, request.request_id, f"status {answer.status} {answer.body[:60]!r}"
+                )
             return
         try:
             identity = read_identity(answer.body)
         except MalformedBodyError as error:
-            self._add(Rule.WRONG_ANSWER, request.request_id, str(error))
+            self._add_violation(Rule.WRONG_ANSWER, request.request_id, str(error))
             return
         if identity.request_id != request.request_id:
-            self._add(Rule.WRONG_ANSWER, request.request_id, f"made for {identity.request_id} at {identity.endpoint}")
+            self._add_violation(
+                Rule.WRONG_ANSWER, request.request_id, f"made for {identity.request_id} by {identity.endpoint}"
+            )
         elif not any(
             attempt.attempt_number == identity.attempt_number and attempt.endpoint == identity.endpoint
             for attempt in self._attempts[request.request_id]
         ):
-            self._add(Rule.WRONG_ANSWER, request.request_id, f"{identity.endpoint} saw no such attempt")
+            self._add_violation(Rule.WRONG_ANSWER, request.request_id, f"{identity.endpoint} received no such attempt")
 
     # ------------------------------------------------------------ times
 
     def _due_ns(self, request: SentRequest) -> int:
-        """Return when the answer is due: the slack after the deadline, or after SIGCONT if that is later."""
+        """Return when the answer is due: the slack later than the deadline, or than SIGCONT if that comes later."""
         until_ns = request.deadline_ns
         for stop in sorted(self._records.stops, key=lambda interval: interval.start_ns):
             if stop.sidecar == request.sidecar and stop.start_ns < until_ns + ANSWER_SLACK_NS:
@@ -248,10 +257,10 @@
         return _any_overlaps(self._records.scheduling_lags, request.last_byte_ns, self._due_ns(request))
 
     def _check_answer_time(self, request: SentRequest, answer: Answer) -> None:
-        late_ns = answer.ended_ns - self._due_ns(request)
-        if late_ns > 0 and not request.reads_slowly and request.disconnected_ns is None:
-            detail = f"{late_ns / NS_PER_MS:.0f} ms after deadline and slack; status {answer.status}"
-            self._add(Rule.LATE_ANSWER, request.request_id, detail)
+        lateness_ns = answer.ended_ns - self._due_ns(request)
+        if lateness_ns > 0 and not request.reads_slowly and request.disconnected_ns is None:
+            detail = f"{lateness_ns / NS_PER_MS:.0f} ms after deadline and slack; status {answer.status}"
+            self._add_violation(Rule.LATE_ANSWER, request.request_id, detail)
 
     def _check_attempts(self, request: SentRequest, complete_answer: Answer | None, attempts: list[Attempt]) -> None:
         ends = [_RequestEnd(request.deadline_ns, "its deadline")]
@@ -269,10 +278,10 @@
         limit_ns = end.at_ns + CLOCK_TOLERANCE_NS
         if attempt.first_byte_ns > limit_ns:
             detail = f"{attempt.endpoint}: {(attempt.first_byte_ns - end.at_ns) / NS_PER_MS:.0f} ms after {end.cause}"
-            self._add(Rule.FORWARDED_AFTER_END, request.request_id, detail)
+            self._add_violation(Rule.FORWARDED_AFTER_END, request.request_id, detail)
         elif attempt.latest_byte_ns > limit_ns:
             detail = f"{attempt.endpoint}: {(attempt.latest_byte_ns - end.at_ns) / NS_PER_MS:.0f} ms after {end.cause}"
-            self._add(Rule.BYTES_AFTER_END, request.request_id, detail)
+            self._add_violation(Rule.BYTES_AFTER_END, request.request_id, detail)
 
     def _check_time_left(self, request: SentRequest, attempt: Attempt) -> None:
         if attempt.time_left_ns < 0:
@@ -281,7 +290,7 @@
         if excess_ns > TIME_LEFT_SLACK_NS:
             time_left_ms, excess_ms = attempt.time_left_ns / NS_PER_MS, excess_ns / NS_PER_MS
             detail = f"{attempt.endpoint}: X-Time-Left {time_left_ms:.0f} ms, {excess_ms:.0f} ms too much"
-            self._add(Rule.TIME_LEFT_TOO_LARGE, request.request_id, detail)
+            self._add_violation(Rule.TIME_LEFT_TOO_LARGE, request.request_id, detail)
 
 
 def _write_of(request: SentRequest) -> _Write:
