--- a/tests/fault_injection/checker.py
+++ b/tests/fault_injection/checker.py
@@ -39,9 +39,9 @@
 TIME_LEFT_SLACK_NS = 150 * NS_PER_MS
 CANCELLATION_SLACK_NS = 100 * NS_PER_MS
 CLOCK_TOLERANCE_NS = 20 * NS_PER_MS
-"""The error of an arrival time: the kernel counts in milliseconds, and the event loop orders simultaneous reads."""
+"""The error of an arrival time: the kernel counts in milliseconds, and the event loop orders concurrent reads."""
 CROSSING_NS = 50 * NS_PER_MS
-"""A request written at most this long before a close may have crossed it: the sidecar closed before it could read."""
+"""A request that was written at most this long before a close counts as crossing it."""
 SIDECAR_ERROR_STATUSES = frozenset({500, 502, 503})
 """The statuses of rejections and failures with which the sidecar itself may answer a valid request."""
 
@@ -153,7 +153,7 @@
         assert request.last_byte_ns is not None
         ended = self._records.ended_connections.get(request.connection)
         if ended is None or ended.end is ConnectionEnd.CLOSED_BY_CLIENT:
-            outcome = "no answer received"
+            outcome = "the sidecar left the connection open"
         else:
             elapsed_ms = (ended.ended_ns - request.last_byte_ns) / NS_PER_MS
             outcome = f"{ended.end.value} {elapsed_ms:.0f} ms after its last byte"
