--- a/tests/fault_injection/scenario.py
+++ b/tests/fault_injection/scenario.py
@@ -1,4 +1,4 @@
-"""One run: its sidecars, endpoints, discovery services and clients, its faults, and its records."""
+"""Runs a scenario: starts its sidecars, endpoints, discovery services and clients, and injects its faults."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 ZONES = ("a", "b")
 DISCOVERY_SERVICES = 2
 CLIENT_SHUTDOWN_TIMEOUT_S = 15.0
-"""Twice the longest deadline plus the time that clients wait after it."""
+"""More than twice the longest time that a client waits for an answer: its deadline and the time after it."""
 
 
 @dataclass(slots=True, frozen=True)
 class Scenario:
-    """The parameters of a run; equal parameters give an equal plan."""
+    """The parameters of a run; equal parameters give equal behaviours and equal faults."""
 
     seed: int
     duration_s: float
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class RunResult:
-    """The records of a run, and the logs of its sidecars."""
+    """The records of a run, the logs of its sidecars, and the time of its start."""
 
     records: RunRecords
     logs: list[str]
@@ -47,13 +47,13 @@
 
 
 def run_scenario(scenario: Scenario) -> RunResult:
-    """Run a scenario to its end."""
+    """Run a scenario to its end and return its records."""
     with tempfile.TemporaryDirectory() as folder:
         return asyncio.run(_Run(scenario, Path(folder)).run())
 
 
 class _Run:
-    """The parts of one run, from their start to their end."""
+    """Starts the parts of one run, and stops them at its end."""
 
     def __init__(self, scenario: Scenario, folder: Path) -> None:
         self._scenario = scenario
@@ -76,7 +76,7 @@
             return RunResult(self._records, [sidecar.log for sidecar in self._sidecars], started_ns)
         finally:
             lag_recorder.cancel()
-            await self._end()
+            await self._stop()
 
     async def _start(self) -> FaultTargets:
         scenario = self._scenario
@@ -103,7 +103,7 @@
         )
 
     async def _run_clients_and_faults(self, targets: FaultTargets) -> None:
-        """Run the clients and the fault schedule; raise the first exception of either.
+        """Run the clients and the fault schedule to their ends; raise the first exception of either.
 
         Raises:
             TimeoutError: a client did not end in time.
@@ -124,9 +124,9 @@
             if isinstance(result, Exception):
                 raise result
         if unfinished:
-            raise TimeoutError(f"{len(unfinished)} clients did not end")
+            raise TimeoutError(f"{len(unfinished)} clients did not end in time")
 
-    async def _end(self) -> None:
+    async def _stop(self) -> None:
         for sidecar in self._sidecars:
             sidecar.kill()
         for service in self._services:
