--- a/tests/fault_injection/sidecar_process.py
+++ b/tests/fault_injection/sidecar_process.py
@@ -1,4 +1,4 @@
-"""One real sidecar process: its configuration, start, signals and exit."""
+"""One real sidecar process: its configuration, its start, the signals sent to it, and its exit."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
 READY_POLL_S = 0.05
 HEALTH_TIMEOUT_S = 1.0
 EXIT_POLL_S = 0.01
-SHOWN_LOG_BYTES = 2000
+MAX_SHOWN_LOG_BYTES = 2000
 PORT = 7077
 SETTINGS = sidecar_settings(latency_objective_s=1.0, deadline_s=4.0, keepalive_s=5.0, slow_start_s=1.5)
 
 
 class SidecarStartError(RuntimeError):
-    """A sidecar did not become ready."""
+    """A sidecar did not become ready in time."""
 
 
 class SidecarProcess:
-    """One sidecar, at an address that no other process of the run uses."""
+    """One sidecar process, at an address that no other process of the run uses."""
 
     def __init__(
         self, number: int, folder: Path, catalog: EndpointCatalog, max_descriptors: int, fleet_size: int
     ) -> None:
         self.number = number
-        # On a loopback address of its own, no outgoing connection takes the port while the sidecar restarts.
+        # A separate loopback address, so that no outgoing connection takes the port while the sidecar restarts.
         process_id = os.getpid()
         self.address = (f"127.{64 + process_id % 64}.{process_id // 64 % 250}.{number + 1}", PORT)
         self.discovery = ""
@@ -53,7 +53,7 @@
 
     @property
     def log(self) -> str:
-        """The standard error of all its processes so far."""
+        """The standard error so far, including that of the processes before a restart."""
         return (self._folder / "log").read_text(errors="replace")
 
     async def start(self) -> None:
@@ -73,28 +73,28 @@
         await self._wait_until_ready()
 
     async def _wait_until_ready(self) -> None:
-        until_ns = now_ns() + int(READY_TIMEOUT_S * NS_PER_S)
-        while now_ns() < until_ns:
+        timeout_end_ns = now_ns() + int(READY_TIMEOUT_S * NS_PER_S)
+        while now_ns() < timeout_end_ns:
             if await self._is_ready():
                 return
             await asyncio.sleep(READY_POLL_S)
-        raise SidecarStartError(self.log[-SHOWN_LOG_BYTES:])
+        raise SidecarStartError(self.log[-MAX_SHOWN_LOG_BYTES:])
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send a signal if the process was started."""
+        """Send a signal; do nothing if the process was never started."""
         if self._process is not None:
             self._process.send_signal(number)
 
     def reload(self, discovery: str) -> None:
-        """Change the discovery service in the configuration and send SIGHUP."""
+        """Write a configuration with another discovery service, and send SIGHUP."""
         self.discovery = discovery
         self._write_configuration()
         self.send_signal(signal.SIGHUP)
 
     async def wait_for_exit(self, timeout_s: float) -> bool:
         """Wait until the process has exited; return whether it has."""
-        until_ns = now_ns() + int(timeout_s * NS_PER_S)
-        while self.is_running and now_ns() < until_ns:
+        timeout_end_ns = now_ns() + int(timeout_s * NS_PER_S)
+        while self.is_running and now_ns() < timeout_end_ns:
             await asyncio.sleep(EXIT_POLL_S)
         return not self.is_running
 
