--- a/tests/fault_injection/discovery.py
+++ b/tests/fault_injection/discovery.py
@@ -1,4 +1,4 @@
-"""The discovery service: full endpoint lists and changes, with connections that can be reset or left unanswered."""
+"""Discovery services, which serve endpoint lists and changes and whose connections can be reset or left unanswered."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from tests.sockets import reset_on_close
 
 READY, DRAINING, REMOVED = "ready", "draining", "gone"
-"""The states of an endpoint on the wire."""
-_CALL = re.compile(rb"GET /catalog/members(?:\?from=(\d+)&hold_ms=(\d+))? HTTP/1\.1")
+"""The states of an endpoint, as endpoint lists contain them."""
+_CALL_PATTERN = re.compile(rb"GET /catalog/members(?:\?from=(\d+)&hold_ms=(\d+))? HTTP/1\.1")
 
 
 @dataclass(slots=True)
-class _Row:
-    """An endpoint in the list, and the version of its latest change."""
+class _Entry:
+    """An endpoint in the list, with the list's version at its latest change."""
 
     endpoint: Endpoint
     state: str
@@ -32,54 +32,54 @@
 
 
 class EndpointCatalog:
-    """The endpoint list with its versions; several discovery services may serve it."""
+    """A versioned endpoint list, which several discovery services may serve."""
 
     def __init__(self) -> None:
-        self._rows: dict[str, _Row] = {}
+        self._entries: dict[str, _Entry] = {}
         self._changed = asyncio.Event()
         self.version = 1
 
     def set_state(self, endpoint: Endpoint, state: str, *, started_now: bool = False) -> None:
         """Add an endpoint to the list, or change its state."""
         self.version += 1
-        row = self._rows.get(endpoint.name)
-        started_ms = int(time.time() * 1000) if started_now else (row.started_ms if row is not None else 0)
-        self._rows[endpoint.name] = _Row(endpoint, state, started_ms, self.version)
+        entry = self._entries.get(endpoint.name)
+        started_ms = int(time.time() * 1000) if started_now else (entry.started_ms if entry is not None else 0)
+        self._entries[endpoint.name] = _Entry(endpoint, state, started_ms, self.version)
         self._changed.set()
         self._changed = asyncio.Event()
 
     def list_since(self, version: int | None) -> dict[str, Any]:
-        """Return the changes since a version in wire form; the full list for ``None``."""
-        rows = [row for row in self._rows.values() if version is None or row.version > version]
+        """Return the changes since a version, or the full list for ``None``, in wire form."""
+        entries = [entry for entry in self._entries.values() if version is None or entry.version > version]
         if version is None:
-            rows = [row for row in rows if row.state != REMOVED]
-        return {"version": self.version, "full": version is None, "servers": [_serialize(row) for row in rows]}
+            entries = [entry for entry in entries if entry.state != REMOVED]
+        return {"version": self.version, "full": version is None, "servers": [_serialize(entry) for entry in entries]}
 
     async def wait_for_change(self, version: int, hold_s: float) -> None:
-        """Wait until the list has a later version, for ``hold_s`` at most."""
-        until_ns = now_ns() + int(hold_s * NS_PER_S)
-        while version >= self.version and (remaining_ns := until_ns - now_ns()) > 0:
+        """Wait until the list has a later version, but at most for ``hold_s``."""
+        hold_end_ns = now_ns() + int(hold_s * NS_PER_S)
+        while version >= self.version and (remaining_ns := hold_end_ns - now_ns()) > 0:
             try:
                 await asyncio.wait_for(self._changed.wait(), remaining_ns / NS_PER_S)
             except TimeoutError:
                 return
 
 
-def _serialize(row: _Row) -> dict[str, Any]:
+def _serialize(entry: _Entry) -> dict[str, Any]:
     """Return the wire form of an endpoint."""
-    host, port = row.endpoint.address
+    host, port = entry.endpoint.address
     return endpoint_record(
-        row.endpoint.name,
+        entry.endpoint.name,
         f"{host}:{port}",
-        zone=row.endpoint.zone,
-        cell=row.endpoint.cell,
-        state=row.state,
-        started_ms=row.started_ms,
+        zone=entry.endpoint.zone,
+        cell=entry.endpoint.cell,
+        state=entry.state,
+        started_ms=entry.started_ms,
     )
 
 
 class DiscoveryService:
-    """One address at which the catalog is served."""
+    """Serves the endpoint list at one address."""
 
     def __init__(self, catalog: EndpointCatalog) -> None:
         self._catalog = catalog
@@ -88,7 +88,7 @@
         self._answers_paused_until_ns = 0
 
     async def start(self) -> str:
-        """Start to listen; return the address."""
+        """Start to listen; return the address as ``host:port``."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         host, port = self._server.sockets[0].getsockname()
         return f"{host}:{port}"
@@ -113,7 +113,7 @@
         self._writers.add(writer)
         try:
             while True:
-                call = _CALL.match(await reader.readuntil(HEAD_END))
+                call = _CALL_PATTERN.match(await reader.readuntil(HEAD_END))
                 if call is None:
                     break
                 await self._answer(call, writer)
--- a/tests/fault_injection/endpoint.py
+++ b/tests/fault_injection/endpoint.py
@@ -1,4 +1,4 @@
-"""Endpoints: listeners that can be killed, restarted, and made to accept late."""
+"""Endpoints that can be killed, restarted, and made to accept connections late."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Endpoint:
-    """One endpoint: a listener and its connections."""
+    """One endpoint: a listening socket and its connections."""
 
     def __init__(self, name: str, shared: SharedEndpointState, zone: str, cell: int) -> None:
         self.name = name
