--- a/tests/fault_injection/scenario.py
+++ b/tests/fault_injection/scenario.py
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Scenario:
-    """The parameters of a run; equal parameters give equal behaviours and equal faults."""
+    """The parameters of a run; equal parameters give equal plans of behaviours and faults."""
 
     seed: int
     duration_s: float
