--- a/tests/fault_injection/test_checker.py
+++ b/tests/fault_injection/test_checker.py
@@ -1,4 +1,4 @@
-"""Tests of the checker: it reports each kind of violation, and none for allowed behaviour."""
+"""Tests that the checker reports each kind of violation, and no violation for allowed behaviour."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 
 
 def ns(milliseconds: float) -> int:
-    """Return milliseconds in nanoseconds."""
+    """Convert milliseconds to nanoseconds."""
     return int(milliseconds * NS_PER_MS)
 
 
-class Run:
-    """The records of a run with one answered request, which a test alters."""
+class RecordedRun:
+    """The records of a run with one answered request; a test alters them and checks them again."""
 
     def __init__(self) -> None:
         self.records = RunRecords()
@@ -54,7 +54,7 @@
         return request
 
     def add_attempt(self, at_ms: float, time_left_ms: float = 1) -> Attempt:
-        """Add an attempt of the first request that was received and answered completely."""
+        """Add an attempt of the first request, which an endpoint received and answered completely."""
         number = len(self.records.attempts) + 1
         attempt = Attempt(
             number, ENDPOINT, REQUEST_ID, 0, ns(at_ms), ns(time_left_ms), ns(at_ms), ns(at_ms), ResponseKind.COMPLETE
@@ -63,7 +63,7 @@
         return attempt
 
     def end_connection(self, at_ms: float, end: ConnectionEnd = ConnectionEnd.CLOSED_BY_SIDECAR) -> None:
-        """End connection 1, in place of an earlier end."""
+        """End connection 1; replaces an earlier end."""
         self.records.ended_connections[1] = EndedConnection(1, ns(at_ms), end)
 
     def remove_answer(self) -> None:
@@ -77,11 +77,11 @@
 
 
 @pytest.fixture
-def run() -> Run:
-    return Run()
+def run() -> RecordedRun:
+    return RecordedRun()
 
 
-def test_answered_request_violates_no_rule(run: Run) -> None:
+def test_answered_request_violates_no_rule(run: RecordedRun) -> None:
     verdict = run.verdict()
     assert not verdict.violations
     assert (verdict.checked, verdict.served) == (1, 1)
@@ -91,36 +91,36 @@
 # ------------------------------------------------------------ no answer
 
 
-def test_request_without_answer_is_lost(run: Run) -> None:
+def test_request_without_answer_is_a_violation(run: RecordedRun) -> None:
     run.remove_answer()
     assert run.violated_rules() == [Rule.NO_ANSWER]
 
 
 @pytest.mark.parametrize("end", [ConnectionEnd.CLOSED_BY_SIDECAR, ConnectionEnd.RESET_BY_SIDECAR])
-def test_request_on_a_new_closed_connection_is_lost(run: Run, end: ConnectionEnd) -> None:
+def test_request_on_a_new_connection_that_is_closed_is_a_violation(run: RecordedRun, end: ConnectionEnd) -> None:
     run.remove_answer()
     run.records.attempts.clear()
     run.end_connection(1010, end)
     assert run.violated_rules() == [Rule.NO_ANSWER]
 
 
-def test_truncated_answer_counts_as_no_answer(run: Run) -> None:
+def test_truncated_answer_counts_as_no_answer(run: RecordedRun) -> None:
     run.answer.body, run.answer.is_complete = BODY[:200], False
     run.end_connection(1200, ConnectionEnd.RESET_BY_SIDECAR)
     assert run.violated_rules() == [Rule.NO_ANSWER]
 
 
-def test_stream_truncated_by_its_endpoint_is_not_checked(run: Run) -> None:
+def test_stream_truncated_by_its_endpoint_is_not_checked(run: RecordedRun) -> None:
     run.answer.body, run.answer.is_complete = BODY[:200], False
     run.attempt.response_kind = ResponseKind.INCOMPLETE
     assert run.verdict().unchecked[UncheckedReason.TRUNCATED_BY_ENDPOINT] == 1
     assert not run.violated_rules()
 
 
-def test_request_crossing_the_close_of_a_reused_connection(run: Run) -> None:
-    """It is not checked; one written more than ``CROSSING_NS`` before the close is counted separately."""
-    crossing = run.add_request("r2", position=1, write_number=1)
-    crossing.last_byte_ns = ns(1300)
+def test_request_crossing_the_close_of_a_reused_connection_is_not_checked(run: RecordedRun) -> None:
+    """A request written more than ``CROSSING_NS`` before the close is counted separately."""
+    second_request = run.add_request("r2", position=1, write_number=1)
+    second_request.last_byte_ns = ns(1300)
     run.end_connection(1301)
     assert not run.violated_rules()
     assert run.verdict().unchecked[UncheckedReason.CROSSED_CLOSE] == 1
@@ -128,23 +128,23 @@
     assert run.verdict().unchecked[UncheckedReason.PENDING_AT_CLOSE] == 1
 
 
-def test_request_in_one_write_with_an_answered_one_is_lost(run: Run) -> None:
-    """The answer to the other request shows that the sidecar read the write."""
+def test_unanswered_request_in_one_write_with_an_answered_one_is_a_violation(run: RecordedRun) -> None:
+    """The answer to the other request proves that the sidecar read the bytes of the write."""
     run.add_request("r2", position=1, write_number=0)
     run.end_connection(1201)
     assert run.violated_rules() == [Rule.NO_ANSWER]
 
 
-def test_forwarded_request_without_answer_is_lost(run: Run) -> None:
-    """The attempt shows that the sidecar read the request."""
-    crossing = run.add_request("r2", position=1, write_number=1)
-    crossing.last_byte_ns = ns(1300)
+def test_forwarded_request_without_answer_is_a_violation(run: RecordedRun) -> None:
+    """The attempt proves that the sidecar read the request."""
+    second_request = run.add_request("r2", position=1, write_number=1)
+    second_request.last_byte_ns = ns(1300)
     run.add_attempt(1310).request_id = "r2"
     run.end_connection(1320)
     assert run.violated_rules() == [Rule.NO_ANSWER]
 
 
-def test_request_pending_at_a_kill_is_not_checked(run: Run) -> None:
+def test_request_pending_at_a_kill_is_not_checked(run: RecordedRun) -> None:
     run.remove_answer()
     run.end_connection(1150, ConnectionEnd.RESET_BY_SIDECAR)
     run.records.kills.append(SidecarKill(0, ns(1150)))
@@ -154,13 +154,13 @@
     assert run.violated_rules() == [Rule.NO_ANSWER], "another sidecar was killed"
 
 
-def test_request_after_a_malformed_one_needs_no_answer(run: Run) -> None:
+def test_request_after_a_malformed_one_needs_no_answer(run: RecordedRun) -> None:
     run.remove_answer()
     run.request.follows_malformed = True
     assert not run.violated_rules()
 
 
-def test_request_of_a_disconnected_client_needs_no_answer(run: Run) -> None:
+def test_request_of_a_disconnected_client_needs_no_answer(run: RecordedRun) -> None:
     run.remove_answer()
     run.request.disconnected_ns = ns(1150)
     verdict = run.verdict()
@@ -171,14 +171,14 @@
 # ------------------------------------------------------------ late, second and wrong answers
 
 
-def test_answer_after_deadline_and_slack_is_late(run: Run) -> None:
+def test_answer_after_deadline_and_slack_is_late(run: RecordedRun) -> None:
     run.answer.ended_ns = ns(DEADLINE_MS + 499)
     assert not run.violated_rules()
     run.answer.ended_ns = ns(DEADLINE_MS + 501)
     assert run.violated_rules() == [Rule.LATE_ANSWER]
 
 
-def test_slack_of_a_stopped_sidecar_starts_at_its_continuation(run: Run) -> None:
+def test_slack_of_a_stopped_sidecar_starts_at_its_continuation(run: RecordedRun) -> None:
     run.records.stops.append(SidecarStop(ns(1900), ns(4000), 0))
     run.answer.ended_ns = ns(4499)
     assert not run.violated_rules()
@@ -188,21 +188,21 @@
     assert run.violated_rules() == [Rule.LATE_ANSWER], "another sidecar was stopped"
 
 
-def test_times_are_not_checked_during_a_scheduling_lag(run: Run) -> None:
+def test_times_are_not_checked_during_a_scheduling_lag(run: RecordedRun) -> None:
     run.answer.ended_ns = ns(DEADLINE_MS + 600)
     run.records.scheduling_lags.append(Interval(ns(1500), ns(1560)))
     assert not run.violated_rules()
     assert run.verdict().unchecked[UncheckedReason.SCHEDULING_LAG] == 1
 
 
-def test_second_answer_is_a_violation(run: Run) -> None:
+def test_second_answer_is_a_violation(run: RecordedRun) -> None:
     run.records.answers.append(dataclasses.replace(run.answer))
     assert run.violated_rules() == [Rule.SECOND_ANSWER]
     run.records.answers[1].request_id = None
     assert run.violated_rules() == [Rule.SECOND_ANSWER]
 
 
-def test_answer_made_for_another_request_is_wrong(run: Run) -> None:
+def test_answer_made_for_another_request_is_wrong(run: RecordedRun) -> None:
     run.answer.body = make_body(BodyIdentity("r9", 1, ENDPOINT), 300)
     assert run.violated_rules() == [Rule.WRONG_ANSWER]
 
@@ -212,7 +212,7 @@
     [BodyIdentity(REQUEST_ID, 9, ENDPOINT), BodyIdentity(REQUEST_ID, 1, "e9")],
     ids=["attempt number", "endpoint"],
 )
-def test_answer_of_an_unknown_attempt_is_wrong(run: Run, identity: BodyIdentity) -> None:
+def test_answer_of_an_unknown_attempt_is_wrong(run: RecordedRun, identity: BodyIdentity) -> None:
     run.answer.body = make_body(identity, 300)
     assert run.violated_rules() == [Rule.WRONG_ANSWER]
 
@@ -222,14 +222,14 @@
     [BODY[:-1], BODY + b"x", b"", b"x" * 300, BODY[:150] + b"?" + BODY[151:]],
     ids=["truncated", "extended", "empty", "without identity", "one byte changed"],
 )
-def test_answer_with_an_altered_body_is_wrong(run: Run, body: bytes) -> None:
+def test_answer_with_an_altered_body_is_wrong(run: RecordedRun, body: bytes) -> None:
     run.answer.body = body
     assert run.violated_rules() == [Rule.WRONG_ANSWER]
     with pytest.raises(MalformedBodyError):
         read_identity(body)
 
 
-def test_sidecar_may_answer_only_rejections_and_failures(run: Run) -> None:
+def test_sidecar_may_answer_only_rejections_and_failures(run: RecordedRun) -> None:
     run.answer.body = b"busy\n"
     for status in (500, 502, 503):
         run.answer.status = status
@@ -238,7 +238,7 @@
     assert run.violated_rules() == [Rule.WRONG_ANSWER]
 
 
-def test_attempt_for_an_unknown_request_is_wrong(run: Run) -> None:
+def test_attempt_for_an_unknown_request_is_wrong(run: RecordedRun) -> None:
     run.add_attempt(1100).request_id = "r9"
     assert run.violated_rules() == [Rule.WRONG_ANSWER]
 
@@ -246,26 +246,26 @@
 # ------------------------------------------------------------ attempts
 
 
-def test_attempt_after_the_answer_is_a_violation(run: Run) -> None:
+def test_attempt_after_the_answer_is_a_violation(run: RecordedRun) -> None:
     run.add_attempt(1230)
     assert run.violated_rules() == [Rule.FORWARDED_AFTER_END]
 
 
-def test_attempt_after_the_deadline_is_a_violation(run: Run) -> None:
+def test_attempt_after_the_deadline_is_a_violation(run: RecordedRun) -> None:
     run.add_attempt(DEADLINE_MS + 30, time_left_ms=0)
     run.answer.ended_ns = ns(DEADLINE_MS + 100)
     assert run.violated_rules() == [Rule.FORWARDED_AFTER_END]
 
 
-def test_attempt_after_the_deadline_of_a_stopped_sidecar(run: Run) -> None:
-    """A stop extends the time for the answer, not for attempts."""
+def test_attempt_after_the_deadline_of_a_stopped_sidecar(run: RecordedRun) -> None:
+    """A stop of the sidecar extends the time for the answer, but not the time for attempts."""
     run.records.stops.append(SidecarStop(ns(1900), ns(4000), 0))
     run.add_attempt(4001, time_left_ms=0)
     run.answer.ended_ns = ns(4002)
     assert run.violated_rules() == [Rule.FORWARDED_AFTER_END]
 
 
-def test_attempt_after_client_disconnect_is_a_violation(run: Run) -> None:
+def test_attempt_after_client_disconnect_is_a_violation(run: RecordedRun) -> None:
     run.remove_answer()
     run.request.disconnected_ns = ns(1150)
     run.add_attempt(1240)
@@ -274,32 +274,32 @@
     assert run.violated_rules() == [Rule.FORWARDED_AFTER_END]
 
 
-def test_attempt_for_an_incomplete_request_is_a_violation(run: Run) -> None:
+def test_attempt_for_an_incomplete_request_is_a_violation(run: RecordedRun) -> None:
     run.remove_answer()
     run.request.last_byte_ns = None
     assert run.violated_rules() == [Rule.FORWARDED_AFTER_END]
 
 
-def test_attempt_bytes_after_the_answer_are_a_violation(run: Run) -> None:
+def test_attempt_bytes_after_the_answer_are_a_violation(run: RecordedRun) -> None:
     run.attempt.latest_byte_ns = ns(1230)
     assert run.violated_rules() == [Rule.BYTES_AFTER_END]
 
 
-def test_excessive_time_left_is_a_violation(run: Run) -> None:
+def test_excessive_time_left_is_a_violation(run: RecordedRun) -> None:
     run.attempt.time_left_ns = ns(900 + 149)
     assert not run.violated_rules()
     run.attempt.time_left_ns = ns(900 + 151)
     assert run.violated_rules() == [Rule.TIME_LEFT_TOO_LARGE]
 
 
-def test_non_idempotent_request_sent_twice_is_a_violation(run: Run) -> None:
+def test_non_idempotent_request_sent_twice_is_a_violation(run: RecordedRun) -> None:
     run.add_attempt(1110)
     assert not run.violated_rules()
     run.request.request_class = RequestClass.NON_IDEMPOTENT
     assert run.violated_rules() == [Rule.AT_MOST_ONCE_TWICE]
 
 
-def test_unprocessed_non_idempotent_request_may_be_retried(run: Run) -> None:
+def test_unprocessed_non_idempotent_request_may_be_retried(run: RecordedRun) -> None:
     run.request.request_class = RequestClass.NON_IDEMPOTENT
     run.attempt.response_kind = ResponseKind.UNPROCESSED
     run.add_attempt(1110)
