--- a/tests/fault_injection/test_fault_injection.py
+++ b/tests/fault_injection/test_fault_injection.py
@@ -1,4 +1,4 @@
-"""Tests of real sidecars under a short seeded schedule of faults; ``__main__`` runs longer ones."""
+"""Tests of real sidecars under short seeded schedules of faults; ``__main__`` runs longer ones."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 SEED = 35
 DURATION_S = 5.0
-MIN_CHECKED = 200
-"""With fewer requests a run without violations would prove nothing."""
-GROUPS: dict[str, tuple[Fault, ...]] = {
+MIN_CHECKED_REQUESTS = 200
+"""With fewer requests, a run without violations would prove nothing."""
+FAULT_GROUPS: dict[str, tuple[Fault, ...]] = {
     "sidecars": (
         TimedFault.STOP,
         TimedFault.TERMINATE,
@@ -42,24 +42,24 @@
 }
 
 
-@pytest.mark.parametrize("group", GROUPS)
-def test_requests_under_faults_violate_no_rule(group: str) -> None:
-    scenario = Scenario(SEED, DURATION_S, sidecars=2, clients=30, endpoints=5, faults=GROUPS[group])
+@pytest.mark.parametrize("fault_group", FAULT_GROUPS)
+def test_requests_under_faults_violate_no_rule(fault_group: str) -> None:
+    scenario = Scenario(SEED, DURATION_S, sidecars=2, clients=30, endpoints=5, faults=FAULT_GROUPS[fault_group])
     result = run_scenario(scenario)
     verdict = check(result.records)
     report = "\n".join(describe(scenario, result, verdict))
-    assert verdict.checked >= MIN_CHECKED, report
+    assert verdict.checked >= MIN_CHECKED_REQUESTS, report
     assert not verdict.violations, report
 
 
 def test_fault_schedule_depends_only_on_the_seed() -> None:
-    timed = tuple(TimedFault)
-    assert draw_schedule(SEED, 60, timed) == draw_schedule(SEED, 60, timed)
-    assert draw_schedule(SEED, 60, timed) != draw_schedule(SEED + 1, 60, timed)
+    timed_faults = tuple(TimedFault)
+    assert draw_schedule(SEED, 60, timed_faults) == draw_schedule(SEED, 60, timed_faults)
+    assert draw_schedule(SEED, 60, timed_faults) != draw_schedule(SEED + 1, 60, timed_faults)
 
 
 def test_response_plans_depend_only_on_the_seed() -> None:
-    """The plans of 200 requests contain every behaviour of an endpoint."""
+    """The plans of 200 requests also contain every behaviour of an endpoint."""
     enabled = tuple(behaviour for behaviour in EndpointBehaviour if behaviour is not EndpointBehaviour.NORMAL)
     plans = [plan_response(SEED, f"r{number}", 0, 1.0, enabled) for number in range(200)]
     assert plans == [plan_response(SEED, f"r{number}", 0, 1.0, enabled) for number in range(200)]
@@ -67,5 +67,5 @@
 
 
 def test_groups_contain_every_fault() -> None:
-    grouped = {fault for faults in GROUPS.values() for fault in faults}
-    assert grouped == set(ALL_FAULTS.values())
+    grouped_faults = {fault for faults in FAULT_GROUPS.values() for fault in faults}
+    assert grouped_faults == set(ALL_FAULTS.values())
