--- a/tests/integration/player.py
+++ b/tests/integration/player.py
@@ -1,12 +1,12 @@
-"""Plays a recorded exchange against a sidecar process.
+"""Replays a recorded exchange with a sidecar process.
 
-A file in ``exchanges`` has one step a line.  In BYTES ``|`` stands for CRLF, ``~`` for a bare line feed, ``*`` matches
-anything within a line, ``{x20}`` repeats the character before it, and ``@A`` is the address of A.
+A file in ``exchanges`` has one step per line.  In BYTES, ``|`` stands for CRLF and ``~`` for a line feed alone, ``*``
+matches anything within a line, ``{x20}`` repeats the character before it (20 in all), and ``@A`` is the address of A.
 
-Steps of the sidecar process:
+Steps that configure or control the sidecar process:
 
-    known A B           set its cached endpoint list (A and B listen, C refuses connections, S never accepts one)
-    files 20            set its limit of open files
+    known A B           set its cached endpoint list (A and B listen, C refuses connections, S never accepts any)
+    files 20            set its limit on open files
     sockets 64          set the number of sockets in its configuration
     inherit             open its listening socket here, and pass it as descriptor 7 in ``$PROXY_SOCKET_FD``
     serve               start it and wait until it is ready
@@ -16,22 +16,23 @@
     patience 6          set the timeout of each later step, in seconds
     crowd 40 CLIENT     open the connections CLIENT0 to CLIENT39
 
-Steps of a connection begin with its name, and the first one opens it.  The first letter says what it is: ``d`` the next
-connection that an endpoint accepts, ``p`` and ``q`` the next one that the first and the second discovery service accept
-(the second is at @Q), ``o`` a connection to the admin address, any other letter a client's:
+A step on a connection begins with the name of the connection, which its first step opens or accepts.  The first letter
+of the name tells the kind: ``d`` is the next connection that an endpoint accepts, ``p`` and ``q`` are the next ones
+that the first and the second discovery service accept (the second is at @Q), ``o`` is a connection to the admin
+address, and any other letter is a client connection:
 
     c1 send BYTES       send bytes
     c1 want BYTES       receive exactly these bytes
     p list JSON         send a response with this body
-    c1 none 0.3         receive nothing for this time, in seconds
+    c1 none 0.3         receive nothing for this many seconds
     c1 closed           receive the end of the connection
     c1 broken           receive a reset
     c1 half             shut down the sending side
     c1 shut             close the connection
     c1 reset            reset the connection
-    c1 pause 0.3        wait, in seconds
-    d1 at B             was accepted by B
-    d2 elsewhere d1     was accepted by another endpoint than d1
+    c1 pause 0.3        wait for this many seconds
+    d1 at B             check that B accepted it
+    d2 elsewhere d1     check that another endpoint accepted it than d1
 """
 
 from __future__ import annotations
@@ -69,26 +70,26 @@
         self.discovery, self.second_discovery = listener(), listener()
         self.addresses = {f"@{name}": address(sock) for name, sock in self.upstream.items()}
         self.addresses["@Q"] = address(self.second_discovery)
-        # The backlog of this listener is full, so that connections to it are never established.
+        # The backlog of this listener is filled, so that connections to it are never established.
         self.unresponsive = listener(0)
         self.addresses["@S"] = address(self.unresponsive)
         self.backlog_connections = [socket.socket() for _ in range(4)]
         for sock in self.backlog_connections:
             sock.setblocking(False)
             sock.connect_ex(self.unresponsive.getsockname())
-        # Released last, so that none of the sockets above takes their ports.
-        refusing, self.listen_address, self.admin_address = _unused_addresses(3)
-        self.addresses |= {"@C": refusing, "@O": self.admin_address}
+        # These ports are chosen and released last, so that none of the sockets above takes them.
+        refusing_address, self.listen_address, self.admin_address = _unused_addresses(3)
+        self.addresses |= {"@C": refusing_address, "@O": self.admin_address}
         self.timeout_s = DEFAULT_TIMEOUT_S
         self.known_endpoints: list[str] = ["A"]
         self.max_descriptors = self.max_sockets = 1024
         self.connections: dict[str, socket.socket] = {}
         self.accepted_by: dict[str, str] = {}
         self.program: subprocess.Popen[bytes] | None = None
-        self.inherited: socket.socket | None = None  # the sidecar's listening socket after the step ``inherit``
+        self.inherited_listener: socket.socket | None = None  # set by the step ``inherit``
 
     def play(self, script: str) -> None:
-        """Run each step.
+        """Run each step of a file in ``exchanges``.
 
         Raises:
             AssertionError: a step failed; the message names its line.
@@ -119,11 +120,11 @@
             *self.connections.values(),
             *self.backlog_connections,
             *listeners,
-            *([self.inherited] if self.inherited else []),
+            *([self.inherited_listener] if self.inherited_listener else []),
         ]:
             sock.close()
 
-    # ------------------------------------------------------------ the program
+    # ------------------------------------------------------------ the sidecar process
 
     def config(self) -> dict[str, Any]:
         """Return the content of ``config.json``."""
@@ -142,7 +143,7 @@
     def do_known(self, *names: str) -> None:
         self.known_endpoints = list(names)
 
-    def do_patience(self, seconds: str) -> None:
+    def do_set_timeout(self, seconds: str) -> None:
         self.timeout_s = float(seconds)
 
     def do_files(self, limit: str) -> None:
@@ -157,14 +158,14 @@
 
     def do_inherit(self) -> None:
         host, port = self.listen_address.split(":")
-        self.inherited = socket.socket()
-        self.inherited.bind((host, int(port)))
-        self.inherited.listen(64)
+        self.inherited_listener = socket.socket()
+        self.inherited_listener.bind((host, int(port)))
+        self.inherited_listener.listen(64)
 
     def do_serve(self) -> None:
         (self.folder / "config.json").write_text(json.dumps(self.config()))
         environment = serve_environment(self.folder, address(self.discovery))
-        if self.inherited is not None:
+        if self.inherited_listener is not None:
             environment["PROXY_SOCKET_FD"] = str(INHERITED_DESCRIPTOR)
         with (self.folder / LOG_NAME).open("ab") as log:
             self.program = subprocess.Popen(
@@ -178,9 +179,9 @@
         self._wait_until_ready()
 
     def _pass_inherited(self) -> None:
-        """Duplicate the listening socket; Python's own descriptors are not inherited, the duplicate is."""
-        if self.inherited is not None:
-            os.dup2(self.inherited.fileno(), INHERITED_DESCRIPTOR)
+        """Duplicate the listening socket: Python's sockets are not inheritable, but the duplicate is."""
+        if self.inherited_listener is not None:
+            os.dup2(self.inherited_listener.fileno(), INHERITED_DESCRIPTOR)
 
     def _wait_until_ready(self) -> None:
         assert self.program is not None
@@ -194,7 +195,7 @@
             except (OSError, AssertionError):
                 self.connections.pop("ready", None)
                 time.sleep(READY_POLL_S)
-        raise AssertionError(f"the program did not become ready: {self._log_end()}")
+        raise AssertionError(f"the sidecar did not become ready: {self._log_end()}")
 
     def _log_end(self) -> str:
         """Return the end of the program's standard error."""
@@ -216,14 +217,14 @@
     # ------------------------------------------------------------ the connections
 
     def _expand(self, text: str) -> str:
-        """Return the bytes of a step, as Latin-1 text."""
+        """Return the text of a step with its placeholders replaced, in Latin-1."""
         for name, listen_address in self.addresses.items():
             text = text.replace(name, listen_address)
         text = re.sub(r"(.)\{x(\d+)\}", lambda match: match[1] * int(match[2]), text)
         return text.replace("|", "\r\n").replace("~", "\n")
 
     def connection(self, name: str) -> socket.socket:
-        """Return the connection of that name; the first call accepts or opens it."""
+        """Return the connection with that name; the first call accepts or opens it."""
         if name not in self.connections:
             self.connections[name] = self._accept(name) if name[0] in "dpq" else self._connect(name)
             self.connections[name].settimeout(self.timeout_s)
@@ -233,7 +234,7 @@
         discovery = {"p": self.discovery, "q": self.second_discovery}.get(name[0])
         listeners = [discovery] if discovery else list(self.upstream.values())
         ready, _, _ = select.select(listeners, [], [], self.timeout_s)
-        assert ready, "nothing connected"
+        assert ready, "no connection arrived"
         connection: socket.socket = ready[0].accept()[0]
         self.accepted_by[name] = address(ready[0])
         return connection
@@ -248,9 +249,9 @@
     def on_want(self, name: str, text: str) -> None:
         expected = self._expand(text)
         pattern = re.compile(re.escape(expected).replace(r"\*", "[^\r\n]*"))
-        tail = expected.rpartition("*")[2]
+        text_after_last_wildcard = expected.rpartition("*")[2]
         received = ""
-        while not (received.endswith(tail) and pattern.fullmatch(received)):
+        while not (received.endswith(text_after_last_wildcard) and pattern.fullmatch(received)):
             data = self.connection(name).recv(1 if "*" in text else max(1, len(expected) - len(received)))
             received += data.decode("latin-1")
             assert data, f"the connection ended after {received[-MAX_SHOWN_BYTES:]!r}"
@@ -261,18 +262,20 @@
         self.connection(name).sendall(f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
 
     def on_none(self, name: str, text: str) -> None:
-        assert not select.select([self.connection(name)], [], [], float(text or 0.3))[0], "received bytes or an end"
+        assert not select.select([self.connection(name)], [], [], float(text or 0.3))[0], (
+            "received bytes or the end of the connection"
+        )
 
     def on_closed(self, name: str, _: str) -> None:
         with contextlib.suppress(ConnectionResetError):
-            assert self.connection(name).recv(1) == b"", "the connection is open and sends"
+            assert self.connection(name).recv(1) == b"", "received bytes instead of the end of the connection"
 
     def on_broken(self, name: str, _: str) -> None:
         try:
             data = self.connection(name).recv(1)
         except ConnectionResetError:
             return
-        raise AssertionError(f"no reset, received {data!r}")
+        raise AssertionError(f"received no reset but {data!r}")
 
     def on_half(self, name: str, _: str) -> None:
         self.connection(name).shutdown(socket.SHUT_WR)
@@ -306,7 +309,7 @@
     "files": Player.do_files,
     "sockets": Player.do_sockets,
     "crowd": Player.do_connect_clients,
-    "patience": Player.do_patience,
+    "patience": Player.do_set_timeout,
     "inherit": Player.do_inherit,
 }
 CONNECTION_STEPS: dict[str, Callable[[Player, str, str], None]] = {
