--- a/tests/integration/test_exchanges.py
+++ b/tests/integration/test_exchanges.py
@@ -1,4 +1,4 @@
-"""Plays every recorded exchange against a sidecar process."""
+"""Replays every recorded exchange with a sidecar process."""
 
 from __future__ import annotations
 
--- a/tests/integration/test_sidecar.py
+++ b/tests/integration/test_sidecar.py
@@ -1,4 +1,4 @@
-"""Tests of the program that need no exchange: errors in its configuration, and garbage of its requests."""
+"""Tests of the sidecar without a recorded exchange: configuration errors, and reference cycles left by requests."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 WARM_UP_REQUESTS = 20
 MEASURED_REQUESTS = 100
-READ = balancing.RequestClass(
+READ_CLASS = balancing.RequestClass(
     "campaign-read",
     balancing.Idempotency.IDEMPOTENT,
     balancing.DeduplicationScope.ALL,
@@ -35,7 +35,7 @@
     2 * NS_PER_S,
     8 * NS_PER_S,
 )
-# By the field that the message names: a change that makes the configuration invalid.
+# The keys are the fields that the error message names, the values make the configuration invalid.
 INVALID_CONFIGURATIONS: dict[str, dict[str, Any]] = {
     "listen": {"listen": "nowhere"},
     "discovery": {"discovery": "host.example:80"},
@@ -54,7 +54,7 @@
 def run_command(
     folder: Path, change: dict[str, Any], command: str, **environment: str
 ) -> subprocess.CompletedProcess[str]:
-    """Run a sub-command with a changed configuration until it exits."""
+    """Run a sub-command of ``lugtally`` with a changed configuration until it exits."""
     player = Player(folder)
     path = folder / "config.json"
     path.write_text(json.dumps({**player.config(), **change}))
@@ -74,45 +74,47 @@
 def test_invalid_configuration_prints_one_line_naming_the_field(
     field: str, change: dict[str, Any], command: str, tmp_path: Path
 ) -> None:
-    done = run_command(tmp_path, change, command)
-    assert done.returncode == 2
-    assert done.stdout == ""
-    assert done.stderr.startswith(f"lugtally: {field}: ")
-    assert done.stderr.count("\n") == 1
+    completed = run_command(tmp_path, change, command)
+    assert completed.returncode == 2
+    assert completed.stdout == ""
+    assert completed.stderr.startswith(f"lugtally: {field}: ")
+    assert completed.stderr.count("\n") == 1
 
 
 @pytest.mark.parametrize(
     ("command", "output"), [("version", "lugtally 0."), ("check-config", "n1: 3 classes, 1 cached")]
 )
 def test_version_and_check_config_exit_with_success(command: str, output: str, tmp_path: Path) -> None:
-    done = run_command(tmp_path, {}, command)
-    assert done.returncode == 0
-    assert done.stdout.startswith(output)
+    completed = run_command(tmp_path, {}, command)
+    assert completed.returncode == 0
+    assert completed.stdout.startswith(output)
 
 
 @pytest.mark.parametrize("text", ["x", "-1", "7.0", "99"])
 def test_invalid_inherited_descriptor_prints_one_line(text: str, tmp_path: Path) -> None:
-    done = run_command(tmp_path, {}, "serve", PROXY_SOCKET_FD=text)
-    assert done.returncode == 2
-    assert done.stdout == ""
-    assert done.stderr.startswith("lugtally: PROXY_SOCKET_FD: ")
-    assert done.stderr.count("\n") == 1
+    completed = run_command(tmp_path, {}, "serve", PROXY_SOCKET_FD=text)
+    assert completed.returncode == 2
+    assert completed.stdout == ""
+    assert completed.stderr.startswith("lugtally: PROXY_SOCKET_FD: ")
+    assert completed.stderr.count("\n") == 1
 
 
-class SidecarInProcess:
-    """A dispatcher, an upstream pool and a downstream server in this process, with one endpoint."""
+class InProcessSidecar:
+    """The network code of a sidecar in this process, with one endpoint."""
 
     def __init__(self, server: socket.socket) -> None:
         self.loop = EventLoop()
-        self.dispatcher = dispatch.Dispatcher(balancing.Settings((READ,), max_attempts=4), 1, self.loop)
+        self.dispatcher = dispatch.Dispatcher(balancing.Settings((READ_CLASS,), max_attempts=4), 1, self.loop)
         upstream = UpstreamPool(self.loop, ConnectionLimits(1000 * NS_PER_MS, 60_000 * NS_PER_MS, 9), ())
         self.endpoint_watcher = EndpointWatcher(self.loop, self.dispatcher, upstream, Address("127.0.0.1", 9), ("a",))
         self.dispatcher.set_handlers(upstream.close_idle_connections, lambda: None)
-        self.downstream = DownstreamServer(self.loop, self.dispatcher, upstream, (READ,), 9)
+        self.downstream = DownstreamServer(self.loop, self.dispatcher, upstream, (READ_CLASS,), 9)
         self.downstream.listen(Address("127.0.0.1", 0))
         host, port = server.getsockname()
-        records = [{"id": "s", "addr": f"{host}:{port}", "zone": "a", "state": "ready"}]
-        self.endpoint_watcher.start(parse_endpoint_list({"version": 1, "full": True, "servers": records}, "known"))
+        endpoint_records = [{"id": "s", "addr": f"{host}:{port}", "zone": "a", "state": "ready"}]
+        self.endpoint_watcher.start(
+            parse_endpoint_list({"version": 1, "full": True, "servers": endpoint_records}, "known")
+        )
 
 
 @pytest.fixture
@@ -123,20 +125,20 @@
 
 
 @pytest.fixture
-def collector() -> Iterator[None]:
-    """Enable the garbage collector after the test."""
+def reenable_garbage_collection() -> Iterator[None]:
+    """Enable the garbage collector again after the test."""
     yield
     gc.enable()
 
 
-@pytest.mark.usefixtures("collector")
+@pytest.mark.usefixtures("reenable_garbage_collection")
 def test_requests_leave_no_reference_cycles(server: socket.socket) -> None:
-    """A reference cycle for each request would make memory and garbage collections grow with the request rate."""
-    sidecar = SidecarInProcess(server)
+    """One reference cycle per request would make memory and garbage collections grow with the request rate."""
+    sidecar = InProcessSidecar(server)
     loop = sidecar.loop
     assert sidecar.downstream.listener is not None
-    address = sidecar.downstream.listener.getsockname()
-    unreachable: list[int] = []
+    listen_address = sidecar.downstream.listener.getsockname()
+    unreachable_counts: list[int] = []
 
     def serve() -> None:
         loop.wait(server.fileno(), 1)
@@ -145,7 +147,7 @@
             connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello")
 
     def send_requests() -> None:
-        with socket.create_connection(address) as client:
+        with socket.create_connection(listen_address) as client:
             for number in range(WARM_UP_REQUESTS + MEASURED_REQUESTS):
                 client.sendall(b"GET /campaign-read HTTP/1.1\r\nX-Correlation-Id: r%d\r\n\r\n" % number)
                 loop.wait(client.fileno(), 1)
@@ -153,11 +155,11 @@
                 if number == WARM_UP_REQUESTS - 1:
                     gc.collect()
                     gc.disable()
-        unreachable.append(gc.collect())
+        unreachable_counts.append(gc.collect())
         loop.stop()
 
     loop.spawn(serve)
     loop.spawn(send_requests)
     loop.run(sidecar.dispatcher.run_due_timers)
-    assert unreachable, "the requests did not finish"
-    assert unreachable[0] < MEASURED_REQUESTS, "at least one unreachable object for each request"
+    assert unreachable_counts, "the requests did not finish"
+    assert unreachable_counts[0] < MEASURED_REQUESTS, "at least one unreachable object per request"
