--- a/tests/fault_injection/test_checker.py
+++ b/tests/fault_injection/test_checker.py
@@ -63,7 +63,7 @@
         return attempt
 
     def end_connection(self, at_ms: float, end: ConnectionEnd = ConnectionEnd.CLOSED_BY_SIDECAR) -> None:
-        """End connection 1; replaces an earlier end."""
+        """End connection 1, replacing an earlier end of it."""
         self.records.ended_connections[1] = EndedConnection(1, ns(at_ms), end)
 
     def remove_answer(self) -> None:
--- a/tests/integration/player.py
+++ b/tests/integration/player.py
@@ -32,7 +32,7 @@
     c1 reset            reset the connection
     c1 pause 0.3        wait for this many seconds
     d1 at B             check that B accepted it
-    d2 elsewhere d1     check that another endpoint accepted it than d1
+    d2 elsewhere d1     check that it and d1 were accepted by different endpoints
 """
 
 from __future__ import annotations
@@ -89,7 +89,7 @@
         self.inherited_listener: socket.socket | None = None  # set by the step ``inherit``
 
     def play(self, script: str) -> None:
-        """Run each step of a file in ``exchanges``.
+        """Run each step of a script, which is the content of a file in ``exchanges``.
 
         Raises:
             AssertionError: a step failed; the message names its line.
@@ -217,7 +217,7 @@
     # ------------------------------------------------------------ the connections
 
     def _expand(self, text: str) -> str:
-        """Return the text of a step with its placeholders replaced, in Latin-1."""
+        """Return the text of a step with its placeholders replaced, as Latin-1 text."""
         for name, listen_address in self.addresses.items():
             text = text.replace(name, listen_address)
         text = re.sub(r"(.)\{x(\d+)\}", lambda match: match[1] * int(match[2]), text)
