--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -227,13 +227,13 @@
         """Let the script continue after the sidecar has shut down, which sets ``has_shut_down``."""
         stop_loop = self.loop.stop
 
-        def stop_with_script() -> None:
+        def stop_if_script_ended() -> None:
             if self.script_ended:
                 stop_loop()
             else:
                 self.has_shut_down = True
 
-        self.loop.stop = stop_with_script  # type: ignore[method-assign]
+        self.loop.stop = stop_if_script_ended  # type: ignore[method-assign]
 
     def listen_with_one_endpoint(self) -> Address:
         """Start to accept clients, with one endpoint in the list to which each request is sent."""
