--- a/tests/fault_injection/checker.py
+++ b/tests/fault_injection/checker.py
@@ -126,7 +126,7 @@
             )
 
     def _check_complete_request(self, request: SentRequest, answers: list[Answer], attempts: list[Attempt]) -> None:
-        self._verdict.checked += 1
+        self._verdict.complete_requests += 1
         complete_answer = next((answer for answer in answers if answer.is_complete), None)
         self._check_answer(request, complete_answer, answers)
         if self._overlaps_scheduling_lag(request):
--- a/tests/fault_injection/report.py
+++ b/tests/fault_injection/report.py
@@ -51,7 +51,7 @@
 def _summary(scenario: Scenario, result: RunResult, verdict: Verdict) -> str:
     summary = "BREACHED" if verdict.violations else "KEPT"
     return (
-        f"{summary} seed {scenario.seed}: {verdict.checked} requests checked, {verdict.served} served, "
+        f"{summary} seed {scenario.seed}: {verdict.complete_requests} complete requests, {verdict.served} served, "
         f"{verdict.rejected_or_failed} rejected or failed, {verdict.disconnected} disconnected; "
         f"{len(result.records.attempts)} attempts"
     )
--- a/tests/fault_injection/test_checker.py
+++ b/tests/fault_injection/test_checker.py
@@ -84,7 +84,7 @@
 def test_answered_request_violates_no_rule(run: RecordedRun) -> None:
     verdict = run.verdict()
     assert not verdict.violations
-    assert (verdict.checked, verdict.served) == (1, 1)
+    assert (verdict.complete_requests, verdict.served) == (1, 1)
     assert set(verdict.counts().values()) == {0}
 
 
--- a/tests/fault_injection/test_fault_injection.py
+++ b/tests/fault_injection/test_fault_injection.py
@@ -13,7 +13,7 @@
 
 SEED = 35
 DURATION_S = 5.0
-MIN_CHECKED_REQUESTS = 200
+MIN_COMPLETE_REQUESTS = 200
 """With fewer requests, a run without violations would prove nothing."""
 FAULT_GROUPS: dict[str, tuple[Fault, ...]] = {
     "sidecars": (
@@ -48,7 +48,7 @@
     result = run_scenario(scenario)
     verdict = check(result.records)
     report = "\n".join(describe(scenario, result, verdict))
-    assert verdict.checked >= MIN_CHECKED_REQUESTS, report
+    assert verdict.complete_requests >= MIN_COMPLETE_REQUESTS, report
     assert not verdict.violations, report
 
 
--- a/tests/fault_injection/verdict.py
+++ b/tests/fault_injection/verdict.py
@@ -46,7 +46,8 @@
     """The violations in a run, and the number of requests by result."""
 
     violations: list[Violation] = field(default_factory=list)
-    checked: int = 0
+    complete_requests: int = 0
+    """The requests that were written completely, including those that could not be checked."""
     served: int = 0
     rejected_or_failed: int = 0
     disconnected: int = 0
