--- a/tests/fault_injection/scenario.py
+++ b/tests/fault_injection/scenario.py
@@ -1,4 +1,4 @@
-"""One run: its sidecars, endpoints, discovery services and clients, its faults, and its records."""
+"""Runs a scenario: starts its sidecars, endpoints, discovery services and clients, and injects its faults."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 from pathlib import Path
 
 from tests.fault_injection.behaviour import ALL_FAULTS, ClientBehaviour, EndpointBehaviour, Fault, TimedFault
-from tests.fault_injection.client import Client, ClientFleet
-from tests.fault_injection.clock import now_ns, watch_own_lag
+from tests.fault_injection.client import Client, SharedClientState
+from tests.fault_injection.clock import now_ns, record_scheduling_lags
 from tests.fault_injection.discovery import READY, DiscoveryService, EndpointCatalog
 from tests.fault_injection.endpoint import Endpoint
-from tests.fault_injection.endpoint_connection import EndpointFleet
+from tests.fault_injection.endpoint_connection import SharedEndpointState
 from tests.fault_injection.faults import draw_schedule
-from tests.fault_injection.injector import FaultInjector, Site
+from tests.fault_injection.injector import FaultInjector, FaultTargets
 from tests.fault_injection.records import RunRecords
 from tests.fault_injection.sidecar_process import SidecarProcess
 
 ZONES = ("a", "b")
 DISCOVERY_SERVICES = 2
 CLIENT_SHUTDOWN_TIMEOUT_S = 15.0
-"""Twice the longest deadline plus the time that clients wait after it."""
+"""More than twice the longest time that a client waits for an answer: its deadline and the time after it."""
 
 
 @dataclass(slots=True, frozen=True)
 class Scenario:
-    """The parameters of a run; equal parameters give an equal plan."""
+    """The parameters of a run; equal parameters give equal plans of behaviours and faults."""
 
     seed: int
     duration_s: float
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class RunResult:
-    """The records of a run, and the logs of its sidecars."""
+    """The records of a run, the logs of its sidecars, and the time of its start."""
 
     records: RunRecords
     logs: list[str]
@@ -47,13 +47,13 @@
 
 
 def run_scenario(scenario: Scenario) -> RunResult:
-    """Run a scenario to its end."""
+    """Run a scenario to its end and return its records."""
     with tempfile.TemporaryDirectory() as folder:
         return asyncio.run(_Run(scenario, Path(folder)).run())
 
 
 class _Run:
-    """The parts of one run, from their start to their end."""
+    """Starts the parts of one run, and stops them at its end."""
 
     def __init__(self, scenario: Scenario, folder: Path) -> None:
         self._scenario = scenario
@@ -68,22 +68,22 @@
         self._is_stopping = False
 
     async def run(self) -> RunResult:
-        lag_watch = asyncio.create_task(watch_own_lag(self._records))
+        lag_recorder = asyncio.create_task(record_scheduling_lags(self._records))
         try:
-            site = await self._start()
+            targets = await self._start()
             started_ns = now_ns()
-            await self._run_clients_and_faults(site)
+            await self._run_clients_and_faults(targets)
             return RunResult(self._records, [sidecar.log for sidecar in self._sidecars], started_ns)
         finally:
-            lag_watch.cancel()
-            await self._end()
+            lag_recorder.cancel()
+            await self._stop()
 
-    async def _start(self) -> Site:
+    async def _start(self) -> FaultTargets:
         scenario = self._scenario
         enabled = tuple(fault for fault in scenario.faults if isinstance(fault, EndpointBehaviour))
-        fleet = EndpointFleet(scenario.seed, self._records, enabled)
+        shared = SharedEndpointState(scenario.seed, self._records, enabled)
         for number in range(scenario.endpoints):
-            endpoint = Endpoint(f"e{number}", fleet, ZONES[number % len(ZONES)], number // len(ZONES))
+            endpoint = Endpoint(f"e{number}", shared, ZONES[number % len(ZONES)], number // len(ZONES))
             endpoint.start()
             self._catalog.set_state(endpoint, READY)
             self._endpoints.append(endpoint)
@@ -91,10 +91,10 @@
         for sidecar in self._sidecars:
             sidecar.discovery = addresses[0]
         await asyncio.gather(*(sidecar.start() for sidecar in self._sidecars))
-        return Site(self._sidecars, self._endpoints, self._catalog, self._services, addresses)
+        return FaultTargets(self._sidecars, self._endpoints, self._catalog, self._services, addresses)
 
-    def _make_client_fleet(self) -> ClientFleet:
-        return ClientFleet(
+    def _make_shared_client_state(self) -> SharedClientState:
+        return SharedClientState(
             self._scenario.seed,
             self._records,
             [sidecar.address for sidecar in self._sidecars],
@@ -102,18 +102,18 @@
             lambda: self._is_stopping,
         )
 
-    async def _run_clients_and_faults(self, site: Site) -> None:
-        """Run the clients and the fault schedule; raise the first exception of either.
+    async def _run_clients_and_faults(self, targets: FaultTargets) -> None:
+        """Run the clients and the fault schedule to their ends; raise the first exception of either.
 
         Raises:
             TimeoutError: a client did not end in time.
         """
         scenario = self._scenario
-        fleet = self._make_client_fleet()
-        clients = [asyncio.create_task(Client(fleet, number).run()) for number in range(scenario.clients)]
+        shared = self._make_shared_client_state()
+        clients = [asyncio.create_task(Client(shared, number).run()) for number in range(scenario.clients)]
         enabled = tuple(fault for fault in scenario.faults if isinstance(fault, TimedFault))
         schedule = draw_schedule(scenario.seed, scenario.duration_s, enabled)
-        injection = asyncio.create_task(FaultInjector(site, self._records).play(schedule))
+        injection = asyncio.create_task(FaultInjector(targets, self._records).run_schedule(schedule))
         await asyncio.sleep(scenario.duration_s)
         self._is_stopping = True
         _, unfinished = await asyncio.wait(clients, timeout=CLIENT_SHUTDOWN_TIMEOUT_S)
@@ -124,9 +124,9 @@
             if isinstance(result, Exception):
                 raise result
         if unfinished:
-            raise TimeoutError(f"{len(unfinished)} clients did not end")
+            raise TimeoutError(f"{len(unfinished)} clients did not end in time")
 
-    async def _end(self) -> None:
+    async def _stop(self) -> None:
         for sidecar in self._sidecars:
             sidecar.kill()
         for service in self._services:
