--- a/lugtally/cli/experiment.py
+++ b/lugtally/cli/experiment.py
@@ -44,12 +44,12 @@
         parallel_runs: Number of parallel runs; ``None`` to derive it from the number of cores.
         with_table: Whether to print a table with confidence intervals and write a plot, instead of one line per run.
     """
-    from lugtally.testbed.experiments.experiment import cells_of
+    from lugtally.testbed.experiments.experiment import matrix_cells
     from lugtally.testbed.experiments.matrix import max_parallel_runs, play_cells
     from lugtally.testbed.reporting import table, terminal
 
     interrupt_on_sigterm()
-    cells = cells_of(experiment)
+    cells = matrix_cells(experiment)
     with progress_bar(sys.stderr.isatty(), experiment.name, len(cells)) as on_progress:
         try:
             parallel_runs = parallel_runs or max_parallel_runs(experiment.cores_per_run)
--- a/lugtally/testbed/experiments/experiment.py
+++ b/lugtally/testbed/experiments/experiment.py
@@ -37,7 +37,7 @@
     measure: str = "net"
 
 
-class Cell(Struct, frozen=True):
+class MatrixCell(Struct, frozen=True):
     """One run of an experiment."""
 
     setting: Setting
@@ -93,10 +93,10 @@
     return msgspec.json.encode(from_tree(tree, f"{name} with {setting.name}")).decode()
 
 
-def cells_of(experiment: Experiment) -> list[Cell]:
+def matrix_cells(experiment: Experiment) -> list[MatrixCell]:
     """Return all runs.  Seeds are the outermost loop, so that an interrupted experiment has complete seeds."""
     return [
-        Cell(setting, scenario, seed, policy)
+        MatrixCell(setting, scenario, seed, policy)
         for seed in experiment.seeds
         for scenario in experiment.scenarios
         for policy in experiment.policies
--- a/lugtally/testbed/experiments/matrix.py
+++ b/lugtally/testbed/experiments/matrix.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from lugtally.testbed.experiments.experiment import Cell, changed_scenario
+from lugtally.testbed.experiments.experiment import MatrixCell, changed_scenario
 from lugtally.testbed.reporting import report_file
 from lugtally.testbed.reporting.report import INTERRUPTED, Report, Verdict
 
@@ -27,7 +27,7 @@
 class _CellRun(NamedTuple):
     """A run of a cell; ``number`` counts its runs from 1."""
 
-    cell: Cell
+    cell: MatrixCell
     number: int
 
 
@@ -36,7 +36,7 @@
 
 
 def play_cells(
-    cells: list[Cell], folder: Path, max_parallel: int, on_progress: OnProgress = _ignore_progress
+    cells: list[MatrixCell], folder: Path, max_parallel: int, on_progress: OnProgress = _ignore_progress
 ) -> dict[str, Report]:
     """Execute the cells without a report; return all reports by the name of their cell."""
     folder.mkdir(parents=True, exist_ok=True)
@@ -55,7 +55,7 @@
 class _MatrixRun:
     """The waiting and running cells of an experiment, and the reports so far by the name of their cell."""
 
-    def __init__(self, cells: list[Cell], folder: Path) -> None:
+    def __init__(self, cells: list[MatrixCell], folder: Path) -> None:
         self.reports: dict[str, Report] = {}
         self._folder = folder
         self._waiting: deque[_CellRun] = deque()
@@ -94,7 +94,7 @@
         for child in self._running:
             child.wait()
 
-    def _read_report(self, cell: Cell) -> bool:
+    def _read_report(self, cell: MatrixCell) -> bool:
         """Store the report of a cell; return whether there is one."""
         report = _finished_report(self._folder, cell)
         if report is None:
@@ -109,7 +109,7 @@
     return max(1, (os.cpu_count() or 1) // max(1, cores_per_run))
 
 
-def _start(cell: Cell, folder: Path) -> subprocess.Popen[bytes]:
+def _start(cell: MatrixCell, folder: Path) -> subprocess.Popen[bytes]:
     """Start the process of a run."""
     path = folder / f"{cell.name}{report_file.SCENARIO_SUFFIX}"
     path.write_text(changed_scenario(cell.scenario, cell.setting), encoding="utf-8")
@@ -122,11 +122,11 @@
         return subprocess.Popen(command, stdin=subprocess.DEVNULL, stdout=log, stderr=log, start_new_session=True)
 
 
-def _report_path(folder: Path, cell: Cell) -> Path:
+def _report_path(folder: Path, cell: MatrixCell) -> Path:
     return folder / f"{cell.name}.json"
 
 
-def _finished_report(folder: Path, cell: Cell) -> Report | None:
+def _finished_report(folder: Path, cell: MatrixCell) -> Report | None:
     """Return the report of a cell, None if there is none or the run was interrupted."""
     try:
         (report,) = report_file.load(_report_path(folder, cell))
--- a/lugtally/testbed/reporting/table.py
+++ b/lugtally/testbed/reporting/table.py
@@ -10,7 +10,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from lugtally.testbed.experiments.experiment import Cell, Experiment
+from lugtally.testbed.experiments.experiment import Experiment, MatrixCell
 from lugtally.testbed.reporting.compare import MEASURES, MIN_PAIRS, NO_DIFFERENCE, bootstrap_interval
 from lugtally.testbed.reporting.plots import pyplot, save_svg
 from lugtally.testbed.reporting.report import Report, Verdict
@@ -32,7 +32,7 @@
     return [Column(setting.name, policy) for policy in experiment.policies for setting in experiment.settings]
 
 
-def collect(cells: list[Cell], reports: dict[str, Report], measure: str) -> Results:
+def collect(cells: list[MatrixCell], reports: dict[str, Report], measure: str) -> Results:
     """Return the measure of each run by scenario, column and seed, without void runs."""
     value = MEASURES[measure].value
     results: Results = defaultdict(lambda: defaultdict(dict))
@@ -43,7 +43,7 @@
     return results
 
 
-def print_table(experiment: Experiment, cells: list[Cell], reports: dict[str, Report], console: Console) -> None:
+def print_table(experiment: Experiment, cells: list[MatrixCell], reports: dict[str, Report], console: Console) -> None:
     """Print the mean of each scenario and column, and its difference to the first column, paired by seed."""
     results = collect(cells, reports, experiment.measure)
     columns = columns_of(experiment)
@@ -64,7 +64,7 @@
     _print_counts(cells, reports, console)
 
 
-def plot(experiment: Experiment, cells: list[Cell], reports: dict[str, Report], path: Path) -> None:
+def plot(experiment: Experiment, cells: list[MatrixCell], reports: dict[str, Report], path: Path) -> None:
     """Draw the means as bars, with the range over the seeds, as SVG."""
     results = collect(cells, reports, experiment.measure)
     columns = columns_of(experiment)
@@ -87,7 +87,7 @@
     save_svg(figure, path)
 
 
-def _column_of(cell: Cell) -> Column:
+def _column_of(cell: MatrixCell) -> Column:
     return Column(cell.setting.name, cell.policy)
 
 
@@ -117,7 +117,7 @@
     return [f"{np.mean(differences):+.3f}", f"{interval.low:+.3f} to {interval.high:+.3f}", finding]
 
 
-def _print_counts(cells: list[Cell], reports: dict[str, Report], console: Console) -> None:
+def _print_counts(cells: list[MatrixCell], reports: dict[str, Report], console: Console) -> None:
     broken: dict[Column, int] = defaultdict(int)
     void = 0
     for cell in cells:
--- a/tests/testbed/test_experiment.py
+++ b/tests/testbed/test_experiment.py
@@ -20,7 +20,7 @@
         "[[settings]]\nname = 'base'\n[[settings]]\nname = 'busy'\nset = {'load.rate_per_s' = 70}\n"
     )
     described = experiment.read(tmp_path / "try.toml")
-    cells = experiment.cells_of(described)
+    cells = experiment.matrix_cells(described)
     assert len(cells) == 4
     first = matrix.play_cells(cells[:3], tmp_path / "out", 3)
     stamps = {path: path.stat().st_mtime_ns for path in (tmp_path / "out").glob("*.1.json")}
