--- a/lugtally/cli/experiment.py
+++ b/lugtally/cli/experiment.py
@@ -45,7 +45,7 @@
         with_table: Whether to print a table with confidence intervals and write a plot, instead of one line per run.
     """
     from lugtally.testbed.experiments.experiment import matrix_cells
-    from lugtally.testbed.experiments.matrix import max_parallel_runs, play_cells
+    from lugtally.testbed.experiments.matrix import max_parallel_runs, run_cells
     from lugtally.testbed.reporting import table, terminal
 
     interrupt_on_sigterm()
@@ -53,7 +53,7 @@
     with progress_bar(sys.stderr.isatty(), experiment.name, len(cells)) as on_progress:
         try:
             parallel_runs = parallel_runs or max_parallel_runs(experiment.cores_per_run)
-            reports = play_cells(cells, out, parallel_runs, on_progress)
+            reports = run_cells(cells, out, parallel_runs, on_progress)
         except KeyboardInterrupt:
             print(f"lugtally: interrupted; the same command resumes from {out}", file=sys.stderr)
             return EXIT_INTERRUPTED
--- a/lugtally/cli/rehearse.py
+++ b/lugtally/cli/rehearse.py
@@ -180,7 +180,7 @@
             operator=options.operator_file,
             folder=folder,
             on_progress=on_progress,
-        ).play()
+        ).execute()
 
 
 @rehearse.command("all")
--- a/lugtally/testbed/experiments/matrix.py
+++ b/lugtally/testbed/experiments/matrix.py
@@ -31,11 +31,11 @@
     number: int
 
 
-def _ignore_progress(_done: int, _playing: str) -> None:
+def _ignore_progress(_done: int, _running: str) -> None:
     """Do nothing."""
 
 
-def play_cells(
+def run_cells(
     cells: list[MatrixCell], folder: Path, max_parallel: int, on_progress: OnProgress = _ignore_progress
 ) -> dict[str, Report]:
     """Execute the cells without a report; return all reports by the name of their cell."""
--- a/lugtally/testbed/experiments/runner.py
+++ b/lugtally/testbed/experiments/runner.py
@@ -75,7 +75,7 @@
         self._children = ChildProcesses(self._folder)
         self._event_log = EventLogWriter(self._event_log_path(RUNNER))
 
-    def play(self) -> Report:
+    def execute(self) -> Report:
         """Execute the run until its end or Ctrl-C, and verify its records.  Raises RunError."""
         block = loopback.LoopbackBlock()
         sidecars = SidecarGroup(
@@ -83,7 +83,7 @@
         )
         was_interrupted = False
         try:
-            self._play(block.number, sidecars)
+            self._execute(block.number, sidecars)
         except KeyboardInterrupt:
             was_interrupted = True
         finally:
@@ -95,7 +95,7 @@
                 block.close()
         return self._report(sidecars, was_interrupted)
 
-    def _play(self, block: int, sidecars: SidecarGroup) -> None:
+    def _execute(self, block: int, sidecars: SidecarGroup) -> None:
         self._on_progress(0.0, "starting")
         fleet = self._start_process(FLEET, block)
         await_ready(fleet, self._folder)
@@ -129,8 +129,8 @@
         log = EventLog(read_records(self._event_log_path(name) for name in (FLEET, LOAD, RUNNER)))
         findings = verify(log, self._schedule, self._start)
         if was_interrupted:
-            played = max(0.0, self._clock() - self._start)
-            findings.void_reasons.insert(0, f"{INTERRUPTED} after {played:.1f} s")
+            elapsed_s = max(0.0, self._clock() - self._start)
+            findings.void_reasons.insert(0, f"{INTERRUPTED} after {elapsed_s:.1f} s")
         report = build_report(self._schedule, self._policy, findings, log, self._start, sidecars.usage())
         if self._is_temporary:
             shutil.rmtree(self._folder, ignore_errors=True)
--- a/tests/overload/test_sockets.py
+++ b/tests/overload/test_sockets.py
@@ -77,7 +77,7 @@
     run = runner.Run(
         scenario_file.decode(FLOOD, "flood.toml"), 2, folder=folder / "run", operator=folder / "operator.toml"
     )
-    report = run.play()
+    report = run.execute()
     return FloodRun(report, event_log.read_records([folder / "run" / name for name in ("load.jsonl", "world.jsonl")]))
 
 
--- a/tests/testbed/runs.py
+++ b/tests/testbed/runs.py
@@ -35,7 +35,7 @@
 def play_until_valid(played: scenario.Scenario, seed: int, folder: Path | None = None) -> Report:
     """Return the report of a run; repeat a void one, as a busy machine makes, twice at most."""
     for _ in range(3):
-        report = runner.Run(played, seed, folder=folder).play()
+        report = runner.Run(played, seed, folder=folder).execute()
         if report.verdict != Verdict.VOID:
             break
     return report
--- a/tests/testbed/test_experiment.py
+++ b/tests/testbed/test_experiment.py
@@ -22,7 +22,7 @@
     described = experiment.read(tmp_path / "try.toml")
     cells = experiment.matrix_cells(described)
     assert len(cells) == 4
-    first = matrix.play_cells(cells[:3], tmp_path / "out", 3)
+    first = matrix.run_cells(cells[:3], tmp_path / "out", 3)
     stamps = {path: path.stat().st_mtime_ns for path in (tmp_path / "out").glob("*.1.json")}
     assert len(first) == len(stamps) == 3
     result = CliRunner().invoke(
--- a/tests/testbed/test_faulty_sidecars.py
+++ b/tests/testbed/test_faulty_sidecars.py
@@ -67,7 +67,7 @@
     def play(sidecar: str) -> Report:
         command = None if sidecar == REAL else [sys.executable, "-B", "-m", "tests.testbed.faulty_sidecar", sidecar]
         for _ in range(3):  # a run on a busy machine may be void: run again
-            report = runner.Run(scenario, 4, command=command).play()
+            report = runner.Run(scenario, 4, command=command).execute()
             if report.verdict != Verdict.VOID:
                 break
         return report
