--- a/lugtally/testbed/reporting/report.py
+++ b/lugtally/testbed/reporting/report.py
@@ -52,7 +52,7 @@
     percentiles: dict[str, float]
 
 
-class PlayedFault(Struct, rename={"began_s": "begun_s"}):
+class AppliedFault(Struct, rename={"began_s": "begun_s"}):
     """A fault of a run."""
 
     kind: str
@@ -75,7 +75,7 @@
     requests: int
 
 
-class Judgement(NamedTuple):
+class RunVerdict(NamedTuple):
     """Verdict on a run and its reasons."""
 
     verdict: Verdict
@@ -110,17 +110,17 @@
     latencies: list[Latency]
     in_flight: dict[str, list[InFlightSample]]  # by server
     attempts_per_client_attempt: dict[str, int]
-    faults: list[PlayedFault]
+    faults: list[AppliedFault]
     timer_lags: list[TimerLagReport]
     sidecars: list[SidecarUsage]
 
 
-def judge_run(findings: Findings, expect: Expect) -> Judgement:
+def decide_verdict(findings: Findings, expect: Expect) -> RunVerdict:
     """Judge a run.  Void reasons take precedence over violations, and violations over missed minimums."""
     if findings.void_reasons:
-        return Judgement(Verdict.VOID, list(findings.void_reasons))
+        return RunVerdict(Verdict.VOID, list(findings.void_reasons))
     if findings.violations:
-        return Judgement(Verdict.BROKEN, _broken_rules(findings))
+        return RunVerdict(Verdict.BROKEN, _violation_counts(findings))
     minimums = [
         ("service", findings.service, expect.service),
         ("worst class", findings.worst_class, expect.worst_class),
@@ -129,7 +129,7 @@
     missed = [
         f"{name} {value:.3f}, expected {minimum:g} or more" for name, value, minimum in minimums if value < minimum
     ]
-    return Judgement(Verdict.FAILED if missed else Verdict.PASSED, missed)
+    return RunVerdict(Verdict.FAILED if missed else Verdict.PASSED, missed)
 
 
 def build_report(
@@ -142,7 +142,7 @@
 ) -> Report:
     """Return the report of a run that began ``start`` seconds after the base of its records."""
     scenario = schedule.scenario
-    judgement = judge_run(findings, scenario.expect)
+    run_verdict = decide_verdict(findings, scenario.expect)
     return Report(
         schema=SCHEMA,
         scenario=scenario.name,
@@ -154,14 +154,14 @@
         length_s=scenario.length_s,
         rate_per_s=schedule.rate,
         servers=scenario.fleet.servers,
-        verdict=judgement.verdict,
-        reasons=judgement.reasons,
+        verdict=run_verdict.verdict,
+        reasons=run_verdict.reasons,
         violations_by_name=_violations_by_name(findings),
         findings=msgspec.structs.replace(findings, violations=findings.violations[:MAX_LISTED_VIOLATIONS]),
         latencies=measure_latencies(schedule, log),
         in_flight=_in_flight(log, start),
         attempts_per_client_attempt=_attempts_per_client_attempt(log),
-        faults=_played_faults(schedule),
+        faults=_applied_faults(schedule),
         timer_lags=log.timer_lags,
         sidecars=sidecars,
     )
@@ -196,7 +196,7 @@
     return Latency(request_class.name, histogram.get_total_count(), percentiles)
 
 
-def _broken_rules(findings: Findings) -> list[str]:
+def _violation_counts(findings: Findings) -> list[str]:
     """Return one line for each kind of violation, the most frequent first."""
     rules: dict[str, int] = {}
     for violation in findings.violations:
@@ -228,9 +228,9 @@
     return {str(attempts): counts[attempts] for attempts in sorted(counts)}
 
 
-def _played_faults(schedule: Schedule) -> list[PlayedFault]:
+def _applied_faults(schedule: Schedule) -> list[AppliedFault]:
     return [
-        PlayedFault(event.fault.kind, event.at, _end_of(event, schedule.events), _affected_servers(event, schedule))
+        AppliedFault(event.fault.kind, event.at, _fault_end(event, schedule.events), _affected_servers(event, schedule))
         for event in schedule.events
         if event.begins
     ]
@@ -243,7 +243,7 @@
     return [schedule.machines[server_index].name for server_index in event.server_indices]
 
 
-def _end_of(begin: FaultEvent, events: tuple[FaultEvent, ...]) -> float | None:
+def _fault_end(begin: FaultEvent, events: tuple[FaultEvent, ...]) -> float | None:
     """Return when a fault ends, None if it lasts until the end of the run."""
     return next(
         (
--- a/tests/testbed/test_validity.py
+++ b/tests/testbed/test_validity.py
@@ -22,7 +22,7 @@
 def test_timer_lag_makes_run_void(lag_report: records.TimerLagReport, verdict: str) -> None:
     drawn = schedule.make_schedule(scenario_file.load("quiet"), 1)
     log = event_log.EventLog([lag_report, records.TimerLagReport("stand-ins", 9, 1.0, 2.0, 1.0)])
-    assert report.judge_run(verifier.verify(log, drawn, 0.0), scenario.Expect()).verdict == verdict
+    assert report.decide_verdict(verifier.verify(log, drawn, 0.0), scenario.Expect()).verdict == verdict
 
 
 def test_truncated_event_log_is_read_and_makes_run_void(tmp_path: Path) -> None:
@@ -34,4 +34,4 @@
     (tmp_path / "a.jsonl").write_bytes(complete[:-5])
     assert len(event_log.read_records([tmp_path / "a.jsonl", tmp_path / "none.jsonl"])) == 2
     findings = verifier.verify(event_log.EventLog([]), schedule.make_schedule(scenario_file.load("quiet"), 1), 0.0)
-    assert report.judge_run(findings, scenario.Expect()).verdict == "void"
+    assert report.decide_verdict(findings, scenario.Expect()).verdict == "void"
