--- a/lugtally/testbed/experiments/baselines.py
+++ b/lugtally/testbed/experiments/baselines.py
@@ -1,4 +1,4 @@
-"""Baseline policies for comparisons, run by the same dispatcher and network code as the shipped balancer.
+"""BaselinePolicy policies for comparisons, run by the same dispatcher and network code as the shipped balancer.
 
 They are part of the testbed and cannot be selected for the daemon; only the runner starts this module.  Each obeys the
 rules on retries and drains.  None considers load, unresponsive endpoints or cold starts.
@@ -21,7 +21,7 @@
 RETRY = "+retry"
 RANDOM, ROUND_ROBIN, LEAST_IN_FLIGHT = "random", "round-robin", "least-in-flight"
 PICKS = (RANDOM, ROUND_ROBIN, LEAST_IN_FLIGHT)
-NAMES = tuple(pick + retry for pick in PICKS for retry in ("", RETRY))
+POLICY_NAMES = tuple(pick + retry for pick in PICKS for retry in ("", RETRY))
 
 
 class SentAttempt(NamedTuple):
@@ -53,12 +53,12 @@
         return self.request_class.idempotency is Idempotency.NON_IDEMPOTENT
 
 
-class Baseline:
+class BaselinePolicy:
     """A policy that replaces :class:`lugtally.balancing.balancer.Balancer`: events in, actions out."""
 
     def __init__(self, name: str, settings: balancing.Settings, seed: int) -> None:
         """Create the policy of that name.  Raises ValueError if there is none."""
-        if name not in NAMES:
+        if name not in POLICY_NAMES:
             raise ValueError(f"{name}: no such policy")
         self._pick, _, retry = name.partition("+")
         self._retries = bool(retry)
@@ -171,7 +171,9 @@
     from lugtally.config.sidecar import load
     from lugtally.daemon.sidecar import serve
 
-    return serve(load(os.environ), "WARNING", policy_factory=lambda settings, seed: Baseline(name, settings, seed))
+    return serve(
+        load(os.environ), "WARNING", policy_factory=lambda settings, seed: BaselinePolicy(name, settings, seed)
+    )
 
 
 if __name__ == "__main__":
--- a/lugtally/testbed/experiments/experiment.py
+++ b/lugtally/testbed/experiments/experiment.py
@@ -9,8 +9,8 @@
 import msgspec
 from msgspec import Struct
 
-from lugtally.testbed.experiments.baselines import NAMES
-from lugtally.testbed.experiments.runner import MODULE
+from lugtally.testbed.experiments.baselines import POLICY_NAMES
+from lugtally.testbed.experiments.runner import SHIPPED_POLICY
 from lugtally.testbed.scenario.scenario import ScenarioError
 from lugtally.testbed.scenario.scenario_file import from_tree, shipped
 
@@ -31,7 +31,7 @@
     name: str
     scenarios: tuple[str, ...]
     seeds: tuple[int, ...]
-    policies: tuple[str, ...] = (MODULE,)
+    policies: tuple[str, ...] = (SHIPPED_POLICY,)
     settings: tuple[Setting, ...] = (Setting("as shipped"),)
     cores_per_run: int = CORES_PER_RUN
     measure: str = "net"
@@ -63,8 +63,10 @@
     settings = tuple(_with_operator_path(setting, path) for setting in experiment.settings)
     experiment = msgspec.structs.replace(experiment, settings=settings)
     for policy in experiment.policies:
-        if policy != MODULE and policy not in NAMES:
-            raise ScenarioError(f"{path.name}: policies: {policy!r} is none of {MODULE}, {', '.join(NAMES)}")
+        if policy != SHIPPED_POLICY and policy not in POLICY_NAMES:
+            raise ScenarioError(
+                f"{path.name}: policies: {policy!r} is none of {SHIPPED_POLICY}, {', '.join(POLICY_NAMES)}"
+            )
     for scenario in experiment.scenarios:
         for setting in experiment.settings:
             changed_scenario(scenario, setting)
--- a/lugtally/testbed/experiments/runner.py
+++ b/lugtally/testbed/experiments/runner.py
@@ -34,7 +34,7 @@
 
 START_DELAY_S = 0.4  # between the command ``go`` and the start of the scenario
 POLL_S = 0.05
-MODULE = "module"  # the policy that the daemon ships
+SHIPPED_POLICY = "module"  # the policy that the daemon ships
 
 FLEET, LOAD, RUNNER = "world", "load", "runner"  # names of the files of a run
 PROCESS_MODULES = {FLEET: "lugtally.testbed.emulator.process", LOAD: "lugtally.testbed.loadgen.generator"}
@@ -52,7 +52,7 @@
         scenario: Scenario,
         seed: int,
         *,
-        policy: str = MODULE,
+        policy: str = SHIPPED_POLICY,
         folder: Path | None = None,
         on_progress: Callable[[float, str], None] = _ignore_progress,
         command: list[str] | None = None,
@@ -164,11 +164,11 @@
 
 def _sidecar_command(policy: str, operator: Path | None) -> list[str]:
     """Return the command of the real sidecar or of a baseline policy.  Raises RunError."""
-    if policy == MODULE:
+    if policy == SHIPPED_POLICY:
         options = ["--operator", str(operator.resolve())] if operator is not None else []
         return [sys.executable, "-B", "-m", "lugtally", "serve", "--log-level", "WARNING", *options]
-    if policy not in baselines.NAMES:
-        raise RunError(f"{policy}: unknown policy; known are {MODULE}, {', '.join(baselines.NAMES)}")
+    if policy not in baselines.POLICY_NAMES:
+        raise RunError(f"{policy}: unknown policy; known are {SHIPPED_POLICY}, {', '.join(baselines.POLICY_NAMES)}")
     return [sys.executable, "-B", "-m", "lugtally.testbed.experiments.baselines", policy]
 
 
