--- a/lugtally/cli/rehearse.py
+++ b/lugtally/cli/rehearse.py
@@ -177,7 +177,7 @@
             scenario,
             seed,
             policy=options.policy,
-            operator=options.operator_file,
+            operator_file=options.operator_file,
             folder=folder,
             on_progress=on_progress,
         ).execute()
--- a/lugtally/testbed/experiments/runner.py
+++ b/lugtally/testbed/experiments/runner.py
@@ -56,12 +56,12 @@
         folder: Path | None = None,
         on_progress: Callable[[float, str], None] = _ignore_progress,
         command: list[str] | None = None,
-        operator: Path | None = None,
+        operator_file: Path | None = None,
     ) -> None:
         """Draw the schedule.  Raises RunError if the policy is unknown.
 
         Without ``folder`` the files of the run are temporary.  ``command`` replaces the sidecar by another program,
-        ``operator`` is an operator's file for the sidecars.
+        ``operator_file`` is an operator's file for the sidecars.
         """
         self._scenario, self._seed, self._policy = scenario, seed, policy
         self._on_progress = on_progress
@@ -69,7 +69,7 @@
         self._is_temporary = folder is None
         self._folder = folder or Path(tempfile.mkdtemp(prefix="lugtally-rehearsal-"))
         self._folder.mkdir(parents=True, exist_ok=True)
-        self._command = command or _sidecar_command(policy, operator)
+        self._command = command or _sidecar_command(policy, operator_file)
         self._base = time.monotonic()
         self._start = 0.0  # of the scenario, in seconds since the base
         self._children = ChildProcesses(self._folder)
@@ -162,10 +162,10 @@
         return time.monotonic() - self._base
 
 
-def _sidecar_command(policy: str, operator: Path | None) -> list[str]:
+def _sidecar_command(policy: str, operator_file: Path | None) -> list[str]:
     """Return the command of the real sidecar or of a baseline policy.  Raises RunError."""
     if policy == SHIPPED_POLICY:
-        options = ["--operator", str(operator.resolve())] if operator is not None else []
+        options = ["--operator", str(operator_file.resolve())] if operator_file is not None else []
         return [sys.executable, "-B", "-m", "lugtally", "serve", "--log-level", "WARNING", *options]
     if policy not in baselines.POLICY_NAMES:
         raise RunError(f"{policy}: unknown policy; known are {SHIPPED_POLICY}, {', '.join(baselines.POLICY_NAMES)}")
--- a/tests/overload/test_sockets.py
+++ b/tests/overload/test_sockets.py
@@ -75,7 +75,7 @@
     folder = tmp_path_factory.mktemp("flood")
     (folder / "operator.toml").write_text(OPERATOR_FILE)
     run = runner.Run(
-        scenario_file.decode(FLOOD, "flood.toml"), 2, folder=folder / "run", operator=folder / "operator.toml"
+        scenario_file.decode(FLOOD, "flood.toml"), 2, folder=folder / "run", operator_file=folder / "operator.toml"
     )
     report = run.execute()
     return FloodRun(report, event_log.read_records([folder / "run" / name for name in ("load.jsonl", "world.jsonl")]))
