--- a/lugtally/testbed/experiments/core_contention.py
+++ b/lugtally/testbed/experiments/core_contention.py
@@ -1,4 +1,4 @@
-"""Contention for a sidecar's core by other programs."""
+"""Contention for the core of a sidecar, as caused by other programs on the machine."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
 
 
 class CoreContention:
-    """Busy-looping programs, by the sidecar whose core they share."""
+    """Processes that run a busy loop on the cores of sidecars."""
 
     def __init__(self, children: ChildProcesses) -> None:
         self._children = children
-        self._spinners: dict[int, list[subprocess.Popen[bytes]]] = {}
+        self._busy_loops: dict[int, list[subprocess.Popen[bytes]]] = {}  # by sidecar
 
     def start(self, sidecar: int, core: int, share: float) -> None:
-        """Start as many programs as take this share of the core under fair scheduling."""
+        """Start as many busy loops as take this share of the core if the kernel schedules all processes fairly."""
         count = max(1, round(share / (1 - share)))
-        spinners = [self._children.spawn([sys.executable, "-c", BUSY_LOOP], "spin.log") for _ in range(count)]
-        self._spinners[sidecar] = spinners
-        for spinner in spinners:
-            os.sched_setaffinity(spinner.pid, {core})
+        busy_loops = [self._children.spawn([sys.executable, "-c", BUSY_LOOP], "spin.log") for _ in range(count)]
+        self._busy_loops[sidecar] = busy_loops
+        for process in busy_loops:
+            os.sched_setaffinity(process.pid, {core})
 
     def stop(self, sidecar: int) -> None:
-        """End the programs on a sidecar's core."""
-        for spinner in self._spinners.pop(sidecar, []):
-            spinner.kill()
-            spinner.wait()
+        """Kill the busy loops on the core of a sidecar."""
+        for process in self._busy_loops.pop(sidecar, []):
+            process.kill()
+            process.wait()
 
     def kill_all(self) -> None:
-        """Kill all programs."""
-        for spinners in self._spinners.values():
-            for spinner in spinners:
-                spinner.kill()
+        """Kill all busy loops."""
+        for busy_loops in self._busy_loops.values():
+            for process in busy_loops:
+                process.kill()
