--- a/lugtally/testbed/experiments/experiment.py
+++ b/lugtally/testbed/experiments/experiment.py
@@ -60,7 +60,7 @@
         raise ScenarioError(f"{path}: {error.strerror}") from error
     except (tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
         raise ScenarioError(f"{path.name}: {error}") from error
-    settings = tuple(_with_operator_path(setting, path) for setting in experiment.settings)
+    settings = tuple(_resolve_operator_path(setting, path) for setting in experiment.settings)
     experiment = msgspec.structs.replace(experiment, settings=settings)
     for policy in experiment.policies:
         if policy != SHIPPED_POLICY and policy not in POLICY_NAMES:
@@ -69,11 +69,11 @@
             )
     for scenario in experiment.scenarios:
         for setting in experiment.settings:
-            changed_scenario(scenario, setting)
+            scenario_with_setting(scenario, setting)
     return experiment
 
 
-def changed_scenario(name: str, setting: Setting) -> str:
+def scenario_with_setting(name: str, setting: Setting) -> str:
     """Return a scenario with the changes of a setting, as JSON.  Raises ScenarioError."""
     texts = shipped()
     try:
@@ -106,7 +106,7 @@
     ]
 
 
-def _with_operator_path(setting: Setting, path: Path) -> Setting:
+def _resolve_operator_path(setting: Setting, path: Path) -> Setting:
     """Resolve the path of the operator's file.  Raises ScenarioError if the file does not exist."""
     operator = Path(setting.operator)
     if setting.operator and not operator.is_absolute():
--- a/lugtally/testbed/experiments/matrix.py
+++ b/lugtally/testbed/experiments/matrix.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from lugtally.testbed.experiments.experiment import MatrixCell, changed_scenario
+from lugtally.testbed.experiments.experiment import MatrixCell, scenario_with_setting
 from lugtally.testbed.reporting import report_file
 from lugtally.testbed.reporting.report import INTERRUPTED, Report, Verdict
 
@@ -112,7 +112,7 @@
 def _start(cell: MatrixCell, folder: Path) -> subprocess.Popen[bytes]:
     """Start the process of a run."""
     path = folder / f"{cell.name}{report_file.SCENARIO_SUFFIX}"
-    path.write_text(changed_scenario(cell.scenario, cell.setting), encoding="utf-8")
+    path.write_text(scenario_with_setting(cell.scenario, cell.setting), encoding="utf-8")
     command = [sys.executable, "-B", "-m", "lugtally", "rehearse", "run", str(path)]
     command += ["--seed", str(cell.seed), "--policy", cell.policy]
     command += ["--json", str(_report_path(folder, cell)), "--no-progress"]
