--- a/lugtally/testbed/experiments/experiment.py
+++ b/lugtally/testbed/experiments/experiment.py
@@ -1,4 +1,4 @@
-"""Experiment files: a matrix of settings, policies, scenarios and seeds."""
+"""Experiment files: each describes a matrix of runs, with one run for each setting, policy, scenario and seed."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from lugtally.testbed.scenario.scenario import ScenarioError
 from lugtally.testbed.scenario.scenario_file import from_tree, shipped
 
-CORES_PER_RUN = 4  # two for the testbed, two for the sidecars
+CORES_PER_RUN = 4  # two for the processes of the testbed, two for the sidecars
 
 
 class Setting(Struct, frozen=True, forbid_unknown_fields=True, rename={"changes": "set"}):
-    """Changes to every scenario, by ``table.key``."""
+    """Changes to every scenario of an experiment: new values by ``table.key``."""
 
     name: str
     changes: dict[str, Any] = {}
-    operator: str = ""  # path of an operator's file for the sidecars, relative to the experiment's file
+    operator: str = ""  # path of the sidecars' operator file, relative to the experiment file
 
 
 class Experiment(Struct, frozen=True, forbid_unknown_fields=True, rename={"cores_per_run": "cores_each"}):
@@ -38,7 +38,7 @@
 
 
 class MatrixCell(Struct, frozen=True):
-    """One run of an experiment."""
+    """A cell of an experiment's matrix: a run of one scenario with one setting, seed and policy."""
 
     setting: Setting
     scenario: str
@@ -47,13 +47,13 @@
 
     @property
     def name(self) -> str:
-        """Name of its files, without a suffix."""
+        """Name of the run's files, without a suffix."""
         text = f"{self.setting.name}.{Path(self.scenario).stem}.{self.policy}.{self.seed}"
         return "".join(character if character.isalnum() or character in ".-+" else "_" for character in text)
 
 
 def read(path: Path) -> Experiment:
-    """Read an experiment file.  Raises ScenarioError, with a message of one line that names the field."""
+    """Read and check an experiment file.  Raises ScenarioError, with a message of one line that names the field."""
     try:
         experiment = msgspec.convert(tomllib.loads(path.read_text(encoding="utf-8")), Experiment)
     except OSError as error:
@@ -69,34 +69,34 @@
             )
     for scenario in experiment.scenarios:
         for setting in experiment.settings:
-            scenario_with_setting(scenario, setting)
+            scenario_with_setting(scenario, setting)  # raises ScenarioError if the result is invalid
     return experiment
 
 
 def scenario_with_setting(name: str, setting: Setting) -> str:
-    """Return a scenario with the changes of a setting, as JSON.  Raises ScenarioError."""
-    texts = shipped()
+    """Apply a setting to a shipped scenario or a scenario file; return the result as JSON.  Raises ScenarioError."""
+    shipped_texts = shipped()
     try:
-        text = texts[name] if name in texts else Path(name).read_text(encoding="utf-8")
+        text = shipped_texts[name] if name in shipped_texts else Path(name).read_text(encoding="utf-8")
     except OSError as error:
         raise ScenarioError(f"{name}: {error.strerror}") from error
     try:
         tree = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        raise ScenarioError(f"{name}: no TOML: {error}") from error
+        raise ScenarioError(f"{name}: invalid TOML: {error}") from error
     for field, value in setting.changes.items():
         *tables, key = field.split(".")
         parent = tree
         for table in tables:
             parent = parent.setdefault(table, {})
             if not isinstance(parent, dict):
-                raise ScenarioError(f"{name}: settings.{setting.name}: {field}: {table} is no table")
+                raise ScenarioError(f"{name}: settings.{setting.name}: {field}: {table} is not a table")
         parent[key] = value
     return msgspec.json.encode(from_tree(tree, f"{name} with {setting.name}")).decode()
 
 
 def matrix_cells(experiment: Experiment) -> list[MatrixCell]:
-    """Return all runs.  Seeds are the outermost loop, so that an interrupted experiment has complete seeds."""
+    """Return all cells, seed by seed, so that an interrupted experiment has all runs of its first seeds."""
     return [
         MatrixCell(setting, scenario, seed, policy)
         for seed in experiment.seeds
@@ -107,10 +107,10 @@
 
 
 def _resolve_operator_path(setting: Setting, path: Path) -> Setting:
-    """Resolve the path of the operator's file.  Raises ScenarioError if the file does not exist."""
-    operator = Path(setting.operator)
-    if setting.operator and not operator.is_absolute():
-        setting = msgspec.structs.replace(setting, operator=str(path.parent / operator))
+    """Resolve the operator path against the experiment file.  Raises ScenarioError if the file does not exist."""
+    operator_file = Path(setting.operator)
+    if setting.operator and not operator_file.is_absolute():
+        setting = msgspec.structs.replace(setting, operator=str(path.parent / operator_file))
     if setting.operator and not Path(setting.operator).is_file():
         raise ScenarioError(f"{path.name}: settings.{setting.name}: operator: {setting.operator}: no such file")
     return setting
