--- a/lugtally/testbed/experiments/matrix.py
+++ b/lugtally/testbed/experiments/matrix.py
@@ -1,7 +1,8 @@
 """Parallel execution of the runs of an experiment, within the cores of the machine.
 
-Each cell is a run in a process of its own, with one report file.  A cell with a report is not executed again, so that
-an interrupted experiment resumes.  A void cell is executed up to three times.
+Each cell is a run in its own process that writes one report file.  A cell that has a report is not executed again, so
+that an interrupted experiment can be resumed.  A cell whose run is void or writes no report is executed up to three
+times.
 """
 
 from __future__ import annotations
@@ -19,13 +20,13 @@
 from lugtally.testbed.reporting import report_file
 from lugtally.testbed.reporting.report import INTERRUPTED, Report, Verdict
 
-MAX_RUNS = 3  # of a void cell
+MAX_RUNS_PER_CELL = 3  # if its runs are void or leave no report
 POLL_S = 0.1
-OnProgress = Callable[[int, str], None]  # number of cells with a report, names of the running ones
+ProgressCallback = Callable[[int, str], None]  # number of cells with a report, names of the running ones
 
 
 class _CellRun(NamedTuple):
-    """A run of a cell; ``number`` counts its runs from 1."""
+    """A run of a cell.  ``number`` is 1 for the first run of the cell and is larger for its repeats."""
 
     cell: MatrixCell
     number: int
@@ -36,9 +37,9 @@
 
 
 def run_cells(
-    cells: list[MatrixCell], folder: Path, max_parallel: int, on_progress: OnProgress = _ignore_progress
+    cells: list[MatrixCell], folder: Path, max_parallel: int, on_progress: ProgressCallback = _ignore_progress
 ) -> dict[str, Report]:
-    """Execute the cells without a report; return all reports by the name of their cell."""
+    """Execute the cells that have no report yet; return the reports of all cells by the name of the cell."""
     folder.mkdir(parents=True, exist_ok=True)
     matrix = _MatrixRun(cells, folder)
     try:
@@ -53,7 +54,7 @@
 
 
 class _MatrixRun:
-    """The waiting and running cells of an experiment, and the reports so far by the name of their cell."""
+    """The cells of an experiment that are waiting and running, and the finished reports by the name of the cell."""
 
     def __init__(self, cells: list[MatrixCell], folder: Path) -> None:
         self.reports: dict[str, Report] = {}
@@ -61,7 +62,7 @@
         self._waiting: deque[_CellRun] = deque()
         self._running: dict[subprocess.Popen[bytes], _CellRun] = {}
         for cell in cells:
-            if not self._read_report(cell):
+            if not self._collect_report(cell):
                 self._waiting.append(_CellRun(cell, 1))
 
     @property
@@ -74,29 +75,29 @@
         return ", ".join(run.cell.name for run in self._running.values())
 
     def start_runs(self, max_parallel: int) -> None:
-        """Start waiting cells up to the limit of parallel runs."""
+        """Start waiting runs, as long as fewer than ``max_parallel`` are running."""
         while self._waiting and len(self._running) < max_parallel:
             run = self._waiting.popleft()
-            self._running[_start(run.cell, self._folder)] = run
+            self._running[_start_process(run.cell, self._folder)] = run
 
     def collect_finished(self) -> None:
-        """Read the reports of the runs that have ended, and repeat cells that are void or have no report."""
-        for child in [child for child in self._running if child.poll() is not None]:
-            run = self._running.pop(child)
-            is_valid = self._read_report(run.cell) and self.reports[run.cell.name].verdict != Verdict.VOID
-            if not is_valid and run.number < MAX_RUNS:
+        """Read the reports of the runs that have ended; queue a repeat of each run that is void or has no report."""
+        for process in [process for process in self._running if process.poll() is not None]:
+            run = self._running.pop(process)
+            is_valid = self._collect_report(run.cell) and self.reports[run.cell.name].verdict != Verdict.VOID
+            if not is_valid and run.number < MAX_RUNS_PER_CELL:
                 self._waiting.append(_CellRun(run.cell, run.number + 1))
 
     def stop(self) -> None:
-        """End all running cells."""
-        for child in self._running:
-            child.terminate()  # a run handles SIGTERM like Ctrl-C
-        for child in self._running:
-            child.wait()
-
-    def _read_report(self, cell: MatrixCell) -> bool:
-        """Store the report of a cell; return whether there is one."""
-        report = _finished_report(self._folder, cell)
+        """End all running processes."""
+        for process in self._running:
+            process.terminate()  # a run handles SIGTERM like Ctrl-C
+        for process in self._running:
+            process.wait()
+
+    def _collect_report(self, cell: MatrixCell) -> bool:
+        """Read and store the report of a cell; return whether there is one."""
+        report = _load_report(self._folder, cell)
         if report is None:
             self.reports.pop(cell.name, None)
             return False
@@ -105,12 +106,12 @@
 
 
 def max_parallel_runs(cores_per_run: int) -> int:
-    """Return how many runs the cores of the machine allow in parallel."""
+    """Return how many runs with ``cores_per_run`` cores each the machine can execute in parallel, at least one."""
     return max(1, (os.cpu_count() or 1) // max(1, cores_per_run))
 
 
-def _start(cell: MatrixCell, folder: Path) -> subprocess.Popen[bytes]:
-    """Start the process of a run."""
+def _start_process(cell: MatrixCell, folder: Path) -> subprocess.Popen[bytes]:
+    """Start the process that executes a cell."""
     path = folder / f"{cell.name}{report_file.SCENARIO_SUFFIX}"
     path.write_text(scenario_with_setting(cell.scenario, cell.setting), encoding="utf-8")
     command = [sys.executable, "-B", "-m", "lugtally", "rehearse", "run", str(path)]
@@ -126,8 +127,8 @@
     return folder / f"{cell.name}.json"
 
 
-def _finished_report(folder: Path, cell: MatrixCell) -> Report | None:
-    """Return the report of a cell, None if there is none or the run was interrupted."""
+def _load_report(folder: Path, cell: MatrixCell) -> Report | None:
+    """Return the report of a cell; None if there is no readable report, or if the run was interrupted."""
     try:
         (report,) = report_file.load(_report_path(folder, cell))
     except (report_file.ReportError, ValueError):
