--- a/lugtally/testbed/experiments/runner.py
+++ b/lugtally/testbed/experiments/runner.py
@@ -106,10 +106,12 @@
         self._start = self._clock() + START_DELAY_S
         for process in (fleet, load):
             send_line(process, f"go {self._start!r}")
-        self._follow(fleet, load, sidecars)
+        self._apply_faults_until_done(fleet, load, sidecars)
         self._on_progress(self._scenario.length_s, "stopping")
 
-    def _follow(self, fleet: subprocess.Popen[bytes], load: subprocess.Popen[bytes], sidecars: SidecarGroup) -> None:
+    def _apply_faults_until_done(
+        self, fleet: subprocess.Popen[bytes], load: subprocess.Popen[bytes], sidecars: SidecarGroup
+    ) -> None:
         """Apply the faults of sidecars until the load generator is done."""
         events = [event for event in self._schedule.events if event.fault.kind.startswith(SIDECAR_PREFIX)]
         assert load.stdout is not None
@@ -119,11 +121,11 @@
                 return  # the load generator printed ``done`` or ended
             now_s = self._clock()
             while events and now_s >= self._start + events[0].at:
-                sidecars.apply(events.pop(0))
+                sidecars.apply_fault(events.pop(0))
             sidecars.poll()
             if fleet.poll() is not None:
                 raise RunError(f"the emulated fleet ended; its log is in {self._folder}")
-            self._on_progress(min(self._scenario.length_s, max(0.0, now_s - self._start)), "playing")
+            self._on_progress(min(self._scenario.length_s, max(0.0, now_s - self._start)), "running")
 
     def _report(self, sidecars: SidecarGroup, was_interrupted: bool) -> Report:
         log = EventLog(read_records(self._event_log_path(name) for name in (FLEET, LOAD, RUNNER)))
@@ -178,9 +180,9 @@
     if threading.current_thread() is not threading.main_thread():
         yield
         return
-    before = {number: signal.signal(number, signal.SIG_IGN) for number in (signal.SIGINT, signal.SIGTERM)}
+    previous_handlers = {number: signal.signal(number, signal.SIG_IGN) for number in (signal.SIGINT, signal.SIGTERM)}
     try:
         yield
     finally:
-        for number, handler in before.items():
+        for number, handler in previous_handlers.items():
             signal.signal(number, handler)
--- a/lugtally/testbed/experiments/sidecars.py
+++ b/lugtally/testbed/experiments/sidecars.py
@@ -24,7 +24,7 @@
 from lugtally.testbed.scenario.schedule import Schedule
 from lugtally.testbed.verification.records import ProcessEvent, ProcessEventKind
 
-STOP_TIMEOUT_S = 8.0  # for a sidecar to end after SIGTERM, in addition to the longest deadline
+STOP_TIMEOUT_S = 8.0  # for a sidecar to end after SIGTERM, in addition to the longest deadline of a request class
 STOP_POLL_S = 0.01
 START_POLL_S = 0.02
 SAMPLE_INTERVAL_S = 0.5
@@ -44,7 +44,7 @@
 
     number: int
     process: subprocess.Popen[bytes] | None = None
-    statistics: psutil.Process | None = None
+    psutil_process: psutil.Process | None = None
     is_ready: bool = False
     is_stopping: bool = False  # a signal that ends it was sent
     restart_at: float | None = None
@@ -90,10 +90,10 @@
 
     def await_ready(self) -> None:
         """Wait until all sidecars are ready.  Raises RunError."""
-        until = self._clock() + READY_TIMEOUT_S
+        deadline_s = self._clock() + READY_TIMEOUT_S
         while not all(sidecar.is_ready for sidecar in self._sidecars):
             self.poll()
-            if self._clock() > until:
+            if self._clock() > deadline_s:
                 raise RunError(f"a sidecar was not ready after {READY_TIMEOUT_S:g} s; its log is in {self._folder}")
             processes = [sidecar.process for sidecar in self._sidecars if sidecar.process is not None]
             if any(process.poll() is not None for process in processes):
@@ -110,11 +110,11 @@
                 sidecar.restart_at = None
                 self._start(sidecar)
 
-    def apply(self, event: FaultEvent) -> None:
+    def apply_fault(self, event: FaultEvent) -> None:
         """Apply the begin or end of a fault of a sidecar."""
         sidecar, fault = self._sidecars[event.fault.sidecar], event.fault
         if fault.kind == "sidecar-starved":
-            self._starve(sidecar, event)
+            self._apply_core_contention(sidecar, event)
             return
         if not event.begins or sidecar.process is None or sidecar.is_stopping:
             return
@@ -131,9 +131,9 @@
             sidecar.restart_at = None
             if sidecar.process is not None and sidecar.process.poll() is None and not sidecar.is_stopping:
                 self._send_signal(sidecar, sidecar.process, ProcessEventKind.TERM)
-        longest = max(request_class.deadline_ms for request_class in self._schedule.scenario.classes) / 1000
-        until = self._clock() + longest + STOP_TIMEOUT_S
-        while self._clock() < until and any(sidecar.process is not None for sidecar in self._sidecars):
+        longest_deadline_s = max(request_class.deadline_ms for request_class in self._schedule.scenario.classes) / 1000
+        deadline_s = self._clock() + longest_deadline_s + STOP_TIMEOUT_S
+        while self._clock() < deadline_s and any(sidecar.process is not None for sidecar in self._sidecars):
             self.poll()
             time.sleep(STOP_POLL_S)
 
@@ -154,7 +154,7 @@
             stdin=subprocess.DEVNULL,
             stdout=subprocess.DEVNULL,
         )
-        sidecar.statistics = psutil.Process(sidecar.process.pid)
+        sidecar.psutil_process = psutil.Process(sidecar.process.pid)
         if sidecar.core is not None:
             os.sched_setaffinity(sidecar.process.pid, {sidecar.core})
         sidecar.is_ready = False
@@ -169,7 +169,7 @@
         status = process.poll()
         if status is not None:
             sidecar.cpu_before_restart_s = sidecar.cpu_s
-            sidecar.process, sidecar.statistics = None, None
+            sidecar.process, sidecar.psutil_process = None, None
             sidecar.is_stopping = False
             self._record_event(sidecar, ProcessEventKind.ENDED, status)
         elif not sidecar.is_ready and is_ready(self._block, sidecar.number):
@@ -185,7 +185,7 @@
     def _record_event(self, sidecar: Sidecar, kind: ProcessEventKind, status: int = 0) -> None:
         self._record(ProcessEvent(self._clock(), sidecar.number, kind, status))
 
-    def _starve(self, sidecar: Sidecar, event: FaultEvent) -> None:
+    def _apply_core_contention(self, sidecar: Sidecar, event: FaultEvent) -> None:
         if not event.begins:
             self._contention.stop(sidecar.number)
             return
@@ -198,10 +198,10 @@
             return
         self._sampled_at = now_s
         for sidecar in self._sidecars:
-            if sidecar.statistics is None:
+            if sidecar.psutil_process is None:
                 continue
             try:
-                times, memory = sidecar.statistics.cpu_times(), sidecar.statistics.memory_info()
+                times, memory = sidecar.psutil_process.cpu_times(), sidecar.psutil_process.memory_info()
             except psutil.Error:
                 continue  # it has just ended
             sidecar.cpu_s = sidecar.cpu_before_restart_s + times.user + times.system
