--- a/lugtally/testbed/experiments/runner.py
+++ b/lugtally/testbed/experiments/runner.py
@@ -1,7 +1,9 @@
 """Execution of one run: the emulated fleet, the real sidecars and the load generator, then the verification.
 
-Every process is a child in a session of its own and is ended by its id in any case.  After Ctrl-C no process is left,
-and the report covers the run until then.
+Every process is a child in its own session and is ended by its id, also if the run fails.  After Ctrl-C no process is
+left, and the report covers the run up to that moment.
+
+All times of a run are seconds since its base, the reading of the monotonic clock when it was created.
 """
 
 from __future__ import annotations
@@ -34,9 +36,10 @@
 
 START_DELAY_S = 0.4  # between the command ``go`` and the start of the scenario
 POLL_S = 0.05
-SHIPPED_POLICY = "module"  # the policy that the daemon ships
+SHIPPED_POLICY = "module"  # the balancer that the daemon ships with
 
-FLEET, LOAD, RUNNER = "world", "load", "runner"  # names of the files of a run
+# Names of the files of the emulated fleet, the load generator and the runner in the folder of a run.
+FLEET, LOAD, RUNNER = "world", "load", "runner"
 PROCESS_MODULES = {FLEET: "lugtally.testbed.emulator.process", LOAD: "lugtally.testbed.loadgen.generator"}
 
 
@@ -45,7 +48,7 @@
 
 
 class Run:
-    """A run of a scenario with one seed and policy.  ``on_progress`` gets the elapsed seconds and the phase."""
+    """A run of a scenario with one seed and policy."""
 
     def __init__(
         self,
@@ -58,10 +61,19 @@
         command: list[str] | None = None,
         operator_file: Path | None = None,
     ) -> None:
-        """Draw the schedule.  Raises RunError if the policy is unknown.
-
-        Without ``folder`` the files of the run are temporary.  ``command`` replaces the sidecar by another program,
-        ``operator_file`` is an operator's file for the sidecars.
+        """Draw the schedule of the run from the seed.
+
+        Args:
+            scenario: The scenario to execute.
+            seed: Seed of the schedule.
+            policy: The shipped policy, or the name of a baseline policy.
+            folder: Folder of the run's files; without it they are temporary.
+            on_progress: Called with the seconds of the scenario that have passed and the phase of the run.
+            command: Command of another program that replaces the sidecar.
+            operator_file: The operator file that the sidecars read.
+
+        Raises:
+            RunError: The policy is unknown.
         """
         self._scenario, self._seed, self._policy = scenario, seed, policy
         self._on_progress = on_progress
@@ -71,12 +83,12 @@
         self._folder.mkdir(parents=True, exist_ok=True)
         self._command = command or _sidecar_command(policy, operator_file)
         self._base = time.monotonic()
-        self._start = 0.0  # of the scenario, in seconds since the base
+        self._start = 0.0  # of the scenario
         self._children = ChildProcesses(self._folder)
         self._event_log = EventLogWriter(self._event_log_path(RUNNER))
 
     def execute(self) -> Report:
-        """Execute the run until its end or Ctrl-C, and verify its records.  Raises RunError."""
+        """Execute the run until it ends or is interrupted, and report the verified records.  Raises RunError."""
         block = loopback.LoopbackBlock()
         sidecars = SidecarGroup(
             self._schedule, block.number, self._command, self._folder, self._children, self._clock, self._record
@@ -87,7 +99,7 @@
         except KeyboardInterrupt:
             was_interrupted = True
         finally:
-            # A second Ctrl-C must not interrupt the end of the processes.
+            # A second Ctrl-C must not interrupt the shutdown, as it would leave processes behind.
             with _stop_signals_ignored():
                 sidecars.stop()
                 self._children.stop()
@@ -112,7 +124,7 @@
     def _apply_faults_until_done(
         self, fleet: subprocess.Popen[bytes], load: subprocess.Popen[bytes], sidecars: SidecarGroup
     ) -> None:
-        """Apply the faults of sidecars until the load generator is done."""
+        """Apply the sidecars' faults and supervise the processes until the load generator is done."""
         events = [event for event in self._schedule.events if event.fault.kind.startswith(SIDECAR_PREFIX)]
         assert load.stdout is not None
         while True:
@@ -165,7 +177,7 @@
 
 
 def _sidecar_command(policy: str, operator_file: Path | None) -> list[str]:
-    """Return the command of the real sidecar or of a baseline policy.  Raises RunError."""
+    """Return the command that starts a sidecar with this policy.  Raises RunError if the policy is unknown."""
     if policy == SHIPPED_POLICY:
         options = ["--operator", str(operator_file.resolve())] if operator_file is not None else []
         return [sys.executable, "-B", "-m", "lugtally", "serve", "--log-level", "WARNING", *options]
@@ -176,7 +188,10 @@
 
 @contextmanager
 def _stop_signals_ignored() -> Iterator[None]:
-    """Ignore the signals that end a run.  Does nothing outside the main thread, which alone receives signals."""
+    """Ignore the signals that end a run.
+
+    Outside the main thread it does nothing, as only the main thread handles signals.
+    """
     if threading.current_thread() is not threading.main_thread():
         yield
         return
