--- a/lugtally/testbed/experiments/sidecar_configuration.py
+++ b/lugtally/testbed/experiments/sidecar_configuration.py
@@ -1,4 +1,4 @@
-"""The ``config.json`` of a sidecar, with the keys of the platform."""
+"""The file ``config.json`` of a sidecar, with the keys that the platform defines."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 NS_PER_MS = 1e6
 NS_PER_S = 1e9
-KIND = "std"  # of every server
+SERVER_KIND = "std"  # all emulated servers are of one kind
 CROSS_ZONE_PRICE = 0.03
 TIMER_RESOLUTION_NS = 5_000_000
 MAX_RETRY_AFTER_NS = 2_000_000_000
@@ -21,7 +21,7 @@
 
 
 def sidecar_configuration(schedule: Schedule, block: int, sidecar: int) -> dict[str, Any]:
-    """Return the configuration of a sidecar with addresses in a block of loopback."""
+    """Return the configuration of a sidecar whose addresses are in a block of loopback addresses."""
     scenario = schedule.scenario
     return {
         "name": f"n{sidecar}",
@@ -41,7 +41,7 @@
             "id": machine.name,
             "addr": f"{loopback.server_host(block, server_index, sidecar)}:{loopback.PORT}",
             "zone": machine.zone,
-            "kind": KIND,
+            "kind": SERVER_KIND,
             "cell": fleet.zones.index(machine.zone),
             "state": READY,
             "weight": 1.0,
@@ -59,7 +59,7 @@
         "me": sidecar,
         "zones": zones,
         "locality": sidecar % len(zones),
-        "kinds": [KIND],
+        "kinds": [SERVER_KIND],
         "membership_mode": "subscribe",
         "step_ns": TIMER_RESOLUTION_NS,
         "ceilings": _ceilings(scenario),
