--- a/lugtally/testbed/experiments/sidecars.py
+++ b/lugtally/testbed/experiments/sidecars.py
@@ -1,4 +1,4 @@
-"""Sidecar processes of a run: start, faults, restarts, resource usage and stop."""
+"""Sidecar processes of a run: their start, faults, restarts, resource usage and shutdown."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 STOP_POLL_S = 0.01
 START_POLL_S = 0.02
 SAMPLE_INTERVAL_S = 0.5
-HEALTH_TIMEOUT_S = 0.2
+HEALTH_CHECK_TIMEOUT_S = 0.2
 BYTES_PER_MB = 2**20
 HEALTH_CHECK = b"GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
 SIGNALS = {
@@ -40,22 +40,22 @@
 
 @dataclass(slots=True)
 class Sidecar:
-    """A sidecar: its process, state and resource usage."""
+    """The process, state and resource usage of a sidecar."""
 
     number: int
     process: subprocess.Popen[bytes] | None = None
     psutil_process: psutil.Process | None = None
     is_ready: bool = False
-    is_stopping: bool = False  # a signal that ends it was sent
-    restart_at: float | None = None
+    is_stopping: bool = False  # SIGTERM or SIGKILL was sent
+    restart_at: float | None = None  # None if no restart is due
     cpu_s: float = 0.0  # over all restarts
     cpu_before_restart_s: float = 0.0
     max_rss_mb: float = 0.0
-    core: int | None = None  # that it is pinned to
+    core: int | None = None  # the core to which it is pinned
 
 
 class SidecarGroup:
-    """All sidecars of a run.  Times are seconds since the base."""
+    """All sidecars of a run.  Times are seconds since the base of the run."""
 
     def __init__(
         self,
@@ -67,7 +67,17 @@
         clock: Callable[[], float],
         record: Callable[[ProcessEvent], None],
     ) -> None:
-        """Prepare the sidecars that ``command`` starts.  Their configurations are written to ``folder``."""
+        """Prepare the sidecars, without starting them.
+
+        Args:
+            schedule: The schedule of the run.
+            block: Number of the run's block of loopback addresses.
+            command: Command that starts a sidecar.
+            folder: Folder for the configurations and logs of the sidecars.
+            children: The child processes of the run, to which the sidecars are added.
+            clock: Returns the seconds since the base of the run.
+            record: Called with each event of a sidecar process.
+        """
         self._schedule = schedule
         self._block = block
         self._command = command
@@ -82,11 +92,11 @@
             self._pin_to_cores()
 
     def start(self) -> None:
-        """Configure and start all sidecars."""
+        """Write the configurations of all sidecars and start them."""
         for sidecar in self._sidecars:
             configuration = sidecar_configuration(self._schedule, self._block, sidecar.number)
             self._configuration_path(sidecar).write_text(json.dumps(configuration), encoding="utf-8")
-            self._start(sidecar)
+            self._start_process(sidecar)
 
     def await_ready(self) -> None:
         """Wait until all sidecars are ready.  Raises RunError."""
@@ -108,10 +118,10 @@
                 self._poll_process(sidecar, sidecar.process)
             elif sidecar.restart_at is not None and self._clock() >= sidecar.restart_at:
                 sidecar.restart_at = None
-                self._start(sidecar)
+                self._start_process(sidecar)
 
     def apply_fault(self, event: FaultEvent) -> None:
-        """Apply the begin or end of a fault of a sidecar."""
+        """Apply the begin or the end of a fault to its sidecar."""
         sidecar, fault = self._sidecars[event.fault.sidecar], event.fault
         if fault.kind == "sidecar-starved":
             self._apply_core_contention(sidecar, event)
@@ -144,7 +154,7 @@
     def _configuration_path(self, sidecar: Sidecar) -> Path:
         return self._folder / f"sidecar-{sidecar.number}.json"
 
-    def _start(self, sidecar: Sidecar) -> None:
+    def _start_process(self, sidecar: Sidecar) -> None:
         environment = {name: value for name, value in os.environ.items() if not name.startswith("PROXY_")}
         environment["PROXY_CONFIG"] = str(self._configuration_path(sidecar))
         sidecar.process = self._children.spawn(
@@ -160,7 +170,7 @@
         sidecar.is_ready = False
 
     def _pin_to_cores(self) -> None:
-        """Assign a core to each sidecar, from the last core down."""
+        """Assign a core to each sidecar, in descending order of the core numbers."""
         cores = sorted(os.sched_getaffinity(0))
         for sidecar in self._sidecars:
             sidecar.core = cores[-1 - sidecar.number % len(cores)]
@@ -203,7 +213,7 @@
             try:
                 times, memory = sidecar.psutil_process.cpu_times(), sidecar.psutil_process.memory_info()
             except psutil.Error:
-                continue  # it has just ended
+                continue  # the process has just ended
             sidecar.cpu_s = sidecar.cpu_before_restart_s + times.user + times.system
             sidecar.max_rss_mb = max(sidecar.max_rss_mb, memory.rss / BYTES_PER_MB)
 
@@ -212,8 +222,8 @@
     """Return whether a sidecar reports that it is ready."""
     address = (loopback.sidecar_host(block, sidecar), loopback.PORT)
     try:
-        with socket.create_connection(address, HEALTH_TIMEOUT_S) as connection:
-            connection.settimeout(HEALTH_TIMEOUT_S)
+        with socket.create_connection(address, HEALTH_CHECK_TIMEOUT_S) as connection:
+            connection.settimeout(HEALTH_CHECK_TIMEOUT_S)
             connection.sendall(HEALTH_CHECK)
             return connection.recv(64).startswith(b"HTTP/1.1 200")
     except OSError:
