--- a/lugtally/testbed/reporting/compare.py
+++ b/lugtally/testbed/reporting/compare.py
@@ -1,7 +1,7 @@
-"""Comparison of two sets of runs: differences paired by scenario and seed, with bootstrap intervals.
+"""Comparison of two sets of runs: differences paired by scenario and seed, with confidence intervals.
 
-The intervals are percentile bootstraps (Efron, 1979) of the paired differences.  If an interval contains zero, or
-there are too few pairs for one, the finding is "no difference seen".
+The intervals are percentile bootstraps (Efron, 1979) of the mean of the paired differences.  If an interval contains
+zero, or there are too few pairs for an interval, the finding is "no difference seen".
 """
 
 from __future__ import annotations
@@ -15,25 +15,25 @@
 from lugtally.testbed.reporting.report import Report, Verdict
 from lugtally.testbed.scenario.random_streams import stream
 
-RESAMPLES = 10_000
+RESAMPLES = 10_000  # of the bootstrap
 CONFIDENCE_LEVEL = 0.95
-MIN_PAIRS = 4  # for an interval
+MIN_PAIRS = 4  # fewer pairs give no interval
 NO_DIFFERENCE = "no difference seen"
 
 
 class CompareError(Exception):
-    """The sets cannot be compared."""
+    """The sets have no pair of runs to compare."""
 
 
 class Measure(NamedTuple):
-    """A figure of a run, and in which direction it is better."""
+    """A measure of a run, and whether larger values are better."""
 
     value: Callable[[Report], float]
     more_is_better: bool
 
 
 class RunPair(NamedTuple):
-    """Runs of the same scenario and seed, one of each set."""
+    """Two runs of the same scenario and seed, one from each set."""
 
     a: Report
     b: Report
@@ -51,7 +51,7 @@
 
 
 class _RunKey(NamedTuple):
-    """What the runs of a pair have in common."""
+    """The scenario and seed that the two runs of a pair share."""
 
     scenario: str
     seed: int
@@ -78,32 +78,35 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """Difference of a measure: B minus A."""
+    """Difference of a measure between the sets A and B, as B minus A."""
 
     measure: str
     pairs: int
     mean_a: float
     mean_b: float
     mean: float
-    low: float  # of the interval; ``mean`` if there is none
-    high: float  # the same
+    low: float  # lower end of the interval; ``mean`` if there are too few pairs
+    high: float  # upper end of the interval; ``mean`` if there are too few pairs
     finding: str
 
 
 def pair_runs(set_a: list[Report], set_b: list[Report]) -> list[RunPair]:
-    """Pair the runs of the same scenario and seed, without void ones.  Raises CompareError if there is no pair."""
-    runs_a, runs_b = _by_scenario_and_seed(set_a), _by_scenario_and_seed(set_b)
+    """Pair the runs of the same scenario and seed, except void runs.  Raises CompareError if there is no pair."""
+    runs_a, runs_b = _valid_runs(set_a), _valid_runs(set_b)
     common = sorted(runs_a.keys() & runs_b.keys())
     if not common:
-        raise CompareError("no scenario was run with the same seed in both")
+        raise CompareError("no scenario was run with the same seed in both sets")
     return [RunPair(runs_a[key], runs_b[key]) for key in common]
 
 
-def bootstrap_interval(differences: list[float], *name: object) -> Interval:
-    """Return the bootstrap interval of the mean.  The same differences and name give the same interval."""
+def bootstrap_interval(differences: list[float], *stream_name: object) -> Interval:
+    """Return the confidence interval of the mean of these differences.
+
+    ``stream_name`` selects the random stream of the resamples: the same differences and name give the same interval.
+    """
     values = np.array(differences)
-    draws = stream(0, "bootstrap", len(values), *name).integers(len(values), size=(RESAMPLES, len(values)))
-    means = values[draws].mean(axis=1)
+    resamples = stream(0, "bootstrap", len(values), *stream_name).integers(len(values), size=(RESAMPLES, len(values)))
+    means = values[resamples].mean(axis=1)
     tail = (1 - CONFIDENCE_LEVEL) / 2
     low, high = np.quantile(means, [tail, 1 - tail])
     return Interval(float(low), float(high))
@@ -115,7 +118,7 @@
     return [_compare_measure(name, measure, pairs) for name, measure in MEASURES.items()]
 
 
-def _by_scenario_and_seed(reports: list[Report]) -> dict[_RunKey, Report]:
+def _valid_runs(reports: list[Report]) -> dict[_RunKey, Report]:
     return {_RunKey(report.scenario, report.seed): report for report in reports if report.verdict != Verdict.VOID}
 
 
