--- a/lugtally/testbed/reporting/page.py
+++ b/lugtally/testbed/reporting/page.py
@@ -1,4 +1,4 @@
-"""Report as a self-contained HTML page."""
+"""Report of a run as a self-contained HTML page."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 def write_page(report: Report, path: Path) -> None:
-    """Write a report to an HTML file without external resources."""
-    text = (resources.files("lugtally.testbed.reporting") / TEMPLATE).read_text(encoding="utf-8")
-    template = jinja2.Environment(autoescape=True, undefined=jinja2.StrictUndefined).from_string(text)
+    """Write a report to an HTML file that refers to no external resources."""
+    source = (resources.files("lugtally.testbed.reporting") / TEMPLATE).read_text(encoding="utf-8")
+    template = jinja2.Environment(autoescape=True, undefined=jinja2.StrictUndefined).from_string(source)
     page = template.render(
         report=report,
         findings=report.findings,
