--- a/lugtally/testbed/reporting/plots.py
+++ b/lugtally/testbed/reporting/plots.py
@@ -1,4 +1,4 @@
-"""Plots as SVG.  The same data give the same bytes."""
+"""Plots as SVG.  The output is reproducible: the same data give the same bytes."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 from lugtally.testbed.reporting.report import Report
 
-NO_METADATA = {"Date": None, "Creator": None, "Format": None, "Type": None}
-HASH_SALT = "lugtally"
-MAX_LEGEND_SERVERS = 16
+NO_METADATA = {"Date": None, "Creator": None, "Format": None, "Type": None}  # the date differs from run to run
+HASH_SALT = "lugtally"  # without a salt matplotlib draws random element ids
+MAX_LEGEND_SERVERS = 16  # with more servers the plot has no legend
 
 
 def pyplot() -> Any:
-    """Load matplotlib with a backend that needs no display."""
+    """Import and return matplotlib's pyplot, with a backend that needs no display."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -25,13 +25,13 @@
 
 
 def save_svg(figure: Any, file: Path | io.StringIO) -> None:
-    """Write a figure to a file and close it."""
+    """Write a figure to a file as SVG and close the figure."""
     figure.savefig(file, format="svg", bbox_inches="tight", metadata=NO_METADATA)
     pyplot().close(figure)
 
 
 def plot_report(report: Report) -> dict[str, str]:
-    """Return the plots of a run as SVG elements, by title."""
+    """Return the plots of a report as SVG elements, by title."""
     return {
         "Service over time, by class": _plot_service(report),
         "Latency of served requests": _plot_latencies(report),
@@ -48,7 +48,7 @@
 
 
 def _mark_faults(axes: Any, report: Report) -> None:
-    """Shade the duration of each fault."""
+    """Shade the time of each fault and label it with the kind of the fault."""
     for index, fault in enumerate(report.faults):
         end = report.length_s if fault.ended_s is None else fault.ended_s
         axes.axvspan(fault.began_s, end, color=f"C{3 + index % 6}", alpha=0.12, lw=0)
@@ -68,7 +68,7 @@
     for name, values in report.findings.per_second.items():
         axes.step(range(len(values)), values, where="post", label=name)
     _mark_faults(axes, report)
-    axes.set(xlabel="seconds", ylabel="share of the weight", ylim=(0, 1.05), xlim=(0, report.length_s))
+    axes.set(xlabel="seconds", ylabel="share of the priority weight", ylim=(0, 1.05), xlim=(0, report.length_s))
     axes.legend(loc="lower left", fontsize=7)
     return _svg_element(figure)
 
@@ -79,7 +79,7 @@
         if latency.count:
             percentiles = latency.percentiles
             axes.plot(list(percentiles), list(percentiles.values()), marker="o", label=latency.name)
-    axes.set(xlabel="percentile", ylabel="ms from the intended time", yscale="log")
+    axes.set(xlabel="percentile", ylabel="ms since the intended time", yscale="log")
     axes.legend(fontsize=7)
     return _svg_element(figure)
 
@@ -100,5 +100,5 @@
     figure, axes = pyplot().subplots(figsize=(9, 2.5))
     counts = report.attempts_per_client_attempt
     axes.bar(list(counts), [max(count, 0.5) for count in counts.values()])
-    axes.set(xlabel="server attempts (9: or more)", ylabel="client attempts", yscale="log")
+    axes.set(xlabel="server attempts (9: 9 or more)", ylabel="client attempts", yscale="log")
     return _svg_element(figure)
