--- a/lugtally/testbed/reporting/report.py
+++ b/lugtally/testbed/reporting/report.py
@@ -1,6 +1,6 @@
-"""Report of a run, a JSON document with a versioned schema.
+"""Report of a run: a JSON document with a versioned schema.
 
-The keys of the document are stored data: a field whose name differs from its key is listed in its ``rename`` table.
+The keys of the document are stored data: a struct lists the fields whose names differ from their keys as ``rename``.
 """
 
 from __future__ import annotations
@@ -24,28 +24,28 @@
 from lugtally.testbed.verification.verifier import Findings
 
 SCHEMA = 1
-MAX_LISTED_VIOLATIONS = 200  # the counts by name include all
-MAX_COUNTED_ATTEMPTS = 9  # of a client attempt; more are counted as 9
-MAX_LATENCY_US = 120_000_000
-SIGNIFICANT_FIGURES = 3
+MAX_LISTED_VIOLATIONS = 200  # in the findings; the counts by name include all violations
+MAX_DISTINCT_ATTEMPTS = 9  # server attempts of a client attempt; a larger number is counted as 9
+MAX_LATENCY_US = 120_000_000  # of the histograms
+SIGNIFICANT_FIGURES = 3  # of the histograms
 PERCENTILES = (50.0, 90.0, 99.0, 99.9, 100.0)
-INTERRUPTED = "interrupted"  # start of the reason of a void run that was interrupted
+INTERRUPTED = "interrupted"  # the void reason of an interrupted run begins with it
 
 
 class Verdict(StrEnum):
     """Verdict on a run."""
 
     PASSED = "passed"
-    FAILED = "failed"
+    FAILED = "failed"  # no rule was violated, but the service was below the expected minimum
     BROKEN = "broken"  # a rule was violated
-    VOID = "void"  # the testbed's own timers ran late, or the run was interrupted
+    VOID = "void"  # the run is not valid: timers ran late, an event log is incomplete, or it was interrupted
 
 
 EXIT_STATUS = {Verdict.PASSED: 0, Verdict.FAILED: 1, Verdict.BROKEN: 1, Verdict.VOID: 3}
 
 
 class Latency(Struct):
-    """Latency of the served requests of a class, in milliseconds from the intended time of the first attempt."""
+    """Latency of the served requests of a class, in milliseconds since the intended time of the first attempt."""
 
     name: str
     count: int
@@ -53,19 +53,19 @@
 
 
 class AppliedFault(Struct, rename={"began_s": "begun_s"}):
-    """A fault of a run."""
+    """A fault that the schedule applied to the run."""
 
     kind: str
     began_s: float
-    ended_s: float | None
-    servers: list[str]  # empty if it affected all servers
+    ended_s: float | None  # None if it lasted until the end of the run
+    servers: list[str]  # the affected servers; empty if all were affected
 
 
 class SidecarUsage(Struct):
     """Resource usage of a sidecar."""
 
     cpu_s: float
-    rss_mb: float  # maximum
+    rss_mb: float  # maximum of the samples
 
 
 class InFlightSample(NamedTuple):
@@ -76,7 +76,7 @@
 
 
 class RunVerdict(NamedTuple):
-    """Verdict on a run and its reasons."""
+    """The verdict on a run and its reasons."""
 
     verdict: Verdict
     reasons: list[str]
@@ -116,11 +116,11 @@
 
 
 def decide_verdict(findings: Findings, expect: Expect) -> RunVerdict:
-    """Judge a run.  Void reasons take precedence over violations, and violations over missed minimums."""
+    """Return the verdict.  Void reasons take precedence over violations, and violations over missed minimums."""
     if findings.void_reasons:
         return RunVerdict(Verdict.VOID, list(findings.void_reasons))
     if findings.violations:
-        return RunVerdict(Verdict.BROKEN, _violation_counts(findings))
+        return RunVerdict(Verdict.BROKEN, _violation_lines(findings))
     minimums = [
         ("service", findings.service, expect.service),
         ("worst class", findings.worst_class, expect.worst_class),
@@ -159,7 +159,7 @@
         violations_by_name=_violations_by_name(findings),
         findings=msgspec.structs.replace(findings, violations=findings.violations[:MAX_LISTED_VIOLATIONS]),
         latencies=measure_latencies(schedule, log),
-        in_flight=_in_flight(log, start),
+        in_flight=_in_flight_by_server(log, start),
         attempts_per_client_attempt=_attempts_per_client_attempt(log),
         faults=_applied_faults(schedule),
         timer_lags=log.timer_lags,
@@ -177,18 +177,18 @@
         is_first = first_id not in served or attempt.ended_at < served[first_id].ended_at
         if attempt.outcome == ClientOutcome.SERVED and is_first:
             served[first_id] = attempt
-    by_class: dict[int, list[float]] = defaultdict(list)
+    latencies_s_by_class: dict[int, list[float]] = defaultdict(list)
     for first_id, attempt in served.items():
-        by_class[attempt.class_index].append(attempt.ended_at - intended_at[first_id])
+        latencies_s_by_class[attempt.class_index].append(attempt.ended_at - intended_at[first_id])
     return [
-        _latency(request_class, by_class[class_index])
+        _latency(request_class, latencies_s_by_class[class_index])
         for class_index, request_class in enumerate(schedule.scenario.classes)
     ]
 
 
-def _latency(request_class: RequestClass, seconds: list[float]) -> Latency:
+def _latency(request_class: RequestClass, latencies_s: list[float]) -> Latency:
     histogram = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_FIGURES)
-    for latency_s in seconds:
+    for latency_s in latencies_s:
         histogram.record_value(max(1, int(latency_s * 1e6)))
     percentiles = {
         f"{percentile:g}": round(histogram.get_value_at_percentile(percentile) / 1000, 3) for percentile in PERCENTILES
@@ -196,20 +196,20 @@
     return Latency(request_class.name, histogram.get_total_count(), percentiles)
 
 
-def _violation_counts(findings: Findings) -> list[str]:
-    """Return one line for each kind of violation, the most frequent first."""
-    rules: dict[str, int] = {}
+def _violation_lines(findings: Findings) -> list[str]:
+    """Return a line for each name of a violation, the most frequent first."""
+    rule_by_name: dict[str, int] = {}
     for violation in findings.violations:
-        rules[violation.name] = min(rules.get(violation.name, violation.rule), violation.rule)
+        rule_by_name[violation.name] = min(rule_by_name.get(violation.name, violation.rule), violation.rule)
     counts = Counter(violation.name for violation in findings.violations)
-    return [f"rule {rules[name]} broken: {name} {count} x" for name, count in counts.most_common()]
+    return [f"rule {rule_by_name[name]} broken: {name} {count} x" for name, count in counts.most_common()]
 
 
 def _violations_by_name(findings: Findings) -> dict[str, int]:
     return dict(Counter(violation.name.value for violation in findings.violations))
 
 
-def _in_flight(log: EventLog, start: float) -> dict[str, list[InFlightSample]]:
+def _in_flight_by_server(log: EventLog, start: float) -> dict[str, list[InFlightSample]]:
     by_server: dict[str, list[InFlightSample]] = defaultdict(list)
     for sample in log.load_samples:
         if start <= sample.at:
@@ -221,7 +221,7 @@
     """Return the number of client attempts, by the number of server attempts that they led to."""
     server_attempts = log.server_attempts_by_request
     counts = Counter(
-        min(len(server_attempts.get(attempt.request_id, ())), MAX_COUNTED_ATTEMPTS)
+        min(len(server_attempts.get(attempt.request_id, ())), MAX_DISTINCT_ATTEMPTS)
         for attempt in log.client_attempts
         if attempt.outcome != ClientOutcome.DUPLICATE
     )
