--- a/lugtally/testbed/reporting/report_file.py
+++ b/lugtally/testbed/reporting/report_file.py
@@ -1,4 +1,4 @@
-"""Files of reports."""
+"""Report files: reading and writing of JSON files that contain reports."""
 
 from __future__ import annotations
 
@@ -9,34 +9,34 @@
 
 from lugtally.testbed.reporting.report import SCHEMA, Report
 
-SCENARIO_SUFFIX = ".scenario.json"  # of the scenarios in the folder of an experiment
+SCENARIO_SUFFIX = ".scenario.json"  # an experiment stores its scenarios in the folder of its reports
 
 
 class ReportError(Exception):
-    """A file is not a report, or has an unknown schema."""
+    """A report file cannot be read, or has an unknown schema."""
 
 
 class Document(Struct):
-    """A file of reports."""
+    """Content of a report file."""
 
     schema: int
     reports: list[Report]
 
 
 def save(reports: list[Report], path: Path) -> None:
-    """Write reports to a file atomically."""
+    """Write a report file atomically: through a temporary file that is renamed."""
     temporary = path.with_suffix(path.suffix + ".part")
     temporary.write_bytes(msgspec.json.encode(Document(SCHEMA, reports)) + b"\n")
     temporary.replace(path)
 
 
 def load(path: Path) -> list[Report]:
-    """Read the reports of a file.  Raises ReportError, with a message of one line."""
+    """Read the reports of a file.  Raises ReportError with a message of one line."""
     try:
         raw = path.read_bytes()
-        head = msgspec.json.decode(raw)
-        if not isinstance(head, dict) or head.get("schema") != SCHEMA:
-            schema = head.get("schema") if isinstance(head, dict) else None
+        untyped = msgspec.json.decode(raw)
+        if not isinstance(untyped, dict) or untyped.get("schema") != SCHEMA:
+            schema = untyped.get("schema") if isinstance(untyped, dict) else None
             raise ReportError(f"{path}: schema {schema!r}; this program reads {SCHEMA}")
         return msgspec.json.decode(raw, type=Document).reports
     except OSError as error:
@@ -46,11 +46,11 @@
 
 
 def load_all(path: Path) -> list[Report]:
-    """Read the reports of a file, or of all files of a folder.  Raises ReportError."""
+    """Read the reports of a file, or of all report files in a folder.  Raises ReportError."""
     if not path.is_dir():
         return load(path)
     files = [file for file in sorted(path.glob("*.json")) if not file.name.endswith(SCENARIO_SUFFIX)]
     reports = [report for file in files for report in load(file)]
     if not reports:
-        raise ReportError(f"{path}: no reports in it")
+        raise ReportError(f"{path}: the folder contains no reports")
     return reports
