--- a/lugtally/cli/experiment.py
+++ b/lugtally/cli/experiment.py
@@ -60,7 +60,7 @@
     console = terminal.console_for_tables()
     if with_table:
         table.print_table(experiment, cells, reports, console)
-        table.plot(experiment, cells, reports, out / f"{experiment.name}.svg")
+        table.write_plot(experiment, cells, reports, out / f"{experiment.name}.svg")
     else:
         terminal.print_summary([reports[cell.name] for cell in cells if cell.name in reports], console)
     if len(reports) < len(cells):
--- a/lugtally/testbed/reporting/table.py
+++ b/lugtally/testbed/reporting/table.py
@@ -64,7 +64,7 @@
     _print_counts(cells, reports, console)
 
 
-def plot(experiment: Experiment, cells: list[MatrixCell], reports: dict[str, Report], path: Path) -> None:
+def write_plot(experiment: Experiment, cells: list[MatrixCell], reports: dict[str, Report], path: Path) -> None:
     """Draw the means as bars, with the range over the seeds, as SVG."""
     results = collect(cells, reports, experiment.measure)
     columns = columns_of(experiment)
