--- a/lugtally/testbed/reporting/terminal.py
+++ b/lugtally/testbed/reporting/terminal.py
@@ -1,4 +1,4 @@
-"""Reports on the terminal: details of one run, or a summary of many."""
+"""Reports on the terminal: details of one run, a summary of many runs, or a comparison of two sets."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from lugtally.testbed.reporting.report import Report, Verdict
 
 COLOURS = {Verdict.PASSED: "green", Verdict.FAILED: "yellow", Verdict.BROKEN: "red", Verdict.VOID: "magenta"}
-WIDTH = 118
+TABLE_WIDTH = 118  # characters
 MAX_SHOWN_VIOLATIONS = 12
-MAX_REASONS_LENGTH = 90  # characters in the summary
+MAX_REASONS_LENGTH = 90  # characters, in the summary
 SHOWN_PERCENTILES = ("50", "99", "100")
 
 
 def console_for_tables() -> Console:
-    """Return the terminal, or a console wide enough for the tables if there is none."""
+    """Return a console for the terminal, or one of the tables' width if there is no terminal or it is narrower."""
     console = Console()
-    return console if console.is_terminal and console.width >= WIDTH else Console(width=WIDTH)
+    return console if console.is_terminal and console.width >= TABLE_WIDTH else Console(width=TABLE_WIDTH)
 
 
 def print_report(report: Report, console: Console) -> None:
@@ -44,11 +44,11 @@
 
 
 def print_summary(reports: list[Report], console: Console) -> None:
-    """Print one line for each run."""
+    """Print a table with one line for each run."""
     table = Table(box=None, pad_edge=False)
     for name in ("verdict", "scenario", "seed", "policy"):
         table.add_column(name)
-    for name in ("service", "net", "worst 10 s", "worst class", "late p99 ms"):
+    for name in ("service", "net", "worst 10 s", "worst class", "timer lag p99 ms"):
         table.add_column(name, justify="right")
     table.add_column("reasons")
     for report in reports:
@@ -69,7 +69,7 @@
 
 
 def print_differences(differences: list[Difference], console: Console) -> None:
-    """Print one line for each measure."""
+    """Print a table with one line for each measure."""
     table = Table(box=None, pad_edge=False)
     table.add_column("measure")
     for name in ("pairs", "A", "B", "B minus A", "95% interval"):
@@ -95,21 +95,21 @@
             highlight=False,
             markup=False,
         )
-    more = sum(report.violations_by_name.values()) - MAX_SHOWN_VIOLATIONS
-    if more > 0:
-        console.print(f"  and {more} more", highlight=False)
+    hidden_count = sum(report.violations_by_name.values()) - MAX_SHOWN_VIOLATIONS
+    if hidden_count > 0:
+        console.print(f"  and {hidden_count} more", highlight=False)
 
 
 def _print_usage(report: Report, console: Console) -> None:
     for lag in report.timer_lags:
         console.print(
-            f"{lag.process}: {lag.p99_ms:.1f} ms late at the 99th percentile, {lag.worst_ms:.1f} at worst; "
-            f"{lag.cpu_s:.1f} s of a core",
+            f"{lag.process}: timer lag {lag.p99_ms:.1f} ms at the 99th percentile, {lag.worst_ms:.1f} ms at most; "
+            f"{lag.cpu_s:.1f} s of CPU time",
             highlight=False,
         )
     cpu_s = sum(sidecar.cpu_s for sidecar in report.sidecars)
     max_rss_mb = max((sidecar.rss_mb for sidecar in report.sidecars), default=0.0)
-    console.print(f"sidecars: {cpu_s:.1f} s of a core together, {max_rss_mb:.1f} MB resident at most", highlight=False)
+    console.print(f"sidecars: {cpu_s:.1f} s of CPU time in total, {max_rss_mb:.1f} MB RSS at most", highlight=False)
 
 
 def _class_table(report: Report) -> Table:
