--- a/lugtally/testbed/experiments/matrix.py
+++ b/lugtally/testbed/experiments/matrix.py
@@ -1,8 +1,8 @@
 """Parallel execution of the runs of an experiment, within the cores of the machine.
 
-Each cell is a run in its own process that writes one report file.  A cell that has a report is not executed again, so
-that an interrupted experiment can be resumed.  A cell whose run is void or writes no report is executed up to three
-times.
+Each cell is a run in its own process that writes one report file.  A cell that has a report is not executed again,
+so that an interrupted experiment can be resumed.  A cell whose run is void or writes no report is executed up to
+three times.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class _CellRun(NamedTuple):
-    """A run of a cell.  ``number`` is 1 for the first run of the cell and is larger for its repeats."""
+    """A run of a cell; ``number`` counts the runs of the cell from 1."""
 
     cell: MatrixCell
     number: int
