--- a/lugtally/testbed/verification/crashes.py
+++ b/lugtally/testbed/verification/crashes.py
@@ -1,4 +1,4 @@
-"""Rule 1, for processes: a sidecar ends only after a signal, and with status 0 after SIGTERM."""
+"""Rule 1 for processes: a sidecar exits only after SIGTERM or SIGKILL, and after SIGTERM with status 0."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 
 
 def check_crashes(log: EventLog, start: float) -> list[Violation]:
-    """Report each exit of a sidecar without a signal, or with a wrong status after SIGTERM."""
+    """Report each exit of a sidecar without such a signal, and each with another status than 0 after SIGTERM."""
     violations: list[Violation] = []
-    signals: dict[int, ProcessEventKind] = {}
+    last_signals: dict[int, ProcessEventKind] = {}  # by sidecar
     for event in sorted(log.process_events, key=lambda event: event.at):
         if event.kind in STOP_SIGNALS:
-            signals[event.sidecar] = event.kind
+            last_signals[event.sidecar] = event.kind
         elif event.kind == ProcessEventKind.ENDED:
-            signal = signals.pop(event.sidecar, None)
+            signal = last_signals.pop(event.sidecar, None)
             if signal is None or (signal == ProcessEventKind.TERM and event.exit_status != 0):
-                violations.append(_crashed(event, signal, start))
+                violations.append(_crash_violation(event, signal, start))
     return violations
 
 
-def _crashed(event: ProcessEvent, signal: ProcessEventKind | None, start: float) -> Violation:
-    circumstance = "without a signal" if signal is None else "after SIGTERM"
+def _crash_violation(event: ProcessEvent, signal: ProcessEventKind | None, start: float) -> Violation:
+    condition = "without a signal" if signal is None else "after SIGTERM"
     return Violation(
         ViolationName.SIDECAR_CRASHED,
         Rule.RESPONSES,
         event.at - start,
         f"sidecar {event.sidecar}",
-        f"ended with status {event.exit_status} {circumstance}",
+        f"ended with status {event.exit_status} {condition}",
     )
