--- a/lugtally/testbed/verification/drains.py
+++ b/lugtally/testbed/verification/drains.py
@@ -1,6 +1,6 @@
-"""Rule 3: no request reaches a draining or removed server later than a grace time after the sidecar was notified.
+"""Rule 3: a draining or removed server gets no requests once the sidecar was notified and a grace time has passed.
 
-A sidecar that polls too rarely counts as notified.
+A sidecar that polls the endpoint list less often than required counts as notified.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 )
 
 READY = "ready"
-FAILED_CALL_FACTOR = 4  # times poll_within_s, after a call that failed
+FAILED_CALL_POLL_FACTOR = 4  # after a failed call a sidecar may poll this many times later than poll_within_s
 
 
 class KnownState(NamedTuple):
-    """What a sidecar knows of a server from a time on."""
+    """What a sidecar knows about a server, from the time ``since`` on."""
 
     since: float
-    usable: bool
+    is_usable: bool
 
 
 class SidecarEndpoint(NamedTuple):
@@ -43,47 +43,51 @@
 
 
 def check_drains(log: EventLog, schedule: Schedule, start: float) -> list[Violation]:
-    """Report each request that reached a server after its sidecar knew that the server is unusable."""
-    states = _known_states(log, schedule)
-    grace = DRAIN_GRACE_S + SOCKET_ALLOWANCE_S
+    """Report each request that reached a draining or removed server after the grace time."""
+    states_by_endpoint = _known_states(log, schedule)
+    allowed_s = DRAIN_GRACE_S + SOCKET_ALLOWANCE_S
     violations: list[Violation] = []
     for attempt in log.server_attempts:
-        known = states.get(SidecarEndpoint(attempt.sidecar, attempt.server), [])
-        position = bisect_right(known, (attempt.first_byte_at, True)) - 1
-        if position >= 0 and not known[position].usable and attempt.first_byte_at > known[position].since + grace:
-            violations.append(_sent_to_drained(attempt, known[position].since, grace, start))
+        known_states = states_by_endpoint.get(SidecarEndpoint(attempt.sidecar, attempt.server), [])
+        index = bisect_right(known_states, (attempt.first_byte_at, True)) - 1
+        if (
+            index >= 0
+            and not known_states[index].is_usable
+            and attempt.first_byte_at > known_states[index].since + allowed_s
+        ):
+            violations.append(_drain_violation(attempt, known_states[index].since, allowed_s, start))
     return violations
 
 
 def _known_states(log: EventLog, schedule: Schedule) -> StatesByEndpoint:
-    """Return what each sidecar knew of each server, with one entry for each change."""
+    """Return what each sidecar knew about each server, in order of time, with one entry for each change."""
     states: StatesByEndpoint = defaultdict(list)
     for notified in log.notifications:
         endpoint = SidecarEndpoint(notified.sidecar, notified.server)
         states[endpoint].append(KnownState(notified.at, notified.state == READY))
-    poll_interval = schedule.scenario.discovery.poll_within_s
+    poll_within_s = schedule.scenario.discovery.poll_within_s
     for sidecar in range(schedule.scenario.fleet.sidecars):
-        for at in _implied_notifications(log, sidecar, poll_interval):
-            for change in _latest_changes(log.endpoint_changes, at - poll_interval):
+        for at in _implied_notifications(log, sidecar, poll_within_s):
+            for change in _latest_changes(log.endpoint_changes, at - poll_within_s):
                 if change.state != READY:
                     states[SidecarEndpoint(sidecar, change.server)].append(KnownState(at, False))
-    return {endpoint: _without_repeats(sorted(known)) for endpoint, known in states.items()}
+    return {endpoint: _without_repeats(sorted(known_states)) for endpoint, known_states in states.items()}
 
 
-def _implied_notifications(log: EventLog, sidecar: int, poll_interval: float) -> list[float]:
-    """Return when a sidecar that did not poll in time counts as notified of the earlier changes."""
+def _implied_notifications(log: EventLog, sidecar: int, poll_within_s: float) -> list[float]:
+    """Return the times at which a sidecar that polled too late counts as notified of earlier changes."""
     calls = sorted((call for call in log.discovery_calls if call.sidecar == sidecar), key=lambda call: call.began_at)
-    implied: list[float] = []
-    for position, call in enumerate(calls):
-        allowed = poll_interval * (1 if call.succeeded else FAILED_CALL_FACTOR) + SOCKET_ALLOWANCE_S
-        next_began_at = calls[position + 1].began_at if position + 1 < len(calls) else inf
-        if next_began_at - call.ended_at > allowed:
-            implied.append(call.ended_at + allowed)
-    return implied
+    implied_at: list[float] = []
+    for index, call in enumerate(calls):
+        allowed_s = poll_within_s * (1 if call.succeeded else FAILED_CALL_POLL_FACTOR) + SOCKET_ALLOWANCE_S
+        next_began_at = calls[index + 1].began_at if index + 1 < len(calls) else inf
+        if next_began_at - call.ended_at > allowed_s:
+            implied_at.append(call.ended_at + allowed_s)
+    return implied_at
 
 
 def _latest_changes(changes: list[EndpointChanged], until: float) -> list[EndpointChanged]:
-    """Return the last change of each server until a time."""
+    """Return the last change of each server up to a time."""
     latest: dict[str, EndpointChanged] = {}
     for change in changes:
         if change.at <= until:
@@ -92,20 +96,20 @@
 
 
 def _without_repeats(states: list[KnownState]) -> list[KnownState]:
-    """Drop each state that equals the one before it."""
+    """Return the states without those that equal the state before them."""
     changes: list[KnownState] = []
     for state in states:
-        if not changes or changes[-1].usable != state.usable:
+        if not changes or changes[-1].is_usable != state.is_usable:
             changes.append(state)
     return changes
 
 
-def _sent_to_drained(attempt: ServerAttempt, since: float, grace: float, start: float) -> Violation:
+def _drain_violation(attempt: ServerAttempt, since: float, allowed_s: float, start: float) -> Violation:
     return Violation(
         ViolationName.SENT_TO_DRAINED,
         Rule.DRAINS,
         attempt.first_byte_at - start,
         attempt.server,
         f"sidecar {attempt.sidecar} sent {attempt.request_id} there "
-        f"{attempt.first_byte_at - since:.3f} s after its notification; {grace:.3f} s allowed",
+        f"{attempt.first_byte_at - since:.3f} s after its notification; {allowed_s:.3f} s allowed",
     )
