--- a/lugtally/testbed/verification/drains.py
+++ b/lugtally/testbed/verification/drains.py
@@ -22,7 +22,7 @@
 )
 
 READY = "ready"
-FAILED_CALL_POLL_FACTOR = 4  # after a failed call a sidecar may poll this many times later than poll_within_s
+FAILED_CALL_POLL_FACTOR = 4  # after a failed call, a sidecar may wait this many times poll_within_s
 
 
 class KnownState(NamedTuple):
--- a/lugtally/testbed/verification/effects.py
+++ b/lugtally/testbed/verification/effects.py
@@ -1,4 +1,7 @@
-"""Rule 2: a request has at most one effect, and is repeated only where and while repeats are deduplicated."""
+"""Rule 2: a request has at most one effect.
+
+It is repeated only within the scope and the window in which repeats are deduplicated.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,7 @@
 def check_effects(log: EventLog, schedule: Schedule, start: float) -> list[Violation]:
     """Check each request of a class that is not idempotent."""
     violations: list[Violation] = []
-    effects: dict[str, list[ServerAttempt]] = defaultdict(list)
+    effects_by_first_id: dict[str, list[ServerAttempt]] = defaultdict(list)
     for request in log.client_attempts:
         if request.outcome == ClientOutcome.DUPLICATE:
             continue
@@ -25,37 +28,37 @@
         violations += _check_repeats(attempts, request_class, start)
         for attempt in attempts:
             if attempt.had_effect:
-                effects[request.first_id].append(attempt)
+                effects_by_first_id[request.first_id].append(attempt)
         violations += _check_rejection(request, attempts, request_class, start)
-    return violations + _check_single_effects(effects, start)
+    return violations + _check_single_effects(effects_by_first_id, start)
 
 
-def _may_have_run(attempt: ServerAttempt) -> bool:
-    """Return whether an attempt may have run: it arrived completely and the server did not reject it."""
+def _may_have_been_processed(attempt: ServerAttempt) -> bool:
+    """Return whether the server may have processed an attempt: it arrived completely and was not rejected."""
     return attempt.outcome != ServerOutcome.REJECTED
 
 
 def _check_repeats(attempts: list[ServerAttempt], request_class: RequestClass, start: float) -> list[Violation]:
-    """Report each attempt that was not allowed after an earlier one."""
+    """Report each attempt that an earlier one of the same request did not allow."""
     violations: list[Violation] = []
-    may_have_run: list[ServerAttempt] = []
+    possibly_processed: list[ServerAttempt] = []
     for attempt in attempts:
-        for earlier in may_have_run:
+        for earlier in possibly_processed:
             violation = _check_repeat(attempt, earlier, request_class, start)
             if violation is not None:
                 violations.append(violation)
                 break
-        if _may_have_run(attempt):
-            may_have_run.append(attempt)
+        if _may_have_been_processed(attempt):
+            possibly_processed.append(attempt)
     return violations
 
 
 def _check_repeat(
     attempt: ServerAttempt, earlier: ServerAttempt, request_class: RequestClass, start: float
 ) -> Violation | None:
-    """Report an attempt that was not allowed after an earlier one that may have run."""
-    elapsed = attempt.last_byte_at - earlier.last_byte_at
-    allowed = request_class.deduplication_window_ms / 1000 + SOCKET_ALLOWANCE_S
+    """Report an attempt that is not allowed after an earlier one that may have been processed."""
+    elapsed_s = attempt.last_byte_at - earlier.last_byte_at
+    allowed_s = request_class.deduplication_window_ms / 1000 + SOCKET_ALLOWANCE_S
     if request_class.effect == "unsafe":
         name = ViolationName.NON_IDEMPOTENT_REPEATED
         description = (
@@ -64,9 +67,9 @@
     elif request_class.deduplication_scope != "all" and earlier.zone != attempt.zone:
         name = ViolationName.REPEATED_OUT_OF_SCOPE
         description = f"sent to {attempt.server} in {attempt.zone} after {earlier.server} in {earlier.zone}"
-    elif elapsed > allowed:
+    elif elapsed_s > allowed_s:
         name = ViolationName.REPEATED_AFTER_WINDOW
-        description = f"sent again {elapsed:.3f} s after the first; {allowed:.3f} s allowed"
+        description = f"sent again {elapsed_s:.3f} s after the first; {allowed_s:.3f} s allowed"
     else:
         return None
     return Violation(name, Rule.EFFECTS, attempt.last_byte_at - start, attempt.request_id, description)
@@ -75,12 +78,12 @@
 def _check_rejection(
     request: ClientAttempt, attempts: list[ServerAttempt], request_class: RequestClass, start: float
 ) -> list[Violation]:
-    """Report a rejection of a request that may have run, unless a repeat is deduplicated everywhere."""
-    repeatable_everywhere = request_class.effect == "keyed" and request_class.deduplication_scope == "all"
-    if request.outcome != ClientOutcome.REJECTED or repeatable_everywhere:
+    """Report a rejection of a request that may have been processed, unless a repeat is deduplicated everywhere."""
+    is_deduplicated_everywhere = request_class.effect == "keyed" and request_class.deduplication_scope == "all"
+    if request.outcome != ClientOutcome.REJECTED or is_deduplicated_everywhere:
         return []
-    ran = next((attempt for attempt in attempts if _may_have_run(attempt)), None)
-    if ran is None:
+    received = next((attempt for attempt in attempts if _may_have_been_processed(attempt)), None)
+    if received is None:
         return []
     return [
         Violation(
@@ -88,13 +91,14 @@
             Rule.EFFECTS,
             request.ended_at - start,
             request.request_id,
-            f"answered {request.status} although {ran.server} had received it at {ran.last_byte_at - start:.3f} s",
+            f"answered {request.status} although {received.server} had received it "
+            f"at {received.last_byte_at - start:.3f} s",
         )
     ]
 
 
-def _check_single_effects(effects: dict[str, list[ServerAttempt]], start: float) -> list[Violation]:
-    """Report each request with more than one effect over all attempts of its client."""
+def _check_single_effects(effects_by_first_id: dict[str, list[ServerAttempt]], start: float) -> list[Violation]:
+    """Report each request that had more than one effect over all attempts of its client."""
     return [
         Violation(
             ViolationName.TWO_EFFECTS,
@@ -106,6 +110,6 @@
                 f"{attempt.server} ({attempt.request_id}, {attempt.last_byte_at - start:.3f} s)" for attempt in attempts
             ),
         )
-        for first_id, attempts in effects.items()
+        for first_id, attempts in effects_by_first_id.items()
         if len(attempts) > 1
     ]
