--- a/lugtally/testbed/verification/records.py
+++ b/lugtally/testbed/verification/records.py
@@ -1,7 +1,7 @@
 """Records of a run: what each process outside the sidecar observed.
 
-All times are seconds since the base of the run.  The tags and the keys in the files are stored data: a field whose
-name differs from its key is listed in the ``rename`` table of its record.
+All times are seconds since the base of the run, the reading of the monotonic clock when the run was created.  The tags
+and the keys in the files are stored data: a record lists the fields whose names differ from their keys as ``rename``.
 """
 
 from __future__ import annotations
@@ -15,36 +15,36 @@
     """Outcome of a request at an emulated server."""
 
     SERVED = "served"
-    ERRORED = "errored"
+    ERRORED = "errored"  # answered with status 500
     REJECTED = "turned-away"  # answered with X-Unprocessed
-    MALFORMED = "spoilt"
-    RESET = "reset"
-    DISCONNECTED = "gone"
-    UNANSWERED = "unanswered"
+    MALFORMED = "spoilt"  # answered with a malformed response
+    RESET = "reset"  # the server reset the connection
+    DISCONNECTED = "gone"  # the connection closed before the response
+    UNANSWERED = "unanswered"  # it has no response yet
     INVALID = "faulty"
 
 
 class ClientOutcome(StrEnum):
-    """How an attempt ended for the client that made it."""
+    """Outcome of an attempt for the client that made it."""
 
     SERVED = "served"
     REJECTED = "refused"
     FAILED = "failed"
     DROPPED = "dropped"  # the connection ended without a complete response
-    UNREACHABLE = "unreached"
-    FOREIGN = "foreign"  # a body that was not made for this request
-    CLIENT_LEFT = "left"
-    PENDING = "none"
-    DUPLICATE = "extra"  # of a further record, which says that bytes followed the response
+    UNREACHABLE = "unreached"  # there was no connection in time
+    FOREIGN = "foreign"  # the response has a body that was not made for this request
+    CLIENT_LEFT = "left"  # the client disconnected at its deadline
+    PENDING = "none"  # no response came
+    DUPLICATE = "extra"  # an additional record of the attempt, because bytes followed the response
 
 
 class ProcessEventKind(StrEnum):
     """Kind of an event of a sidecar's process."""
 
     READY = "ready"
-    KILL = "kill"
-    TERM = "term"
-    HUP = "hup"
+    KILL = "kill"  # SIGKILL was sent
+    TERM = "term"  # SIGTERM was sent
+    HUP = "hup"  # SIGHUP was sent
     ENDED = "ended"
 
 
@@ -73,13 +73,13 @@
     sidecar: int
     first_byte_at: float
     last_byte_at: float
-    work: float = 0.0  # core-seconds
+    work: float = 0.0  # core-seconds that it needs
     idempotency_key: str = ""
-    started_at: float = -1.0  # when it took a slot
+    started_at: float = -1.0  # when it took a slot of the server; -1 if it did not
     ended_at: float = -1.0  # when its response was written or its connection ended
     outcome: ServerOutcome = ServerOutcome.UNANSWERED
     work_done: float = 0.0  # core-seconds
-    had_effect: bool = False  # ran and was not deduplicated
+    had_effect: bool = False  # it was processed and not deduplicated
     deduplicated: bool = False
     on_new_connection: bool = False  # the first request on its connection
 
@@ -95,7 +95,7 @@
 
 
 class EndpointChanged(Struct, tag="change", omit_defaults=True, rename={"started_at": "started"}):
-    """A change entered the endpoint list."""
+    """An entry of the endpoint list changed."""
 
     at: float
     server: str
@@ -119,7 +119,10 @@
 
 
 class ColdServerOverloaded(Struct, tag="fall", rename={"started_at": "started", "work_by_sidecar": "by"}):
-    """A server collapsed as it was warming up; ``work_by_sidecar`` has the core-seconds of the last window."""
+    """A server collapsed from overload while it was warming up.
+
+    ``work_by_sidecar`` contains the core-seconds that each sidecar sent in the window before the collapse.
+    """
 
     at: float
     server: str
@@ -184,7 +187,7 @@
     class_index: int
     intended_at: float  # when it was to be sent; from the schedule for the first attempt
     sent_at: float  # when its last byte was written
-    deadline_at: float  # when the client stops waiting for this attempt
+    deadline_at: float  # until when the client waits for this attempt
     ended_at: float = -1.0
     outcome: ClientOutcome = ClientOutcome.PENDING
     status: int = 0
