--- a/lugtally/testbed/verification/responses.py
+++ b/lugtally/testbed/verification/responses.py
@@ -1,4 +1,4 @@
-"""Rule 1: each request gets one complete response of its own, in time, and reaches servers unaltered."""
+"""Rule 1: each request gets exactly one complete response, its own and in time, and reaches servers unaltered."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 STOP_SIGNALS = (ProcessEventKind.KILL, ProcessEventKind.TERM)
 NO_RESPONSE_DUE = (ClientOutcome.DUPLICATE, ClientOutcome.UNREACHABLE, ClientOutcome.CLIENT_LEFT)
-NOT_ANSWERED = (ClientOutcome.DROPPED, ClientOutcome.PENDING)
+WITHOUT_RESPONSE = (ClientOutcome.DROPPED, ClientOutcome.PENDING)  # a violation, unless the sidecar was stopped
 
 
 class StopInterval(NamedTuple):
-    """Time in which a sidecar was being stopped: from the first signal until it was ready again."""
+    """Interval in which a sidecar was stopping or restarting: from the first signal until it was ready again."""
 
     begin: float
     end: float
@@ -40,36 +40,39 @@
 
 @dataclass(slots=True)
 class ResponseFindings:
-    """Violations of the rule, and the number of requests that killed sidecars lost, which are no violations."""
+    """Violations of the rule, and the number of requests that were lost with killed sidecars."""
 
     violations: list[Violation] = field(default_factory=list)
-    lost: int = 0
+    lost: int = 0  # no violations
 
 
 def check_responses(log: EventLog, start: float) -> ResponseFindings:
     """Check each client attempt."""
     kills = [event for event in log.process_events if event.kind == ProcessEventKind.KILL]
-    stops = _stop_intervals(log.process_events)
-    served = {attempt.request_id for attempt in log.server_attempts if attempt.outcome == ServerOutcome.SERVED}
+    stop_intervals = _stop_intervals(log.process_events)
+    served_ids = {attempt.request_id for attempt in log.server_attempts if attempt.outcome == ServerOutcome.SERVED}
     findings = ResponseFindings()
     for attempt in log.client_attempts:
         if attempt.outcome == ClientOutcome.DUPLICATE or attempt.duplicate_response:
-            findings.violations.append(_duplicate_response(attempt, start))
+            findings.violations.append(_duplicate_response_violation(attempt, start))
         if attempt.outcome in NO_RESPONSE_DUE:
             continue
-        if any(_met_kill(attempt, kill) for kill in kills):
-            findings.lost += attempt.outcome in NOT_ANSWERED
+        if any(_was_in_flight_at_kill(attempt, kill) for kill in kills):
+            findings.lost += attempt.outcome in WITHOUT_RESPONSE
             continue
-        if attempt.outcome in NOT_ANSWERED:
-            if _met_planned_stop(attempt, stops) and attempt.request_id not in log.server_attempts_by_request:
+        if attempt.outcome in WITHOUT_RESPONSE:
+            if (
+                _was_dropped_during_stop(attempt, stop_intervals)
+                and attempt.request_id not in log.server_attempts_by_request
+            ):
                 continue
-            findings.violations.append(_dropped(attempt, start))
-        elif attempt.ended_at > _response_due(attempt):
-            findings.violations.append(_late(attempt, start))
+            findings.violations.append(_dropped_violation(attempt, start))
+        elif attempt.ended_at > _response_due_at(attempt):
+            findings.violations.append(_late_violation(attempt, start))
         if attempt.outcome == ClientOutcome.FOREIGN or (
-            attempt.outcome == ClientOutcome.SERVED and attempt.request_id not in served
+            attempt.outcome == ClientOutcome.SERVED and attempt.request_id not in served_ids
         ):
-            findings.violations.append(_foreign_response(attempt, start))
+            findings.violations.append(_foreign_response_violation(attempt, start))
     return findings
 
 
@@ -88,7 +91,7 @@
 
 
 def _stop_intervals(events: list[ProcessEvent]) -> StopIntervals:
-    """Return when each sidecar was being stopped."""
+    """Return when each sidecar was stopping or restarting."""
     intervals: StopIntervals = defaultdict(list)
     signalled_at: dict[int, float] = {}
     for event in sorted(events, key=lambda event: event.at):
@@ -101,22 +104,23 @@
     return intervals
 
 
-def _met_kill(attempt: ClientAttempt, kill: ProcessEvent) -> bool:
-    """Return whether the attempt was in flight as its sidecar was killed."""
+def _was_in_flight_at_kill(attempt: ClientAttempt, kill: ProcessEvent) -> bool:
+    """Return whether the attempt was in flight when its sidecar was killed."""
     return kill.sidecar == attempt.sidecar and attempt.sent_at <= kill.at <= attempt.ended_at
 
 
-def _met_planned_stop(attempt: ClientAttempt, stops: StopIntervals) -> bool:
-    """Return whether the connection ended as the sidecar was being stopped."""
+def _was_dropped_during_stop(attempt: ClientAttempt, stop_intervals: StopIntervals) -> bool:
+    """Return whether the connection of the attempt ended while its sidecar was stopping or restarting."""
     if attempt.outcome != ClientOutcome.DROPPED:
         return False
     return any(
-        stop.begin <= attempt.ended_at and attempt.sent_at <= stop.end for stop in stops.get(attempt.sidecar, ())
+        stop.begin <= attempt.ended_at and attempt.sent_at <= stop.end
+        for stop in stop_intervals.get(attempt.sidecar, ())
     )
 
 
-def _response_due(attempt: ClientAttempt) -> float:
-    """Return the time until which the response of an attempt is due."""
+def _response_due_at(attempt: ClientAttempt) -> float:
+    """Return the latest time at which the response to an attempt is in time."""
     return attempt.deadline_at + RESPONSE_SLACK_S + SOCKET_ALLOWANCE_S
 
 
@@ -124,33 +128,33 @@
     return Violation(name, Rule.RESPONSES, attempt.ended_at - start, attempt.request_id, description)
 
 
-def _duplicate_response(attempt: ClientAttempt, start: float) -> Violation:
+def _duplicate_response_violation(attempt: ClientAttempt, start: float) -> Violation:
     return _violation(ViolationName.DUPLICATE_RESPONSE, attempt, start, "bytes followed the final response")
 
 
-def _dropped(attempt: ClientAttempt, start: float) -> Violation:
+def _dropped_violation(attempt: ClientAttempt, start: float) -> Violation:
     dropped = attempt.outcome == ClientOutcome.DROPPED
-    how = "the connection ended without a complete response" if dropped else "no response"
-    due = _response_due(attempt) - start
+    what_happened = "the connection ended without a complete response" if dropped else "no response"
+    due_s = _response_due_at(attempt) - start
     return _violation(
         ViolationName.DROPPED,
         attempt,
         start,
-        f"sidecar {attempt.sidecar}: {how}; a response was due by {due:.3f} s",
+        f"sidecar {attempt.sidecar}: {what_happened}; a response was due by {due_s:.3f} s",
     )
 
 
-def _late(attempt: ClientAttempt, start: float) -> Violation:
-    ended, due = attempt.ended_at - start, _response_due(attempt) - start
+def _late_violation(attempt: ClientAttempt, start: float) -> Violation:
+    ended_s, due_s = attempt.ended_at - start, _response_due_at(attempt) - start
     return _violation(
         ViolationName.LATE,
         attempt,
         start,
-        f"sidecar {attempt.sidecar} answered at {ended:.3f} s, due by {due:.3f} s",
+        f"sidecar {attempt.sidecar} answered at {ended_s:.3f} s, due by {due_s:.3f} s",
     )
 
 
-def _foreign_response(attempt: ClientAttempt, start: float) -> Violation:
+def _foreign_response_violation(attempt: ClientAttempt, start: float) -> Violation:
     return _violation(
         ViolationName.FOREIGN_RESPONSE,
         attempt,
