--- a/lugtally/testbed/verification/responses.py
+++ b/lugtally/testbed/verification/responses.py
@@ -25,7 +25,7 @@
 
 STOP_SIGNALS = (ProcessEventKind.KILL, ProcessEventKind.TERM)
 NO_RESPONSE_DUE = (ClientOutcome.DUPLICATE, ClientOutcome.UNREACHABLE, ClientOutcome.CLIENT_LEFT)
-WITHOUT_RESPONSE = (ClientOutcome.DROPPED, ClientOutcome.PENDING)  # a violation, unless the sidecar was stopped
+WITHOUT_RESPONSE = (ClientOutcome.DROPPED, ClientOutcome.PENDING)
 
 
 class StopInterval(NamedTuple):
@@ -40,14 +40,18 @@
 
 @dataclass(slots=True)
 class ResponseFindings:
-    """Violations of the rule, and the number of requests that were lost with killed sidecars."""
+    """Result of the checks of rule 1."""
 
     violations: list[Violation] = field(default_factory=list)
-    lost: int = 0  # no violations
+    lost: int = 0  # requests whose sidecar was killed; they do not count as violations
 
 
 def check_responses(log: EventLog, start: float) -> ResponseFindings:
-    """Check each client attempt."""
+    """Check the response to each client attempt.
+
+    An attempt whose sidecar was killed counts as lost.  An attempt dropped while its sidecar was stopping is no
+    violation if no server received it.
+    """
     kills = [event for event in log.process_events if event.kind == ProcessEventKind.KILL]
     stop_intervals = _stop_intervals(log.process_events)
     served_ids = {attempt.request_id for attempt in log.server_attempts if attempt.outcome == ServerOutcome.SERVED}
