--- a/lugtally/testbed/verification/slow_start.py
+++ b/lugtally/testbed/verification/slow_start.py
@@ -1,4 +1,4 @@
-"""Rule 4: sidecars that know of a restart do not overload the server while it is warming up."""
+"""Rule 4: sidecars that were notified of a server's restart do not overload it while it is warming up."""
 
 from __future__ import annotations
 
@@ -6,36 +6,40 @@
 from lugtally.testbed.verification.records import ColdServerOverloaded
 from lugtally.testbed.verification.violations import Rule, Violation, ViolationName
 
-INFORMED_SHARE = 2 / 3  # of the work that overloaded the server
+MIN_NOTIFIED_SHARE = 2 / 3  # share of the overloading work that notified sidecars must have sent for a violation
 
 
 def check_slow_start(log: EventLog, start: float) -> list[Violation]:
-    """Report each cold server that was overloaded mostly by sidecars notified of its start."""
+    """Report each cold server that collapsed mostly from work of sidecars that were notified of its start."""
     violations: list[Violation] = []
     for overload in log.cold_overloads:
-        informed = _informed_sidecars(log, overload)
-        total = sum(overload.work_by_sidecar.values())
-        informed_work = sum(work for sidecar, work in overload.work_by_sidecar.items() if int(sidecar) in informed)
-        if total and informed_work / total >= INFORMED_SHARE:
-            violations.append(_cold_server_overloaded(overload, informed_work / total, start))
+        notified_sidecars = _notified_sidecars(log, overload)
+        total_work = sum(overload.work_by_sidecar.values())
+        notified_work = sum(
+            work for sidecar, work in overload.work_by_sidecar.items() if int(sidecar) in notified_sidecars
+        )
+        if total_work and notified_work / total_work >= MIN_NOTIFIED_SHARE:
+            violations.append(_slow_start_violation(overload, notified_work / total_work, start))
     return violations
 
 
-def _informed_sidecars(log: EventLog, overload: ColdServerOverloaded) -> set[int]:
+def _notified_sidecars(log: EventLog, overload: ColdServerOverloaded) -> set[int]:
     """Return the sidecars that were notified of the server's start before the overload."""
     return {
-        notified.sidecar
-        for notified in log.notifications
-        if notified.server == overload.server and notified.started_at is not None and notified.at <= overload.at
+        notification.sidecar
+        for notification in log.notifications
+        if notification.server == overload.server
+        and notification.started_at is not None
+        and notification.at <= overload.at
     }
 
 
-def _cold_server_overloaded(overload: ColdServerOverloaded, informed_share: float, start: float) -> Violation:
+def _slow_start_violation(overload: ColdServerOverloaded, notified_share: float, start: float) -> Violation:
     return Violation(
         ViolationName.COLD_SERVER_OVERLOADED,
         Rule.SLOW_START,
         overload.at - start,
         overload.server,
-        f"{overload.at - overload.started_at:.3f} s after its start; {informed_share:.0%} of the work "
+        f"{overload.at - overload.started_at:.3f} s after its start; {notified_share:.0%} of the work "
         "was sent by notified sidecars",
     )
