--- a/lugtally/testbed/verification/validity.py
+++ b/lugtally/testbed/verification/validity.py
@@ -1,6 +1,6 @@
 """Validity of a run.
 
-If the timers of the testbed ran late, its figures describe the machine and not the sidecar.
+If the testbed's own timers ran late, the measurements describe the load of the machine and not the sidecar.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 MAX_P99_LAG_MS = 15.0
 MAX_LAG_MS = 250.0
-REQUIRED_PROCESSES = ("load", "stand-ins")
+REQUIRED_PROCESSES = ("load", "stand-ins")  # each writes its timer lag at the end of its event log
 
 
 def void_reasons(log: EventLog) -> list[str]:
@@ -22,6 +22,8 @@
             )
         if lag.worst_ms > MAX_LAG_MS:
             reasons.append(f"{lag.process} ran late: {lag.worst_ms:.0f} ms at worst, {MAX_LAG_MS:g} allowed")
-    complete = {lag.process for lag in log.timer_lags}
-    reasons += [f"the event log of {name} is incomplete" for name in REQUIRED_PROCESSES if name not in complete]
+    reported_processes = {lag.process for lag in log.timer_lags}
+    reasons += [
+        f"the event log of {name} is incomplete" for name in REQUIRED_PROCESSES if name not in reported_processes
+    ]
     return reasons
