--- a/lugtally/testbed/verification/verifier.py
+++ b/lugtally/testbed/verification/verifier.py
@@ -1,7 +1,8 @@
-"""Verifier: the four rules, service and prices of a run, from the records made outside the sidecar.
+"""Verifier: checks the four rules and measures the service and prices of a run.
 
-It is a pure function of the records.  Each violation names its rule, the request or server, the time and the limit.
-The rules and limits are those of the platform's protocol, with its allowance of 50 ms on sockets.
+It is a pure function of the schedule and of records that were made outside the sidecar.  Each violation names its
+rule, the request or server, the time and the limit.  The rules and limits are those of the platform's protocol, with
+its allowance of 50 ms on sockets.
 """
 
 from __future__ import annotations
@@ -34,23 +35,23 @@
     """Result of the verifier."""
 
     violations: list[Violation]
-    overall: float  # share of the weight that was earned over the run
-    worst_10s: float
-    worst_class: float
-    service: float  # weighted as in the operators' brief
-    net: float  # service less the prices
+    overall: float  # share of the priority weight that was earned over the run
+    worst_10s: float  # the same in the worst window of 10 s
+    worst_class: float  # the same for the worst request class
+    service: float  # the three shares, weighted as the operators' requirements define
+    net: float  # service minus the prices
     classes: list[ClassService]
-    prices: dict[str, float]  # the measured shares, before their weights
+    prices: dict[str, float]  # the measured shares, without their weights
     client_attempts: int
     server_attempts: int
     retries: int  # server attempts beyond the first of a client attempt
-    lost: int  # requests that killed sidecars lost; no violation
+    lost: int  # requests whose sidecar was killed; they do not count as violations
     void_reasons: list[str]  # why the run is void; empty if it is valid
-    per_second: dict[str, list[float]]  # by class: share of the weight earned in each second
+    per_second: dict[str, list[float]]  # by class: share of the priority weight earned in each second
 
 
 def verify(log: EventLog, schedule: Schedule, start: float) -> Findings:
-    """Verify the records of a run that began ``start`` seconds after their base."""
+    """Verify the records of a run whose scenario started at the time ``start`` of the records."""
     responses = check_responses(log, start)
     violations = [
         *responses.violations,
