--- a/lugtally/testbed/verification/violations.py
+++ b/lugtally/testbed/verification/violations.py
@@ -1,4 +1,4 @@
-"""Violations of the protocol's rules, and the limits that the rules allow."""
+"""Violations of the rules of the platform's protocol, and the limits that these rules set."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 from msgspec import Struct
 
-SOCKET_ALLOWANCE_S = 0.05  # on sockets, added to every limit of the protocol
-RESPONSE_SLACK_S = 0.1  # after the client's deadline; answer_slack_ns in the sidecar's settings
-DRAIN_GRACE_S = 1.5
+SOCKET_ALLOWANCE_S = 0.05  # added to every limit of the protocol when sockets are used
+RESPONSE_SLACK_S = 0.1  # after the client's deadline; ``answer_slack_ns`` in the sidecar's settings
+DRAIN_GRACE_S = 1.5  # after the notification; ``drain_grace_ns`` in the sidecar's settings
 
 
 class Rule(IntEnum):
@@ -21,7 +21,7 @@
 
 
 class ViolationName(StrEnum):
-    """Name of a violation in reports."""
+    """Name of a violation, as written to reports."""
 
     DROPPED = "dropped"
     LATE = "late"
@@ -43,6 +43,6 @@
 
     name: ViolationName
     rule: Rule
-    at: float  # seconds from the start of the run
-    subject: str  # the request, the server or the sidecar
-    description: str  # what happened and what was allowed
+    at: float  # seconds since the start of the scenario
+    subject: str  # the request, server or sidecar concerned
+    description: str  # what happened, and the limit
