--- a/tests/testbed/faulty_sidecar.py
+++ b/tests/testbed/faulty_sidecar.py
@@ -1,8 +1,8 @@
-"""Small faulty sidecars, each of which violates one rule, to test that the verifier reports it.
+"""Small sidecar with one fault, to test that the verifier reports each violation.
 
-    python -m tests.testbed.faulty_sidecar FAULT        with PROXY_CONFIG set, as the daemon is started
+    python -m tests.testbed.faulty_sidecar FAULT        with PROXY_CONFIG set, as for the daemon
 
-``honest`` violates none: it sends each request once, to a random ready server.
+With the fault ``honest`` it violates no rule: it sends each request once, to a random ready server.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 
 
 class Fault(StrEnum):
-    """Fault of a sidecar; the value is the argument of the command."""
+    """Fault of a sidecar.  The value is the command-line argument."""
 
-    HONEST = "honest"
+    NONE = "honest"
     DROP = "drop"
     LATE = "late"
     DUPLICATE_RESPONSE = "twice"
@@ -36,7 +36,7 @@
 
 
 class HttpMessage(NamedTuple):
-    """A request or a response: its first line, its header fields by lower-case name, and its body."""
+    """A request or a response.  The names of the header fields are in lower case."""
 
     first_line: str
     headers: dict[str, str]
@@ -44,7 +44,7 @@
 
 
 class ServerResponse(NamedTuple):
-    """The status and body of an attempt; status 0 where no response came."""
+    """Status and body of the response to an attempt; the status is 0 if no response came."""
 
     status: int
     body: bytes
@@ -61,10 +61,8 @@
         self.request_count = 0
         self.tasks: set[asyncio.Task[None]] = set()
 
-    # ------------------------------------------------------------ the endpoint list
-
     async def watch(self) -> None:
-        """Watch the endpoint list as the platform requires."""
+        """Follow the endpoint list with long polls, as the platform's protocol requires."""
         host, port = self.configuration["discovery"].split(":")
         while True:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError, ValueError):
@@ -86,7 +84,7 @@
                 self.servers[row["id"]] = row
 
     def choose(self, zone: str | None = None, excluded_id: str = "") -> dict[str, Any] | None:
-        """Return a server that is ready by the endpoint list, None if there is none."""
+        """Return a server that the endpoint list says is ready; None if there is none."""
         ready = [
             server
             for server in self.servers.values()
@@ -98,10 +96,8 @@
             return max(ready, key=lambda server: server["started_ms"])
         return random.choice(ready)
 
-    # ------------------------------------------------------------ requests
-
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Handle one connection of the application."""
+        """Handle one connection of a client."""
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             while True:
                 request = await read_message(reader)
@@ -118,7 +114,7 @@
         writer.close()
 
     async def respond(self, request: HttpMessage) -> bytes | None:
-        """Return the final response, None to drop the connection.  One request in 20 meets the fault."""
+        """Return the final response, or None to drop the connection.  Most faults affect one request in 20."""
         is_faulty = self.request_count % 20 == 0
         time_left_s = float(request.headers["x-time-left"])
         if self.fault is Fault.FORGE_RESPONSE and is_faulty:
@@ -129,40 +125,40 @@
             return build_response(503, b"")
         if self.fault is Fault.DROP and is_faulty:
             return None
-        due = asyncio.get_running_loop().time() + time_left_s
+        deadline = asyncio.get_running_loop().time() + time_left_s
         response = await self.send(server, request, time_left_s)
         if self.fault is Fault.LATE and is_faulty:
-            await asyncio.sleep(due + 0.25 - asyncio.get_running_loop().time())
-        response = await self._repeat(request, server, response, due, is_faulty)
-        if self.fault is Fault.REJECT_AFTER_RUN and is_receipt(request) and self.request_count % 5 == 0:
+            await asyncio.sleep(deadline + 0.25 - asyncio.get_running_loop().time())
+        response = await self._repeat(request, server, response, deadline, is_faulty)
+        if self.fault is Fault.REJECT_AFTER_RUN and is_non_idempotent(request) and self.request_count % 5 == 0:
             return build_response(503, b"")
         if response.status in (503, 504):
             return build_response(503, b"")
         return build_response(200, response.body) if response.status == 200 else build_response(502, b"")
 
     async def _repeat(
-        self, request: HttpMessage, server: dict[str, Any], response: ServerResponse, due: float, is_faulty: bool
+        self, request: HttpMessage, server: dict[str, Any], response: ServerResponse, deadline: float, is_faulty: bool
     ) -> ServerResponse:
-        """Send the request again if that is this sidecar's fault; return the final response."""
+        """Repeat a served request if that is the fault of this sidecar; return the final response."""
         if response.status != 200:
             return response
-        is_faulty_pledge = is_faulty and request.headers["x-service-class"] == "pledge-record"
-        if self.fault is Fault.REPEAT_AFTER_WINDOW and is_faulty_pledge:
+        is_faulty_keyed = is_faulty and request.headers["x-service-class"] == "pledge-record"
+        if self.fault is Fault.REPEAT_AFTER_WINDOW and is_faulty_keyed:
             self.tasks.add(asyncio.create_task(self._repeat_after_window(request, server)))
-        elif self.fault is Fault.REPEAT_OUT_OF_SCOPE and is_faulty_pledge:
+        elif self.fault is Fault.REPEAT_OUT_OF_SCOPE and is_faulty_keyed:
             zones = self.configuration["settings"]["zones"]
-            other = self.choose(next(zone for zone in zones if zone != server["zone"]))
-            if other is not None:
-                await self.send(other, request, remaining_s(due))
-        elif self.fault is Fault.REPEAT_NON_IDEMPOTENT and is_receipt(request) and self.request_count % 5 == 0:
-            other = self.choose(excluded_id=server["id"])
-            if other is not None:
-                # The client's deadline is the same for both attempts.
-                return await self.send(other, request, remaining_s(due))
+            other_server = self.choose(next(zone for zone in zones if zone != server["zone"]))
+            if other_server is not None:
+                await self.send(other_server, request, remaining_s(deadline))
+        elif self.fault is Fault.REPEAT_NON_IDEMPOTENT and is_non_idempotent(request) and self.request_count % 5 == 0:
+            other_server = self.choose(excluded_id=server["id"])
+            if other_server is not None:
+                # Both attempts end at the client's deadline.
+                return await self.send(other_server, request, remaining_s(deadline))
         return response
 
     async def _repeat_after_window(self, request: HttpMessage, server: dict[str, Any]) -> None:
-        await asyncio.sleep(0.8)
+        await asyncio.sleep(0.8)  # longer than the deduplication window of the class
         await self.send(server, request, 1.0)
 
     async def send(self, server: dict[str, Any], request: HttpMessage, time_left_s: float) -> ServerResponse:
@@ -183,25 +179,25 @@
                 writer.close()
 
 
-def is_receipt(request: HttpMessage) -> bool:
-    """Return whether the request is of the class that is not idempotent."""
+def is_non_idempotent(request: HttpMessage) -> bool:
+    """Return whether the request is of the class whose requests are not idempotent."""
     return request.headers["x-service-class"] == "receipt-issue"
 
 
-def remaining_s(due: float) -> float:
-    """Return the seconds until ``due``, by the running loop's clock."""
-    return max(0.0, due - asyncio.get_running_loop().time())
+def remaining_s(deadline: float) -> float:
+    """Return the seconds until ``deadline`` on the clock of the running event loop, at least 0."""
+    return max(0.0, deadline - asyncio.get_running_loop().time())
 
 
 async def read_message(reader: asyncio.StreamReader) -> HttpMessage:
-    """Read one message whose body has a Content-Length or is empty."""
+    """Read one message.  Without a Content-Length its body is empty."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
     headers = {name.lower(): value for name, _, value in (line.partition(": ") for line in head[1:] if line)}
     return HttpMessage(head[0], headers, await reader.readexactly(int(headers.get("content-length", 0))))
 
 
 def build_response(status: int, body: bytes) -> bytes:
-    """Return the bytes of a response."""
+    """Encode a response."""
     return f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
 
 
@@ -212,12 +208,12 @@
     random.seed(configuration["seed"])
     host, port = configuration["listen"].split(":")
     server = await asyncio.start_server(sidecar.serve, host, int(port))
-    watch = asyncio.create_task(sidecar.watch())
-    stop = asyncio.Event()
-    asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop.set)
-    await stop.wait()
+    watch_task = asyncio.create_task(sidecar.watch())
+    stop_event = asyncio.Event()
+    asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop_event.set)
+    await stop_event.wait()
     server.close()
-    watch.cancel()
+    watch_task.cancel()
     await asyncio.sleep(1.0)  # for the requests in flight
 
 
--- a/tests/testbed/test_faulty_sidecars.py
+++ b/tests/testbed/test_faulty_sidecars.py
@@ -91,6 +91,6 @@
     assert -0.5 < violation.at < 12
 
 
-@pytest.mark.parametrize("sidecar", [REAL, Fault.HONEST])
+@pytest.mark.parametrize("sidecar", [REAL, Fault.NONE])
 def test_correct_sidecar_passes(reports: dict[str, Report], sidecar: str) -> None:
     assert reports[sidecar].verdict == Verdict.PASSED, reports[sidecar].reasons
