--- a/tests/testbed/runs.py
+++ b/tests/testbed/runs.py
@@ -1,4 +1,4 @@
-"""A small scenario and a run of it, for the tests of runs, comparisons and experiments."""
+"""A small scenario and its execution, for the tests of runs, comparisons and experiments."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 DRAIN = """
 name = "drain"
-about = "A server goes silent in the middle of its drain, in small."
+about = "A server goes silent in the middle of its drain."
 length_s = 6
 [fleet]
 servers = 4
@@ -32,10 +32,10 @@
 SHORT_DRAIN = DRAIN.replace("length_s = 6", "length_s = 2.5")
 
 
-def play_until_valid(played: scenario.Scenario, seed: int, folder: Path | None = None) -> Report:
-    """Return the report of a run; repeat a void one, as a busy machine makes, twice at most."""
+def run_until_valid(scenario_to_run: scenario.Scenario, seed: int, folder: Path | None = None) -> Report:
+    """Execute a run and return its report.  A void run, as on a busy machine, is repeated up to twice."""
     for _ in range(3):
-        report = runner.Run(played, seed, folder=folder).execute()
+        report = runner.Run(scenario_to_run, seed, folder=folder).execute()
         if report.verdict != Verdict.VOID:
             break
     return report
--- a/tests/testbed/test_compare.py
+++ b/tests/testbed/test_compare.py
@@ -12,7 +12,7 @@
 from lugtally.testbed.reporting import compare, report_file
 from lugtally.testbed.reporting.report import Report, Verdict
 from lugtally.testbed.scenario import scenario_file
-from tests.testbed.runs import SHORT_DRAIN, play_until_valid
+from tests.testbed.runs import SHORT_DRAIN, run_until_valid
 
 
 def shifted(report: Report, seed: int, difference: float) -> Report:
@@ -24,7 +24,7 @@
 
 
 def test_compare_pairs_by_seed_and_reports_no_difference(tmp_path: Path) -> None:
-    report = play_until_valid(scenario_file.decode(SHORT_DRAIN, "drain.toml"), 1)
+    report = run_until_valid(scenario_file.decode(SHORT_DRAIN, "drain.toml"), 1)
     spread = (-0.04, 0.03, -0.02, 0.04, -0.01, 0.02)
     base = [shifted(report, seed, noise) for seed, noise in enumerate(spread)]
     assert compare.compare(base[:3], base[:3])[0].finding.startswith("no difference seen: 3 pairs")
--- a/tests/testbed/test_faulty_sidecars.py
+++ b/tests/testbed/test_faulty_sidecars.py
@@ -66,7 +66,7 @@
 
     def play(sidecar: str) -> Report:
         command = None if sidecar == REAL else [sys.executable, "-B", "-m", "tests.testbed.faulty_sidecar", sidecar]
-        for _ in range(3):  # a run on a busy machine may be void: run again
+        for _ in range(3):  # a run on a busy machine may be void and is repeated
             report = runner.Run(scenario, 4, command=command).execute()
             if report.verdict != Verdict.VOID:
                 break
--- a/tests/testbed/test_runs.py
+++ b/tests/testbed/test_runs.py
@@ -17,11 +17,11 @@
 from lugtally.testbed.scenario import scenario_file
 from lugtally.testbed.verification import event_log, records
 from tests.sidecar_program import ROOT
-from tests.testbed.runs import DRAIN, play_until_valid
+from tests.testbed.runs import DRAIN, run_until_valid
 
 
 def test_server_silent_during_drain_gets_no_new_requests(tmp_path: Path) -> None:
-    result = play_until_valid(scenario_file.decode(DRAIN, "drain.toml"), 3, tmp_path)
+    result = run_until_valid(scenario_file.decode(DRAIN, "drain.toml"), 3, tmp_path)
     assert result.verdict == Verdict.PASSED, result.reasons
     recorded = event_log.read_records([tmp_path / "world.jsonl", tmp_path / "load.jsonl"])
     changes = [
@@ -39,7 +39,7 @@
 
 def test_short_scenario_passes_and_its_reports_are_readable(tmp_path: Path) -> None:
     file, html = tmp_path / "a.json", tmp_path / "a.html"
-    for _ in range(3):  # a run on a busy machine may be void: run again
+    for _ in range(3):  # a run on a busy machine may be void and is repeated
         done = subprocess.run(
             [sys.executable, "-m", "lugtally", "rehearse", "run", "short", "--json", str(file), "--html", str(html)],
             check=False,
