--- a/tests/testbed/test_endpoint_registry.py
+++ b/tests/testbed/test_endpoint_registry.py
@@ -1,4 +1,4 @@
-"""Registry of the emulated discovery service."""
+"""Endpoint registry of the emulated discovery service: changes since a version, or the complete list."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     assert not registry.update(removed), "a removed server cannot be removed again"
     assert registry.changes_since(1) == (False, [removed])
     assert len(registry.changes_since(None).entries) == 2
-    assert registry.changes_since(99).is_full, "a version of another incarnation of the list"
+    assert registry.changes_since(99).is_full, "the version is later than the last one, so it is from another list"
     for number in range(endpoint_registry.MAX_CHANGES + 5):
         registry.update(endpoint_registry.EndpointEntry("s0", "z", 0, "ready", number + 1))
-    assert registry.changes_since(2).is_full, "the history does not reach back to this version"
+    assert registry.changes_since(2).is_full, "the changes since this version are no longer stored"
