--- a/tests/testbed/test_faulty_sidecars.py
+++ b/tests/testbed/test_faulty_sidecars.py
@@ -1,4 +1,4 @@
-"""The verifier reports each faulty sidecar by its violation, and passes the real one in the same scenario."""
+"""The verifier reports the violation of each faulty sidecar, and none of the shipped sidecar in the same scenario."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 servers = 1
 takes_s = 0.7
 """
-DETECTED = {
+EXPECTED_VIOLATION = {
     Fault.DROP: ViolationName.DROPPED,
     Fault.LATE: ViolationName.LATE,
     Fault.DUPLICATE_RESPONSE: ViolationName.DUPLICATE_RESPONSE,
@@ -54,18 +54,20 @@
     Fault.OVERLOAD_COLD_SERVER: ViolationName.COLD_SERVER_OVERLOADED,
     Fault.FORGE_RESPONSE: ViolationName.FOREIGN_RESPONSE,
 }
-
-
-REAL = "real"  # the sidecar of this project
+SHIPPED_SIDECAR = "real"  # the sidecar of this project, in place of a fault
 
 
 @pytest.fixture(scope="module")
 def reports() -> dict[str, Report]:
-    """Run all faulty sidecars and the real one in the same scenario, four at a time."""
+    """Execute the same scenario with each faulty sidecar and with the shipped one, four runs in parallel."""
     scenario = scenario_file.decode(SCENARIO, "violations.toml")
 
-    def play(sidecar: str) -> Report:
-        command = None if sidecar == REAL else [sys.executable, "-B", "-m", "tests.testbed.faulty_sidecar", sidecar]
+    def run_until_valid(sidecar: str) -> Report:
+        command = (
+            None
+            if sidecar == SHIPPED_SIDECAR
+            else [sys.executable, "-B", "-m", "tests.testbed.faulty_sidecar", sidecar]
+        )
         for _ in range(3):  # a run on a busy machine may be void and is repeated
             report = runner.Run(scenario, 4, command=command).execute()
             if report.verdict != Verdict.VOID:
@@ -73,24 +75,24 @@
         return report
 
     with ThreadPoolExecutor(4) as pool:
-        sidecars = [REAL, *Fault]
-        return dict(zip(sidecars, pool.map(play, sidecars), strict=True))
+        sidecars = [SHIPPED_SIDECAR, *Fault]
+        return dict(zip(sidecars, pool.map(run_until_valid, sidecars), strict=True))
 
 
-@pytest.mark.parametrize("fault", DETECTED)
+@pytest.mark.parametrize("fault", EXPECTED_VIOLATION)
 def test_faulty_sidecar_is_reported_by_its_violation(reports: dict[str, Report], fault: Fault) -> None:
     report = reports[fault]
-    assert DETECTED[fault] in report.violations_by_name, (report.verdict, report.reasons)
+    assert EXPECTED_VIOLATION[fault] in report.violations_by_name, (report.verdict, report.reasons)
     if fault is Fault.REPEAT_AFTER_WINDOW:
         assert ViolationName.TWO_EFFECTS in report.violations_by_name, "the repeat came after the deduplication window"
-    others = set(report.violations_by_name) - {DETECTED[fault], ViolationName.TWO_EFFECTS}
-    assert not others, f"violations that the sidecar did not commit: {report.violations_by_name}"
-    violation = next(found for found in report.findings.violations if found.name == DETECTED[fault])
+    other_names = set(report.violations_by_name) - {EXPECTED_VIOLATION[fault], ViolationName.TWO_EFFECTS}
+    assert not other_names, f"violations other than that of the fault: {report.violations_by_name}"
+    violation = next(found for found in report.findings.violations if found.name == EXPECTED_VIOLATION[fault])
     assert violation.subject
     assert violation.description
     assert -0.5 < violation.at < 12
 
 
-@pytest.mark.parametrize("sidecar", [REAL, Fault.NONE])
+@pytest.mark.parametrize("sidecar", [SHIPPED_SIDECAR, Fault.NONE])
 def test_correct_sidecar_passes(reports: dict[str, Report], sidecar: str) -> None:
     assert reports[sidecar].verdict == Verdict.PASSED, reports[sidecar].reasons
