--- a/tests/testbed/test_load_generator.py
+++ b/tests/testbed/test_load_generator.py
@@ -1,4 +1,4 @@
-"""Load generator: stalls show in the latencies, and connections attribute each response to its request."""
+"""Load generator: stalls count in full in the latencies, and connections attribute each response to its request."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 from lugtally.testbed.verification import event_log
 from tests.testbed.faulty_sidecar import build_response, read_message
 
-STALL_AT, STALL_S = 1.5, 1.0
+STALL_AT_S, STALL_S = 1.5, 1.0
 SCENARIO = """
 name = "stall"
-about = "A server behind the load generator that stops for a second."
+about = "A server that does not respond for a second."
 length_s = 5
 [fleet]
 servers = 1
@@ -46,7 +46,7 @@
 
 
 async def _serve_with_stall(block: int, seed: int, base: float, child: subprocess.Popen[bytes]) -> None:
-    """Serve in place of a sidecar: respond immediately, but not during a stall of a second."""
+    """Serve in place of a sidecar: respond immediately, except during a stall of a second."""
     start = 0.0
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -56,9 +56,9 @@
             except (asyncio.IncompleteReadError, ConnectionError):
                 writer.close()
                 return
-            now = time.monotonic() - base - start
-            if STALL_AT <= now < STALL_AT + STALL_S:
-                await asyncio.sleep(STALL_AT + STALL_S - now)
+            now_s = time.monotonic() - base - start
+            if STALL_AT_S <= now_s < STALL_AT_S + STALL_S:
+                await asyncio.sleep(STALL_AT_S + STALL_S - now_s)
             body = build_body(seed, request.headers["x-correlation-id"], "s-000")
             writer.write(build_response(200, body))
 
@@ -91,14 +91,14 @@
         child.wait()
         block.close()
     log = event_log.EventLog(event_log.read_records([tmp_path / "load.jsonl"]))
-    drawn = schedule.make_schedule(scenario, 5)
-    assert len(log.client_attempts) == len(drawn.arrivals), "every arrival is sent, independently of responses"
-    (measured,) = report.measure_latencies(drawn, log)
-    # Requests sent during the stall wait between 0 and 1 s, uniformly distributed.
+    drawn_schedule = schedule.make_schedule(scenario, 5)
+    assert len(log.client_attempts) == len(drawn_schedule.arrivals), "every arrival is sent, independently of responses"
+    (measured,) = report.measure_latencies(drawn_schedule, log)
+    # Requests that are sent during the stall have latencies of 0 to 1 s, uniformly distributed.
     latencies = [attempt.ended_at - attempt.intended_at for attempt in log.client_attempts]
-    slow = [latency for latency in latencies if latency > STALL_S / 2]
-    expected = sum(STALL_AT <= arrival.at < STALL_AT + STALL_S / 2 for arrival in drawn.arrivals)
-    assert len(slow) == pytest.approx(expected, abs=4)
+    slow_latencies = [latency for latency in latencies if latency > STALL_S / 2]
+    expected_slow = sum(STALL_AT_S <= arrival.at < STALL_AT_S + STALL_S / 2 for arrival in drawn_schedule.arrivals)
+    assert len(slow_latencies) == pytest.approx(expected_slow, abs=4)
     assert measured.percentiles["100"] == pytest.approx(1000 * STALL_S, abs=60)
     assert measured.percentiles["99"] > 850
     assert measured.percentiles["90"] > 350
@@ -106,7 +106,7 @@
 
 
 class RecordingTransport(asyncio.Transport):
-    """Transport that records what is written."""
+    """Transport that records the data written to it."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -121,7 +121,7 @@
 
 
 class RecordedRequest:
-    """Request on a connection, and the handler that records all its events."""
+    """Handler of a request on a connection, which records the events of the request."""
 
     def __init__(self, name: str) -> None:
         self.body = build_body(5, name, "s-000")
@@ -144,8 +144,8 @@
         return body == self.body
 
 
-@pytest.mark.parametrize("pieces", [1, 2, 150], ids=["at once", "in two", "byte by byte"])
-def test_late_duplicate_is_reported_to_its_own_request(pieces: int) -> None:
+@pytest.mark.parametrize("piece_count", [1, 2, 150], ids=["at once", "in two", "byte by byte"])
+def test_late_duplicate_is_reported_to_its_own_request(piece_count: int) -> None:
     connection, transport, first, second = (
         ClientConnection(lambda _: None),
         RecordingTransport(),
@@ -157,12 +157,12 @@
     connection.data_received(first.response)
     second.send(connection)  # while the duplicate of the first response is in flight
     data = first.response + second.response
-    size = -(-len(data) // pieces)
-    for offset in range(0, len(data), size):
-        connection.data_received(data[offset : offset + size])
+    piece_size = -(-len(data) // piece_count)
+    for offset in range(0, len(data), piece_size):
+        connection.data_received(data[offset : offset + piece_size])
     assert first.events == [("response", first.body), ("extra", b"")]
-    assert second.events == [("response", second.body)], "the duplicate of the first response is not reported to it"
-    assert not connection.is_reusable, "a connection with extra bytes is not reused"
+    assert second.events == [("response", second.body)], "the duplicate of the first response is reported to the first"
+    assert not connection.is_reusable, "a connection with a duplicate response is not reused"
 
 
 def test_foreign_body_is_reported_to_request_in_flight() -> None:
