--- a/tests/testbed/test_load_generator.py
+++ b/tests/testbed/test_load_generator.py
@@ -135,10 +135,10 @@
         self.events.append(("response", response.body))
 
     def on_disconnect(self, received_bytes: bool) -> None:
-        self.events.append(("broken", b"partial" if received_bytes else b""))
+        self.events.append(("disconnect", b"partial" if received_bytes else b""))
 
     def on_duplicate(self) -> None:
-        self.events.append(("extra", b""))
+        self.events.append(("duplicate", b""))
 
     def is_own_body(self, body: bytes) -> bool:
         return body == self.body
@@ -160,7 +160,7 @@
     piece_size = -(-len(data) // piece_count)
     for offset in range(0, len(data), piece_size):
         connection.data_received(data[offset : offset + piece_size])
-    assert first.events == [("response", first.body), ("extra", b"")]
+    assert first.events == [("response", first.body), ("duplicate", b"")]
     assert second.events == [("response", second.body)], "the duplicate of the first response is reported to the first"
     assert not connection.is_reusable, "a connection with a duplicate response is not reused"
 
@@ -189,4 +189,4 @@
     second.send(connection)
     connection.data_received(first.response)
     connection.connection_lost(None)
-    assert second.events == [("broken", b"")]
+    assert second.events == [("disconnect", b"")]
