--- a/tests/testbed/test_scenario.py
+++ b/tests/testbed/test_scenario.py
@@ -1,4 +1,4 @@
-"""Scenario files: errors that name a field, and the schedules drawn from a seed."""
+"""Scenario files: errors that name the invalid field, and schedules that are drawn from a seed."""
 
 from __future__ import annotations
 
@@ -39,14 +39,14 @@
     first, second = schedule.make_schedule(loaded, 7), schedule.make_schedule(loaded, 7)
     assert first == second
     assert first.arrivals != schedule.make_schedule(loaded, 8).arrivals
-    sent_per_s = len(first.arrivals) / loaded.length_s
-    assert 0.5 < sent_per_s / first.rate < 2.2
+    requests_per_s = len(first.arrivals) / loaded.length_s
+    assert 0.5 < requests_per_s / first.rate < 2.2
     assert all(0 <= arrival.at < loaded.length_s and arrival.work > 0 for arrival in first.arrivals)
     assert {machine.zone for machine in first.machines} == set(loaded.fleet.zones)
 
 
 @pytest.mark.parametrize(
-    ("text", "complaint"),
+    ("text", "expected_error"),
     [
         ("name = ", "day.toml: no TOML: "),
         ("name = 'x'", "day.toml: Object missing required field `about`"),
@@ -66,18 +66,18 @@
         ),
     ],
 )
-def test_invalid_scenario_error_names_file_and_field(text: str, complaint: str) -> None:
-    head = "" if text.startswith("name") else "name = 'x'\nabout = 'y'\n"
-    with pytest.raises(scenario.ScenarioError) as caught:
-        scenario_file.decode(head + text, "day.toml")
-    assert str(caught.value).startswith(complaint)
-    assert "\n" not in str(caught.value)
+def test_invalid_scenario_error_names_file_and_field(text: str, expected_error: str) -> None:
+    required_fields = "" if text.startswith("name") else "name = 'x'\nabout = 'y'\n"
+    with pytest.raises(scenario.ScenarioError) as raised:
+        scenario_file.decode(required_fields + text, "day.toml")
+    assert str(raised.value).startswith(expected_error)
+    assert "\n" not in str(raised.value)
 
 
 def test_invalid_scenario_exits_2_with_one_line(tmp_path: Path) -> None:
     path = str(tmp_path / "bad.toml")
     Path(path).write_text("name = 'x'\nabout = 'y'\n[clients]\nretries = -1\n", encoding="utf-8")
-    for command in (["rehearse", "run", path], ["rehearse", "check", path], ["rehearse", "run", "no-such-day"]):
+    for command in (["rehearse", "run", path], ["rehearse", "check", path], ["rehearse", "run", "no-such-scenario"]):
         result = CliRunner().invoke(root, command, standalone_mode=False)
         assert result.return_value == 2, result.output
         assert result.stderr.count("\n") == 1, result.output
@@ -91,6 +91,6 @@
     )
     first, second = schedule.make_schedule(small, 3), schedule.make_schedule(large, 3)
     assert second.machines[:6] == first.machines
-    assert second.arrivals == first.arrivals, "more servers, same clients"
+    assert second.arrivals == first.arrivals, "the number of servers does not change the arrivals"
     assert unit(1, "a", 2) == unit(1, "a", 2) != unit(1, "a", 3)
     assert stream(5, "x").random() != stream(5, "y").random()
