--- a/tests/testbed/test_server_model.py
+++ b/tests/testbed/test_server_model.py
@@ -1,4 +1,4 @@
-"""Server model: agreement with queueing theory, and each way of degradation."""
+"""Server model: agreement with queueing theory, and each way in which a server slows down or rejects requests."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 import pytest
 from hypothesis import given, settings
-from hypothesis import seed as draws_from
+from hypothesis import seed as hypothesis_seed
 from hypothesis import strategies as st
 
 from lugtally.testbed.emulator.server_model import Admission, Job, ServerModel, ServerTraits
 from lugtally.testbed.scenario.random_streams import stream
 
-DRAWS = 1  # fixed seed, as hypothesis would derive one from the text of the test
-UNLIMITED = 10**9
+HYPOTHESIS_SEED = 1  # fixed, as hypothesis would otherwise derive a seed from the source text of the test
+UNLIMITED = 10**9  # more than any test reaches
 
 
-def mean_wait(cores: int, load: float, count: int) -> float:
-    """Return the mean wait in the queue, in mean service times, of ``count`` requests at an M/M/c server."""
-    random = stream(11, "queue", cores, load)
-    gaps, works = random.exponential(1 / (load * cores), count), random.exponential(1.0, count)
+def mean_wait(cores: int, utilisation: float, request_count: int) -> float:
+    """Return the mean wait in the queue of an M/M/c server, in mean service times, measured over these requests."""
+    random = stream(11, "queue", cores, utilisation)
+    gaps, works = random.exponential(1 / (utilisation * cores), request_count), random.exponential(1.0, request_count)
     server = ServerModel(
         ServerTraits(
             cores=cores,
@@ -31,32 +31,34 @@
         ),
         0.0,
     )
-    now, total_wait, ended = 0.0, 0.0, 0
+    now, total_wait, ended_count = 0.0, 0.0, 0
     for gap, work in zip(gaps, works, strict=True):
         now += float(gap)
         for job in server.advance(now):
-            total_wait, ended = total_wait + job.started_at - job.arrived_at, ended + 1
+            total_wait, ended_count = total_wait + job.started_at - job.arrived_at, ended_count + 1
         assert server.offer(now, Job("x", float(work))) is Admission.ADMITTED
     for job in server.advance(now + 1e6):
-        total_wait, ended = total_wait + job.started_at - job.arrived_at, ended + 1
-    assert ended == count, "a request was lost"
-    return total_wait / count
+        total_wait, ended_count = total_wait + job.started_at - job.arrived_at, ended_count + 1
+    assert ended_count == request_count, "a request was lost"
+    return total_wait / request_count
 
 
-def erlang_c_wait(cores: int, load: float) -> float:
-    """Return the same by the Erlang C formula (Kleinrock 1975, 3.5)."""
-    offered = load * cores
-    last = offered**cores / factorial(cores) / (1 - load)
-    waits = last / (sum(offered**busy / factorial(busy) for busy in range(cores)) + last)
-    return waits / (cores * (1 - load))
+def erlang_c_wait(cores: int, utilisation: float) -> float:
+    """Return the same wait, calculated with the Erlang C formula (Kleinrock 1975, 3.5)."""
+    offered_load = utilisation * cores
+    queueing_term = offered_load**cores / factorial(cores) / (1 - utilisation)
+    wait_probability = queueing_term / (
+        sum(offered_load**busy / factorial(busy) for busy in range(cores)) + queueing_term
+    )
+    return wait_probability / (cores * (1 - utilisation))
 
 
 @pytest.mark.parametrize(
-    ("cores", "load", "count"),
+    ("cores", "utilisation", "request_count"),
     [(1, 0.3, 60_000), (1, 0.5, 120_000), (1, 0.7, 250_000), (3, 0.4, 120_000), (3, 0.6, 120_000), (3, 0.75, 200_000)],
 )
-def test_queue_waits_match_erlang_c(cores: int, load: float, count: int) -> None:
-    assert mean_wait(cores, load, count) == pytest.approx(erlang_c_wait(cores, load), rel=0.03)
+def test_queue_waits_match_erlang_c(cores: int, utilisation: float, request_count: int) -> None:
+    assert mean_wait(cores, utilisation, request_count) == pytest.approx(erlang_c_wait(cores, utilisation), rel=0.03)
 
 
 def test_full_queue_and_draining_server_reject() -> None:
@@ -82,7 +84,7 @@
     assert [job.name for job in server.advance(70.0)] == ["0", "1", "2", "3", "4"]
 
 
-def test_cancel_stops_work_and_expired_request_gets_none() -> None:
+def test_cancelled_and_expired_requests_get_no_work() -> None:
     server = ServerModel(ServerTraits(cores=1, slots=1, max_queue=9), 0.0)
     first, second, third = Job("1", 5.0), Job("2", 1.0, deadline=0.5), Job("3", 1.0)
     for job in (first, second, third):
@@ -111,7 +113,7 @@
     assert server.warm_fraction == pytest.approx(0.3)
     server.advance(102.5)
     assert server.warm_fraction == pytest.approx(0.65)
-    for tick in range(20):  # twice its capacity: below the limit
+    for tick in range(20):  # twice its capacity is below the limit of 2.5
         server.advance(102.5 + tick * 0.05)
         server.offer(102.5 + tick * 0.05, Job("x", 2 * server.capacity * 0.05, sidecar=tick % 2))
     assert not server.collapsed
@@ -143,8 +145,8 @@
         server.offer(0.0, Job(str(number), 0.5))
     server.advance(1.5)
     assert server.choke.is_active
-    done = len(server.advance(4.5))
-    assert done == pytest.approx(3.0 / 3 / 0.5, abs=1), "a choked server is three times slower"
+    completed_count = len(server.advance(4.5))
+    assert completed_count == pytest.approx(3.0 / 3 / 0.5, abs=1), "a choked server is three times slower"
     for job in [*server.queue, *server.in_service]:
         server.cancel(4.5, job)
     server.advance(6.4)
@@ -192,11 +194,11 @@
 OPERATION = st.tuples(st.floats(0, 0.3), st.floats(0.001, 0.5), st.sampled_from(["offer", "cancel", "slow", "silence"]))
 
 
-@draws_from(DRAWS)
+@hypothesis_seed(HYPOTHESIS_SEED)
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.lists(OPERATION, max_size=60))
 def test_no_request_is_lost_or_processed_twice(operations: list[tuple[float, float, str]]) -> None:
-    """Each admitted request ends once or is cancelled, and the work done is at most that of the cores."""
+    """Each admitted request ends once or is cancelled, and the work done does not exceed the capacity of the cores."""
     server = ServerModel(
         ServerTraits(
             cores=2,
@@ -209,26 +211,26 @@
         ),
         0.0,
     )
-    now, admitted, ended, cancelled = 0.0, {}, [], set()
+    now, admitted_jobs, ended_jobs, cancelled_names = 0.0, {}, [], set()
     for number, (gap, work, operation) in enumerate(operations):
         now += gap
-        ended += server.advance(now)
+        ended_jobs += server.advance(now)
         if operation == "cancel" and server.queue:
             job = server.queue[-1]
             server.cancel(now, job)
-            cancelled.add(job.name)
+            cancelled_names.add(job.name)
         elif operation == "slow":
             server.slowdown = 1 + work
         elif operation == "silence":
             server.silent = not server.silent
         job = Job(str(number), work, deadline=now + 1)
         if server.offer(now, job) is Admission.ADMITTED:
-            admitted[job.name] = job
+            admitted_jobs[job.name] = job
     server.silent = False
-    ended += server.advance(now + 1e4)
-    names = [job.name for job in ended]
-    assert len(names) == len(set(names))
-    assert set(names) | cancelled == set(admitted)
-    assert not set(names) & cancelled
+    ended_jobs += server.advance(now + 1e4)
+    ended_names = [job.name for job in ended_jobs]
+    assert len(ended_names) == len(set(ended_names))
+    assert set(ended_names) | cancelled_names == set(admitted_jobs)
+    assert not set(ended_names) & cancelled_names
     assert server.work_done <= 2 * server.now + 1e-6
-    assert all(job.remaining <= 1e-6 for job in ended if not job.expired)
+    assert all(job.remaining <= 1e-6 for job in ended_jobs if not job.expired)
