--- a/tests/testbed/test_validity.py
+++ b/tests/testbed/test_validity.py
@@ -1,4 +1,4 @@
-"""Validity of a run: timer lag or a truncated event log makes it void."""
+"""Validity of a run: a large timer lag or an incomplete event log makes it void."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
     ],
 )
 def test_timer_lag_makes_run_void(lag_report: records.TimerLagReport, verdict: str) -> None:
-    drawn = schedule.make_schedule(scenario_file.load("quiet"), 1)
+    drawn_schedule = schedule.make_schedule(scenario_file.load("quiet"), 1)
     log = event_log.EventLog([lag_report, records.TimerLagReport("stand-ins", 9, 1.0, 2.0, 1.0)])
-    assert report.decide_verdict(verifier.verify(log, drawn, 0.0), scenario.Expect()).verdict == verdict
+    assert report.decide_verdict(verifier.verify(log, drawn_schedule, 0.0), scenario.Expect()).verdict == verdict
 
 
 def test_truncated_event_log_is_read_and_makes_run_void(tmp_path: Path) -> None:
@@ -30,8 +30,8 @@
     for second in range(3):
         writer.write(records.HealthCheck(float(second), "s-000", 0))
     writer.close()
-    complete = (tmp_path / "a.jsonl").read_bytes()
-    (tmp_path / "a.jsonl").write_bytes(complete[:-5])
+    complete_bytes = (tmp_path / "a.jsonl").read_bytes()
+    (tmp_path / "a.jsonl").write_bytes(complete_bytes[:-5])
     assert len(event_log.read_records([tmp_path / "a.jsonl", tmp_path / "none.jsonl"])) == 2
     findings = verifier.verify(event_log.EventLog([]), schedule.make_schedule(scenario_file.load("quiet"), 1), 0.0)
     assert report.decide_verdict(findings, scenario.Expect()).verdict == "void"
