--- a/tests/testbed/faulty_sidecar.py
+++ b/tests/testbed/faulty_sidecar.py
@@ -2,7 +2,7 @@
 
     python -m tests.testbed.faulty_sidecar FAULT        with PROXY_CONFIG set, as for the daemon
 
-With the fault ``honest`` it violates no rule: it sends each request once, to a random ready server.
+With the argument ``honest`` it violates no rule: it sends each request once, to a random ready server.
 """
 
 from __future__ import annotations
@@ -114,7 +114,7 @@
         writer.close()
 
     async def respond(self, request: HttpMessage) -> bytes | None:
-        """Return the final response, or None to drop the connection.  Most faults affect one request in 20."""
+        """Return the final response, or None to drop the connection.  Most faults affect one in 20 requests."""
         is_faulty = self.request_count % 20 == 0
         time_left_s = float(request.headers["x-time-left"])
         if self.fault is Fault.FORGE_RESPONSE and is_faulty:
