--- a/lugtally/cli/experiment.py
+++ b/lugtally/cli/experiment.py
@@ -47,23 +47,23 @@
         with_table: Whether to print a table with confidence intervals and write a plot.  Otherwise, one line per run is
             printed.
     """
-    from lugtally.testbed.experiments.experiment import cells_of
-    from lugtally.testbed.experiments.matrix import max_parallel_runs, play_cells
+    from lugtally.testbed.experiments.experiment import matrix_cells
+    from lugtally.testbed.experiments.matrix import max_parallel_runs, run_cells
     from lugtally.testbed.reporting import table, terminal
 
     interrupt_on_sigterm()
-    cells = cells_of(experiment)
+    cells = matrix_cells(experiment)
     with progress_bar(sys.stderr.isatty(), experiment.name, len(cells)) as on_progress:
         try:
             parallel_runs = parallel_runs or max_parallel_runs(experiment.cores_per_run)
-            reports = play_cells(cells, out, parallel_runs, on_progress)
+            reports = run_cells(cells, out, parallel_runs, on_progress)
         except KeyboardInterrupt:
             print(f"lugtally: interrupted; the same command resumes from {out}", file=sys.stderr)
             return EXIT_INTERRUPTED
     console = terminal.console_for_tables()
     if with_table:
         table.print_table(experiment, cells, reports, console)
-        table.plot(experiment, cells, reports, out / f"{experiment.name}.svg")
+        table.write_plot(experiment, cells, reports, out / f"{experiment.name}.svg")
     else:
         terminal.print_summary([reports[cell.name] for cell in cells if cell.name in reports], console)
     if len(reports) < len(cells):
--- a/lugtally/testbed/experiments/runner.py
+++ b/lugtally/testbed/experiments/runner.py
@@ -1,7 +1,9 @@
 """Execution of one run: the emulated fleet, the real sidecars and the load generator, then the verification.
 
-Every process is a child in a session of its own and is ended by its id in any case.  After Ctrl-C no process is left,
-and the report covers the run until then.
+Every process is a child in its own session and is ended by its id, also if the run fails.  After Ctrl-C no process is
+left, and the report covers the run up to that moment.
+
+All times of a run are seconds since its base, the reading of the monotonic clock when it was created.
 """
 
 from __future__ import annotations
@@ -34,9 +36,10 @@
 
 START_DELAY_S = 0.4  # between the command ``go`` and the start of the scenario
 POLL_S = 0.05
-MODULE = "module"  # the policy that the daemon ships
+SHIPPED_POLICY = "module"  # the balancer that the daemon ships with
 
-FLEET, LOAD, RUNNER = "world", "load", "runner"  # names of the files of a run
+# Names of the files of the emulated fleet, the load generator and the runner in the folder of a run.
+FLEET, LOAD, RUNNER = "world", "load", "runner"
 PROCESS_MODULES = {FLEET: "lugtally.testbed.emulator.process", LOAD: "lugtally.testbed.loadgen.generator"}
 
 
@@ -45,23 +48,32 @@
 
 
 class Run:
-    """A run of a scenario with one seed and policy.  ``on_progress`` gets the elapsed seconds and the phase."""
+    """A run of a scenario with one seed and policy."""
 
     def __init__(
         self,
         scenario: Scenario,
         seed: int,
         *,
-        policy: str = MODULE,
+        policy: str = SHIPPED_POLICY,
         folder: Path | None = None,
         on_progress: Callable[[float, str], None] = _ignore_progress,
         command: list[str] | None = None,
-        operator: Path | None = None,
+        operator_file: Path | None = None,
     ) -> None:
-        """Draw the schedule.  Raises RunError if the policy is unknown.
-
-        Without ``folder`` the files of the run are temporary.  ``command`` replaces the sidecar by another program,
-        ``operator`` is an operator's file for the sidecars.
+        """Draw the schedule of the run from the seed.
+
+        Args:
+            scenario: The scenario to execute.
+            seed: Seed of the schedule.
+            policy: The shipped policy, or the name of a baseline policy.
+            folder: Folder of the run's files; without it they are temporary.
+            on_progress: Called with the seconds of the scenario that have passed and the phase of the run.
+            command: Command of another program that replaces the sidecar.
+            operator_file: The operator file that the sidecars read.
+
+        Raises:
+            RunError: The policy is unknown.
         """
         self._scenario, self._seed, self._policy = scenario, seed, policy
         self._on_progress = on_progress
@@ -69,25 +81,25 @@
         self._is_temporary = folder is None
         self._folder = folder or Path(tempfile.mkdtemp(prefix="lugtally-rehearsal-"))
         self._folder.mkdir(parents=True, exist_ok=True)
-        self._command = command or _sidecar_command(policy, operator)
+        self._command = command or _sidecar_command(policy, operator_file)
         self._base = time.monotonic()
-        self._start = 0.0  # of the scenario, in seconds since the base
+        self._start = 0.0  # of the scenario
         self._children = ChildProcesses(self._folder)
         self._event_log = EventLogWriter(self._event_log_path(RUNNER))
 
-    def play(self) -> Report:
-        """Execute the run until its end or Ctrl-C, and verify its records.  Raises RunError."""
+    def execute(self) -> Report:
+        """Execute the run until it ends or is interrupted, and report the verified records.  Raises RunError."""
         block = loopback.LoopbackBlock()
         sidecars = SidecarGroup(
             self._schedule, block.number, self._command, self._folder, self._children, self._clock, self._record
         )
         was_interrupted = False
         try:
-            self._play(block.number, sidecars)
+            self._execute(block.number, sidecars)
         except KeyboardInterrupt:
             was_interrupted = True
         finally:
-            # A second Ctrl-C must not interrupt the end of the processes.
+            # A second Ctrl-C must not interrupt the shutdown, as it would leave processes behind.
             with _stop_signals_ignored():
                 sidecars.stop()
                 self._children.stop()
@@ -95,7 +107,7 @@
                 block.close()
         return self._report(sidecars, was_interrupted)
 
-    def _play(self, block: int, sidecars: SidecarGroup) -> None:
+    def _execute(self, block: int, sidecars: SidecarGroup) -> None:
         self._on_progress(0.0, "starting")
         fleet = self._start_process(FLEET, block)
         await_ready(fleet, self._folder)
@@ -106,11 +118,13 @@
         self._start = self._clock() + START_DELAY_S
         for process in (fleet, load):
             send_line(process, f"go {self._start!r}")
-        self._follow(fleet, load, sidecars)
+        self._apply_faults_until_done(fleet, load, sidecars)
         self._on_progress(self._scenario.length_s, "stopping")
 
-    def _follow(self, fleet: subprocess.Popen[bytes], load: subprocess.Popen[bytes], sidecars: SidecarGroup) -> None:
-        """Apply the faults of sidecars until the load generator is done."""
+    def _apply_faults_until_done(
+        self, fleet: subprocess.Popen[bytes], load: subprocess.Popen[bytes], sidecars: SidecarGroup
+    ) -> None:
+        """Apply the sidecars' faults and supervise the processes until the load generator is done."""
         events = [event for event in self._schedule.events if event.fault.kind.startswith(SIDECAR_PREFIX)]
         assert load.stdout is not None
         while True:
@@ -119,18 +133,18 @@
                 return  # the load generator printed ``done`` or ended
             now_s = self._clock()
             while events and now_s >= self._start + events[0].at:
-                sidecars.apply(events.pop(0))
+                sidecars.apply_fault(events.pop(0))
             sidecars.poll()
             if fleet.poll() is not None:
                 raise RunError(f"the emulated fleet ended; its log is in {self._folder}")
-            self._on_progress(min(self._scenario.length_s, max(0.0, now_s - self._start)), "playing")
+            self._on_progress(min(self._scenario.length_s, max(0.0, now_s - self._start)), "running")
 
     def _report(self, sidecars: SidecarGroup, was_interrupted: bool) -> Report:
         log = EventLog(read_records(self._event_log_path(name) for name in (FLEET, LOAD, RUNNER)))
         findings = verify(log, self._schedule, self._start)
         if was_interrupted:
-            played = max(0.0, self._clock() - self._start)
-            findings.void_reasons.insert(0, f"{INTERRUPTED} after {played:.1f} s")
+            elapsed_s = max(0.0, self._clock() - self._start)
+            findings.void_reasons.insert(0, f"{INTERRUPTED} after {elapsed_s:.1f} s")
         report = build_report(self._schedule, self._policy, findings, log, self._start, sidecars.usage())
         if self._is_temporary:
             shutil.rmtree(self._folder, ignore_errors=True)
@@ -162,25 +176,28 @@
         return time.monotonic() - self._base
 
 
-def _sidecar_command(policy: str, operator: Path | None) -> list[str]:
-    """Return the command of the real sidecar or of a baseline policy.  Raises RunError."""
-    if policy == MODULE:
-        options = ["--operator", str(operator.resolve())] if operator is not None else []
+def _sidecar_command(policy: str, operator_file: Path | None) -> list[str]:
+    """Return the command that starts a sidecar with this policy.  Raises RunError if the policy is unknown."""
+    if policy == SHIPPED_POLICY:
+        options = ["--operator", str(operator_file.resolve())] if operator_file is not None else []
         return [sys.executable, "-B", "-m", "lugtally", "serve", "--log-level", "WARNING", *options]
-    if policy not in baselines.NAMES:
-        raise RunError(f"{policy}: unknown policy; known are {MODULE}, {', '.join(baselines.NAMES)}")
+    if policy not in baselines.POLICY_NAMES:
+        raise RunError(f"{policy}: unknown policy; known are {SHIPPED_POLICY}, {', '.join(baselines.POLICY_NAMES)}")
     return [sys.executable, "-B", "-m", "lugtally.testbed.experiments.baselines", policy]
 
 
 @contextmanager
 def _stop_signals_ignored() -> Iterator[None]:
-    """Ignore the signals that end a run.  Does nothing outside the main thread, which alone receives signals."""
+    """Ignore the signals that end a run.
+
+    Outside the main thread it does nothing, as only the main thread handles signals.
+    """
     if threading.current_thread() is not threading.main_thread():
         yield
         return
-    before = {number: signal.signal(number, signal.SIG_IGN) for number in (signal.SIGINT, signal.SIGTERM)}
+    previous_handlers = {number: signal.signal(number, signal.SIG_IGN) for number in (signal.SIGINT, signal.SIGTERM)}
     try:
         yield
     finally:
-        for number, handler in before.items():
+        for number, handler in previous_handlers.items():
             signal.signal(number, handler)
