--- a/lugtally/balancing/actions.py
+++ b/lugtally/balancing/actions.py
@@ -23,7 +23,7 @@
 class RejectRequest:
     """Answer the request with a rejection, which promises that the client may safely retry it.
 
-    ``retry_after_ns`` is the delay to advise before the retry; 0: no advice.
+    ``retry_after_ns`` is the delay that the client should wait before the retry; 0 if none is suggested.
     """
 
     request_id: str
--- a/lugtally/balancing/balancer.py
+++ b/lugtally/balancing/balancer.py
@@ -1,7 +1,7 @@
 """The balancer: passes each event to the components that decide on it, and returns their actions.
 
-The same events with the same seed give the same actions.  The order of random draws and of floating-point
-additions is therefore part of the behaviour (docs/design.md, "Modules").
+The same events with the same seed give the same actions.  A change in the order of random draws or of
+floating-point additions therefore changes the behaviour (docs/design.md, "Modules").
 """
 
 from __future__ import annotations
--- a/lugtally/balancing/candidates.py
+++ b/lugtally/balancing/candidates.py
@@ -26,7 +26,7 @@
 INITIAL_CROSS_ZONE_WEIGHT = 0.1
 """Initial weight of endpoints in other zones, relative to 1 for the local zone."""
 MIN_CROSS_ZONE_WEIGHT = 0.03
-"""Lower bound of that weight: some requests must cross zones, to learn how fast the other zones are."""
+"""Lower bound of that weight, so that some requests measure the speed of the other zones."""
 CROSS_ZONE_INCREASE_FACTOR = 1.1
 """Factor by which that weight rises with each update while the local zone is slower."""
 CROSS_ZONE_DECREASE_FACTOR = 0.95
@@ -54,7 +54,7 @@
         return len(self._endpoints)
 
     def draw(self, *, zone_aware: bool) -> EndpointStats:
-        """Draw a candidate with a probability proportional to its weight; there must be at least one."""
+        """Draw a candidate with a probability proportional to its weight; the list must not be empty."""
         cumulative_weights = self._zone_aware_cumulative_weights if zone_aware else self._cumulative_weights
         position = self._rng.random() * cumulative_weights[-1]
         return self._endpoints[bisect(cumulative_weights, position, 0, len(cumulative_weights) - 1)]
--- a/lugtally/balancing/concurrency_limit.py
+++ b/lugtally/balancing/concurrency_limit.py
@@ -18,7 +18,7 @@
 INITIAL_UPDATES = 4
 """Number of updates before the throughput estimate is used."""
 INITIAL_LIMIT_PER_MEMBER = 2.0
-"""Limit until then, per member of the subset: after a restart the clients come all at once."""
+"""Limit until then, per member of the subset.  After a restart, all clients connect at the same time."""
 MIN_INITIAL_MEMBERS = 4
 """Lower bound of the number of members in the initial limit."""
 THROUGHPUT_SMOOTHING = 0.3
@@ -26,15 +26,15 @@
 LIMIT_TO_CONGESTION_RATIO = 1.8
 """The limit as a multiple of the number in flight at which congestion starts."""
 HEADROOM_DIVISOR = 6
-"""The response time at which congestion starts is at least the tightest latency objective divided by this."""
+"""Minimum response time that indicates congestion, as a divisor of the tightest latency objective."""
 MARGIN_DEVIATIONS = 3.0
-"""Standard deviations of the number in flight that are added: small numbers of requests vary by chance."""
+"""Standard deviations added to the limit, because a small number of requests in flight varies randomly."""
 MIN_LIMIT = 4.0
-"""Lower bound of the limit on own requests in flight."""
+"""Lower bound of the limit on this balancer's requests in flight."""
 MIN_FLEET_LIMIT_PER_MEMBER = 4
 """Lower bound of the sum of the limits of all balancers, per member of the subset."""
 MAX_ENDPOINT_LIMIT = 64.0
-"""Upper bound of the limit on own requests in flight at one endpoint."""
+"""Upper bound of the limit on this balancer's requests in flight at one endpoint."""
 ENDPOINT_LIMIT_DECREASE_FACTOR = 0.8
 """Factor by which the limit of an endpoint falls when responses are late."""
 CONGESTION_RESULTS = (AttemptResult.OK, AttemptResult.TIMEOUT, AttemptResult.REJECTED)
@@ -42,7 +42,7 @@
 
 
 class ConcurrencyLimiter:
-    """The limit on all own requests in flight, and the limits at single endpoints."""
+    """The limit on all of this balancer's requests in flight, and the limits at single endpoints."""
 
     def __init__(
         self, settings: Settings, subset: Subset, latency: LatencyTracker, quota: FleetQuota
@@ -57,7 +57,7 @@
         self._throughput = 0.0
         """Work done per nanosecond, smoothed; by Little's law the number in flight if none is queued."""
         self.limit = MIN_LIMIT
-        """Maximum number of own requests in flight."""
+        """Maximum number of this balancer's requests in flight."""
 
     def record_response(self, attempt: InFlightAttempt, baseline_ns: float) -> None:
         """Count the work of a successful response."""
--- a/lugtally/balancing/endpoint.py
+++ b/lugtally/balancing/endpoint.py
@@ -7,7 +7,7 @@
 
 
 class EndpointStats:
-    """An endpoint's entry in the endpoint list, and what this balancer measured with its own requests."""
+    """An endpoint's entry in the endpoint list, and the measurements of this balancer's requests to it."""
 
     __slots__ = (
         "id",
@@ -60,7 +60,7 @@
         self.started_ns = entry.started_ns
 
     def reset(self, now_ns: int, concurrency_limit: float, tokens: float) -> None:
-        """Discard what was measured before the endpoint's process was restarted.
+        """Discard the measurements from before the restart of the endpoint's process.
 
         ``concurrency_limit`` is the initial limit on this balancer's requests in flight there; ``tokens`` is
         the initial content of its slow-start token bucket.
--- a/lugtally/balancing/endpoint_table.py
+++ b/lugtally/balancing/endpoint_table.py
@@ -60,7 +60,8 @@
         known = self.by_id.get(entry.id)
         endpoint = known or EndpointStats(entry.id, self._rng.random())
         if known is None or entry.started_ns > known.started_ns:  # new, or restarted
-            # In a large fleet a balancer sends so rarely that it would take too long to earn a whole token.
+            # In a large fleet a balancer sends so rarely that an empty bucket would take too long to gain
+            # one token.
             endpoint.reset(now_ns, INITIAL_CONCURRENCY_LIMIT, tokens=endpoint.rank * INITIAL_TOKENS_SCALE % 1)
         endpoint.update(entry)
         self.by_id[entry.id] = endpoint
--- a/lugtally/balancing/fleet_quota.py
+++ b/lugtally/balancing/fleet_quota.py
@@ -27,9 +27,9 @@
 OBJECTIVE_SHARE_SMOOTHING = 0.02
 """Weight of the newest response in the mean objective share."""
 PROMPT_OBJECTIVE_SHARE = 0.25
-"""Objective share below which responses show that endpoints could process more requests at once."""
+"""Objective share below which responses show that endpoints could process more requests concurrently."""
 PROMPT_TO_MIN_RATIO = 1.6
-"""The same bound as a multiple of the smallest objective share that was seen."""
+"""The same bound as a multiple of the smallest recent objective share."""
 MIN_SHARE_RISE_PER_S = 0.01
 """Relative rise of the smallest objective share per second, so that an old minimum is forgotten."""
 FULL_SHARE = 0.7
@@ -116,7 +116,7 @@
     def _adjust_limit(self, elapsed_ns: int) -> None:
         """Raise the limit while responses are prompt, otherwise lower it.
 
-        Prompt responses under such a load show that endpoints have many cores.
+        Called only while endpoints are full, when prompt responses show that they have many cores.
         """
         is_prompt = self._objective_share < min(
             PROMPT_OBJECTIVE_SHARE, PROMPT_TO_MIN_RATIO * self._min_objective_share
--- a/lugtally/balancing/hedging.py
+++ b/lugtally/balancing/hedging.py
@@ -1,6 +1,6 @@
 """Hedging: a second attempt for a request whose first attempt gets no response.
 
-Where two attempts at once are not allowed, the first is cancelled, so that the request is retried.
+Where concurrent attempts are not allowed, the first is cancelled, so that the request is retried.
 """
 
 from __future__ import annotations
--- a/lugtally/balancing/latency.py
+++ b/lugtally/balancing/latency.py
@@ -59,7 +59,10 @@
         self.baselines_ns: dict[int, float] = {}
         """Baseline by class."""
         self._recent_means_ns: dict[int, float] = {}
-        """Smoothed times of successful responses by class, without other own attempts at the endpoint."""
+        """Smoothed times of successful responses by class.
+
+        After the first, only those of attempts sent while this balancer had no other attempt at the endpoint.
+        """
         self._sample_counts: dict[int, int] = {}
         self.congested_ratio = CONGESTED_RATIO
         """Ratio from which an endpoint has too much in flight."""
--- a/lugtally/balancing/outlier_detection.py
+++ b/lugtally/balancing/outlier_detection.py
@@ -18,7 +18,7 @@
 BASE_EJECTION_NS = 1 * NS_PER_S
 """Duration of an ejection after one failure; doubles with each further consecutive failure."""
 MIN_EJECTION_JITTER = 0.8
-"""Lowest random factor of the duration: without it, all balancers would return to the endpoint at once."""
+"""Lowest random factor of the duration: without it, all balancers would return to it at the same time."""
 MAX_EJECTION_JITTER = 1.2
 """Highest random factor of the duration."""
 MAX_COUNTED_FAILURES = 3
@@ -26,7 +26,7 @@
 MIN_CONSECUTIVE_FAILURES = 2
 """Consecutive failures before an ejection, for results of which a single one does not show a fault."""
 MAX_EJECTED_SHARE = 0.5
-"""Fraction of the members that may be ejected at once for what may be mere slowness."""
+"""Fraction of the members that may be ejected at the same time for what may be mere slowness."""
 SLOW_RATIO = 3.0
 """A member is ejected if its slowness is above this multiple of the median."""
 MIN_SAMPLES = 8
@@ -125,7 +125,7 @@
         endpoint.consecutive_failures = max(endpoint.consecutive_failures, MIN_CONSECUTIVE_FAILURES)
         self.record_failure(now_ns, endpoint)
         if endpoint.is_ejected(now_ns):
-            # If it kept its old slowness, a fleet without traffic would never try it again.
+            # With its old slowness, it would never be tried again in a fleet without traffic.
             endpoint.concurrency_limit = 1.0
             endpoint.slowness = SLOWNESS_AFTER_EJECTION
             endpoint.samples = 0
--- a/lugtally/balancing/picker.py
+++ b/lugtally/balancing/picker.py
@@ -1,6 +1,6 @@
-"""Endpoint picker: of two members drawn at random by weight, the one with fewer own requests in flight.
+"""Endpoint picker: of two members drawn at random by weight, the one with fewer requests in flight.
 
-"Own" requests are those of this balancer.
+Only the requests of this balancer are counted.
 """
 
 from __future__ import annotations
@@ -22,7 +22,10 @@
 ANY_PRIORITY_SHARE = 0.4
 """Share of the limits that is open to every priority; the rest is open in proportion to the priority."""
 DECISIVE_LATENCY_RATIO = 1.25
-"""Factor by which expected response times must differ to decide: less would starve all but the fastest."""
+"""The second member drawn is chosen only if the first is expected to take more than this many times as long.
+
+With a smaller factor, all endpoints but the fastest would be starved.
+"""
 
 
 class EndpointPicker:
@@ -80,7 +83,7 @@
         return endpoint.id not in request.endpoint_ids and self._rules.may_send_to(now_ns, request, endpoint)
 
     def _better(self, now_ns: int, first: EndpointStats, second: EndpointStats) -> EndpointStats:
-        """Return the one with fewer own requests in flight; of equals, the second only if clearly faster."""
+        """Return the one with fewer requests in flight; if equal, the second only if it is clearly faster."""
         if first.active != second.active:
             return second if second.active < first.active else first
         first_ratio = self._latency.expected_ratio(now_ns, first)
@@ -88,7 +91,10 @@
         return second if second_ratio * DECISIVE_LATENCY_RATIO < first_ratio else first
 
     def _pick_from_all(self, now_ns: int, request: RequestState) -> EndpointStats | None:
-        """Return the least busy of all usable endpoints: the rules may allow only a few for a retry."""
+        """Return the usable endpoint with the fewest requests in flight.
+
+        All usable endpoints are searched, because the rules may allow only a few for a retry.
+        """
         allowed = (
             endpoint
             for endpoint in self._endpoints.usable
--- a/lugtally/balancing/priority.py
+++ b/lugtally/balancing/priority.py
@@ -47,7 +47,10 @@
         self.demand[key] = self.demand.get(key, 0.0) + 1
 
     def relative_priority(self, request: RequestState) -> float:
-        """Return the priority of a request from 0 to 1; that of its class if its tenant has no own one."""
+        """Return the priority of a request, from 0 to 1.
+
+        This is the priority of its tenant in its class; if there is none, the priority of its class.
+        """
         if self._priority_by_key:
             priority = self._priority_by_key.get(TrafficKey(request.class_index, request.tenant_index))
             if priority is not None:
--- a/lugtally/balancing/retry_budget.py
+++ b/lugtally/balancing/retry_budget.py
@@ -24,7 +24,7 @@
 RETRY_AFTER_BASELINES = 2
 """Retry delay that rejected clients are advised, in latency baselines: about when a queue has drained."""
 MIN_RETRY_AFTER_JITTER = 0.5
-"""Lowest random factor of that delay, which varies so that clients do not return all at once."""
+"""Lowest random factor of that delay, which varies so that clients do not all return at the same time."""
 MAX_RETRY_AFTER_JITTER = 1.5
 """Highest random factor of that delay."""
 
@@ -41,7 +41,10 @@
         self._next_advance_ns = 0
 
     def advance(self, now_ns: int) -> None:
-        """Move the window to ``now_ns``; called for each event, of which few are in another second."""
+        """Move the window to ``now_ns``.
+
+        Called for each event.  Most calls are in the same second as the previous one and return early.
+        """
         if now_ns < self._next_advance_ns:
             return
         self._requests.advance(now_ns)
@@ -82,7 +85,7 @@
         return delay_ns if leaves_enough_time else None
 
     def draw_retry_after_ns(self, request: RequestState) -> int:
-        """Return the random retry delay to advise a rejected client; 0: no advice."""
+        """Return the random retry delay to suggest to a rejected client; 0 if none is suggested."""
         if not self._settings.retry_after_allowed:
             return 0
         mean_delay_ns = max(
--- a/lugtally/balancing/settings.py
+++ b/lugtally/balancing/settings.py
@@ -46,7 +46,7 @@
         if isinstance(value, bool) or not isinstance(value, (int, float)):
             continue
         if not value >= 0 or value == inf:
-            raise ValueError(f"{field.name}: {value!r} is not a finite number of at least 0")
+            raise ValueError(f"{field.name}: must be a finite, non-negative number, not {value!r}")
         if field.name in positive and value == 0:
             raise ValueError(f"{field.name}: must be above 0")
 
@@ -88,7 +88,7 @@
 
 @dataclass(slots=True)
 class Tenant:
-    """A tenant, with a quota in requests a second over all balancers together."""
+    """A tenant, with a quota in requests per second over all balancers together."""
 
     name: str = ""
     quota_per_s: float = 0.0
@@ -112,7 +112,7 @@
     """Number of balancers that send to the same endpoints."""
     max_attempts: int = 1
     hedging_allowed: bool = False
-    """Whether a request may have two attempts in flight at once."""
+    """Whether a request may have two attempts in flight at the same time."""
     cancellation_allowed: bool = False
     retry_after_allowed: bool = False
     max_retry_after_ns: int = 0
--- a/lugtally/balancing/sliding_counter.py
+++ b/lugtally/balancing/sliding_counter.py
@@ -17,7 +17,7 @@
         """Number of the newest interval since time 0; 0 also means that the counter has not started."""
 
     def advance(self, now_ns: int) -> None:
-        """Move the window to ``now_ns``; a gap as long as the window clears all buckets at once."""
+        """Move the window to ``now_ns``; a gap as long as the window clears all buckets."""
         interval = now_ns // self._bucket_ns
         newest_interval = self._newest_interval
         if interval == newest_interval and newest_interval:
--- a/lugtally/balancing/slow_start.py
+++ b/lugtally/balancing/slow_start.py
@@ -16,7 +16,7 @@
 
 
 class SlowStart:
-    """Which endpoints are warming up, and the rate at which they may be sent requests meanwhile."""
+    """Which endpoints are warming up, and the rate at which they may be sent requests during the warm-up."""
 
     def __init__(self, settings: Settings, subset: Subset, retry_budget: RetryBudget) -> None:
         self._settings = settings
--- a/lugtally/balancing/subset.py
+++ b/lugtally/balancing/subset.py
@@ -12,13 +12,13 @@
 MIN_BALANCERS_PER_ENDPOINT = 3
 """Minimum number of balancers, on average, whose subsets contain an endpoint."""
 MEMBERS_PER_REQUEST_IN_FLIGHT = 2
-"""Members per own request in flight: about every second member has one request in flight."""
+"""Members for each of this balancer's requests in flight, so that about half of the members have one."""
 IN_FLIGHT_SMOOTHING = 0.3
 """Weight of the newest number of requests in flight in their mean."""
 
 
 class Subset:
-    """The members: as many usable endpoints as needed, in their fixed random order."""
+    """The members: the first usable endpoints in their fixed random order, up to the number needed."""
 
     def __init__(self, settings: Settings, endpoints: EndpointTable, attempts: InFlightAttempts) -> None:
         self._settings = settings
@@ -30,7 +30,7 @@
         """Whether members and weights must be recomputed before the next pick."""
 
     def select_members(self) -> None:
-        """Select the members: more of them while more own requests are in flight."""
+        """Select the members: more of them while more of this balancer's requests are in flight."""
         self.is_outdated = False
         self._mean_in_flight += IN_FLIGHT_SMOOTHING * (len(self._attempts) - self._mean_in_flight)
         usable = self._endpoints.usable
