--- a/lugtally/cli/daemon.py
+++ b/lugtally/cli/daemon.py
@@ -76,7 +76,7 @@
 
 
 def _load_operator_file(path: str) -> OperatorFile:
-    """Load the operator's file.  Its decoder is imported only if there is such a file."""
+    """Load the operator's file.  Its decoder is imported only if the file is given."""
     from lugtally.config import operator_file
 
     return operator_file.load(path)
