--- a/lugtally/config/sidecar.py
+++ b/lugtally/config/sidecar.py
@@ -177,7 +177,7 @@
 def _descriptor_limit(limits: JsonObject) -> int:
     limit = _positive_integer(limits, "sockets", DEFAULT_DESCRIPTOR_LIMIT)
     if limit < MIN_DESCRIPTOR_LIMIT:
-        raise ValueError(f"limits.sockets: must be at least {MIN_DESCRIPTOR_LIMIT}, not {limit}")
+        raise ValueError(f"limits.sockets: must be {MIN_DESCRIPTOR_LIMIT} or more, not {limit}")
     return limit
 
 
