--- a/lugtally/daemon/maintenance.py
+++ b/lugtally/daemon/maintenance.py
@@ -34,7 +34,7 @@
 def _log_timer_lag(loop: EventLoop) -> None:
     """Log the largest delay of a timer since the last call.
 
-    The machine, a garbage collection or a long iteration of the event loop causes such a delay, which also delays
+    The delay is caused by the machine, a garbage collection or a long iteration of the event loop, and also delays
     responses.
     """
     if loop.max_timer_lag_ns > TIMER_LAG_WARNING_NS:
