--- a/lugtally/discovery/client.py
+++ b/lugtally/discovery/client.py
@@ -32,7 +32,7 @@
 class ConnectTimeoutError(OSError):
     """Connecting to discovery timed out.
 
-    This is not a :class:`TimeoutError`, which stands for a missing response: that call is retried at once.
+    This is not a :class:`TimeoutError`, which stands for a missing response: that call is retried immediately.
     """
 
     def __init__(self) -> None:
@@ -60,8 +60,8 @@
         """Return the changes since ``version``, or the full list if there is no version.
 
         Only changes are requested, even after a timeout, a reset or a refused connection.  A full list costs discovery
-        work for each record, and a restarted discovery is called by all sidecars at once.  The full list is needed only
-        if discovery has restarted its versions; it then responds with a lower version.
+        work for each record, and a restarted discovery is called by all sidecars at the same time.  The full list is
+        needed only if discovery has restarted its versions; it then responds with a lower version.
 
         Raises:
             OSError: The call failed, and its retry on a new connection failed if there was one.
--- a/lugtally/discovery/timing.py
+++ b/lugtally/discovery/timing.py
@@ -14,9 +14,9 @@
 """
 
 WATCH_HOLD_MS = 2500
-"""Time for which discovery delays its response while there is no change.  200 sidecars make 80 such calls a second."""
+"""Time for which discovery delays its response while there is no change.  200 sidecars make 80 calls per second."""
 RESPONSE_TIMEOUT_NS = 1000 * NS_PER_MS
-"""Time that a response may take in addition to ``WATCH_HOLD_MS``."""
+"""Timeout of a response after the ``WATCH_HOLD_MS`` for which discovery may delay it."""
 CONNECT_TIMEOUT_NS = 500 * NS_PER_MS
 """Time that connecting to discovery may take."""
 MAX_BACKOFF_NS = 1500 * NS_PER_MS
@@ -25,7 +25,7 @@
 SILENT_DISCOVERY_WORST_CASE_NS = (
     WATCH_HOLD_MS * NS_PER_MS + RESPONSE_TIMEOUT_NS + CONNECT_TIMEOUT_NS + RESPONSE_TIMEOUT_NS
 )
-"""Worst case if discovery stops responding when a call starts: the call times out and is retried at once."""
+"""Worst case if discovery stops responding when a call starts: the call times out and is retried immediately."""
 RETURNING_DISCOVERY_WORST_CASE_NS = CONNECT_TIMEOUT_NS + 2 * (MAX_BACKOFF_NS + CONNECT_TIMEOUT_NS) + RESPONSE_TIMEOUT_NS
 """Worst case if discovery becomes reachable just after the start of a connect that times out.
 
--- a/lugtally/discovery/watcher.py
+++ b/lugtally/discovery/watcher.py
@@ -61,7 +61,7 @@
         if self._task is not None:
             self._loop.interrupt(self._task)
         self._client = DiscoveryClient(self._loop, address, None)
-        self._client.watch_requested.set()  # at once, because a backoff applies to the old discovery only
+        self._client.watch_requested.set()  # without delay, because a backoff applies to the old discovery only
         self._task = self._loop.spawn(self._run_watch, self._client)
 
     # ------------------------------------------------------------ the list
