--- a/lugtally/dispatch/endpoint_registry.py
+++ b/lugtally/dispatch/endpoint_registry.py
@@ -65,7 +65,7 @@
         return [self._effective_endpoint(endpoint) for endpoint in updated]
 
     def all(self) -> list[Endpoint]:
-        """Return the effective endpoints of the whole list."""
+        """Return the effective endpoints of all list entries."""
         return [self._effective_endpoint(endpoint) for endpoint in self._listed.values()]
 
     def was_listed(self, endpoint_id: int) -> bool:
--- a/lugtally/dispatch/fault_recovery.py
+++ b/lugtally/dispatch/fault_recovery.py
@@ -1,6 +1,6 @@
 """Recovery of pending requests after the balancer has raised an exception.
 
-After such a fault, actions of the balancer may be lost, and the balancer may wait for attempts that were never started.
+After an exception, actions of the balancer may be lost, and it may wait for attempts that were never started.
 """
 
 from __future__ import annotations
--- a/lugtally/dispatch/metrics.py
+++ b/lugtally/dispatch/metrics.py
@@ -13,7 +13,8 @@
     Attributes:
         success: Served requests, by class.
         overload: Rejected requests, by class, including those that this sidecar shed.  The client may retry them.
-        error: Failed and invalid requests, by class.
+        error: Failed requests, by class: an endpoint may have processed the request or declined it with a 4xx status,
+            or its streamed response was truncated.  Requests that this sidecar finds invalid are not counted.
         dispatches: Attempts whose last byte was written.
         shed: Requests that this sidecar rejected because it was itself overloaded.
         disconnected: Requests whose client disconnected before the final answer.
