--- a/lugtally/downstream/acceptor.py
+++ b/lugtally/downstream/acceptor.py
@@ -25,7 +25,7 @@
 
 
 class ConnectionAcceptor:
-    """Accepts connections from one listener, and evicts connections to make room for waiting clients."""
+    """Accepts connections from one listener, and evicts connections so that waiting clients can be accepted."""
 
     def __init__(
         self,
@@ -126,7 +126,7 @@
         self._loop.spawn(self._handle_connection, connection)
 
     def _drain_backlog(self, listener: socket.socket, deadline_ns: int) -> None:
-        """Accept all clients in the backlog, each as soon as the limit allows it, until the deadline."""
+        """Accept all clients in the backlog, each when the limit allows it, until the deadline."""
         max_connections = self._max_connections + self._max_connections // DRAIN_EXTRA_CONNECTIONS_DIVISOR
         while self._loop.is_ready(listener.fileno(), READABLE) and self._loop.now() < deadline_ns:
             if len(self._connections) >= max_connections:
--- a/lugtally/downstream/closing.py
+++ b/lugtally/downstream/closing.py
@@ -1,7 +1,7 @@
 """Closes a connection after its last response, without losing the response to a reset.
 
 Closing a socket that has unread bytes, or to which the client still sends, resets the connection.  A reset discards
-the part of the response that the client has not read.  Therefore only the sending side is shut down at first, and the
+what the client has not read of the response.  Therefore only the sending side is shut down at first, and the
 socket is closed later.
 """
 
@@ -27,8 +27,8 @@
 def lingering_close(connection: DownstreamConnection) -> None:
     """Shut down the sending side and give the client time to read the response.
 
-    The caller closes the socket afterwards.  Further input is not read: if it is a request, the end of the stream tells
-    the client that the request was not processed.
+    The caller closes the socket afterwards.  Further input is not read: if it is a request, the client knows from the
+    end of the stream that the request was not processed.
     """
     connection.waiting_since_ns = connection.loop.now()
     connection.transition(TransitionCause.LAST_RESPONSE_COMPLETE)
@@ -78,7 +78,7 @@
     deadline_ns = connection.client_deadline_ns(deadline_ns)
     has_closed, reason = False, WakeReason.READY
     while reason is WakeReason.READY and not has_closed and not connection.evicted:
-        reason = connection.wake_up.wait(deadline_ns)  # may return at once, if the event was set earlier
+        reason = connection.wake_up.wait(deadline_ns)  # returns immediately if the event is already set
         has_closed = loop.is_ready(connection.fd, PEER_CLOSED)
     loop.unregister(connection.fd)
     return has_closed
--- a/lugtally/downstream/connection.py
+++ b/lugtally/downstream/connection.py
@@ -96,7 +96,7 @@
         return self.close_requested_in is self.state
 
     def evict(self) -> None:
-        """Request the close to make room for another client.
+        """Request the close, so that another client can be accepted.
 
         A request that is already complete is still processed, and no response is truncated by a reset.
         """
@@ -105,7 +105,7 @@
         self.wake_up.set()
 
     def close_when_idle(self) -> None:
-        """Request the close as soon as no request is in progress and no further input is available.
+        """Request the close when no request is in progress and no further input is available.
 
         A new connection may still send its first request.  A request that is being received is not affected.
         """
--- a/lugtally/downstream/connection_policy.py
+++ b/lugtally/downstream/connection_policy.py
@@ -43,7 +43,7 @@
 
 
 def may_evict(connection: DownstreamConnection, now_ns: int) -> bool:
-    """Return whether a connection may be closed to make room for another; never while a request is processed."""
+    """Return whether a connection may be closed in favour of another; never while a request is processed."""
     min_wait_ns = _MIN_WAIT_BEFORE_EVICTION_NS.get(connection.state)
     if min_wait_ns is None or connection.close_requested:
         return False
--- a/lugtally/downstream/health.py
+++ b/lugtally/downstream/health.py
@@ -7,7 +7,7 @@
 
 HEALTH_PATH = "/_health"
 MAX_HEALTH_CHECKS_PER_S = 200
-"""How many health checks a second are answered without delay, on all connections together."""
+"""Number of health checks per second that are answered without delay, on all connections together."""
 HEALTH_CHECK_DELAY_NS = 50 * NS_PER_MS
 """Delay of each health check beyond that rate, so that a client in a tight loop cannot use all of the CPU."""
 
--- a/lugtally/downstream/request_reader.py
+++ b/lugtally/downstream/request_reader.py
@@ -41,7 +41,7 @@
         self.connection = connection
         self.arrival = ArrivalBound(connection.loop, connection.connected_after_ns)
         self.queue = RequestQueue()
-        """The requests received after the one in progress, and the received part of the next one."""
+        """The requests received after the one in progress; the last one may be incomplete."""
 
     def read_request(self) -> ReceivedRequest | None:
         """Block until a request is complete and return it; ``None`` if the connection is to be closed.
@@ -55,7 +55,7 @@
             connection.loop.sleep(0)  # let other tasks run before the next pipelined request of this client
         request = self._next_buffered_request()
         # Right after a response ``recv`` would most likely find nothing, so wait for input first.  But if a write
-        # stalled, input may have arrived unnoticed, because the event loop did not watch for it meanwhile.
+        # stalled, input may have arrived unnoticed, because the event loop did not watch for it during the stall.
         wait_first = connection.state is ConnectionState.IDLE and not connection.write_stalled
         connection.write_stalled = False
         if request is None:
--- a/lugtally/downstream/response_stream.py
+++ b/lugtally/downstream/response_stream.py
@@ -19,8 +19,8 @@
 class ResponseStream:
     """The destination of one streamed response.
 
-    A body without a declared length is sent in chunks, so that the client can tell a truncated body from a complete
-    one, and the connection may carry further requests.
+    A body without a declared length is sent in chunks, so that the client can detect a truncated body, and the
+    connection may carry further requests.
 
     The response is buffered while further requests of the client wait behind it: a stream that fails resets the
     connection, and these requests would fail with it.
@@ -57,10 +57,10 @@
         self.hold_until_ns = hold_until_ns
         """Until when the response is buffered; ``None`` once it is being sent."""
         self.started = False
-        """Whether any part of the response may have been sent to the client."""
+        """Whether any byte of the response may have been sent to the client."""
 
     def send(self, data: bytes | memoryview) -> bool:
-        """Send or buffer a part of the body; return false if the response cannot be completed.
+        """Send or buffer some bytes of the body; return false if the response cannot be completed.
 
         That is so if the client disconnected or does not read, or if the buffer is full and the length is unknown.
         """
