--- a/lugtally/eventloop/loop.py
+++ b/lugtally/eventloop/loop.py
@@ -25,7 +25,7 @@
 MAX_POLL_OVERRUN_NS = 10 * NS_PER_MS
 """A poll that returns later than this after its timeout was delayed, and the time of its events is unknown."""
 MIN_BLOCKED_POLL_NS = 100_000
-"""A poll that took at least this long found no descriptor ready at first, and blocked."""
+"""A poll that took this long or longer found no descriptor ready at first, and blocked."""
 MAX_SHORT_TURN_NS = 10 * NS_PER_MS
 """After a longer turn, a poll that seems to have blocked may have been preempted instead."""
 READABLE = select.POLLIN
@@ -49,7 +49,7 @@
         self._previous_poll_ns = 0  # ``last_poll_ns`` of the poll before the last
         self._poll_blocked = False  # whether the last poll found no descriptor ready at first, and blocked
         self.max_timer_lag_ns = 0
-        """Largest delay of a timer after its deadline; whoever reads the value resets it to 0."""
+        """Largest delay of a timer after its deadline.  The code that reads the value resets it to 0."""
 
     now = staticmethod(monotonic_ns)
     wall_clock = staticmethod(wall_clock_ns)
--- a/lugtally/eventloop/timers.py
+++ b/lugtally/eventloop/timers.py
@@ -54,7 +54,7 @@
     def _compact(self) -> None:
         """Remove the entries of finished waiters.
 
-        Most blocking calls end long before their deadline: at thousands of requests a second with deadlines of 8 s,
+        Most blocking calls end long before their deadline: at thousands of requests per second with deadlines of 8 s,
         these entries used 15 MB.  Compacting when they are half of the heap has a constant amortized cost per timer.
         """
         self._heap = [entry for entry in self._heap if not entry[2].done]
@@ -77,7 +77,7 @@
         return None
 
     def pop_due(self, now_ns: int) -> Iterator[ExpiredTimer]:
-        """Remove and yield the timers of blocked waiters whose deadline has come."""
+        """Remove and yield the timers of blocked waiters whose deadline has been reached."""
         heap = self._heap
         while heap and heap[0][0] <= now_ns:
             deadline_ns, _, waiter = heappop(heap)
