--- a/lugtally/http1/body_framing.py
+++ b/lugtally/http1/body_framing.py
@@ -12,7 +12,7 @@
 class BodyFraming:
     """Finds the end of a body in the received bytes, without storing them.
 
-    The framing of a chunked body (sizes and trailers) counts as part of the body.  A body that has no length and is not
+    The framing of a chunked body (sizes and trailers) is included in the body.  A body that has no length and is not
     chunked ends with the connection.
 
     Attributes:
--- a/lugtally/http1/head_parser.py
+++ b/lugtally/http1/head_parser.py
@@ -18,7 +18,7 @@
 
 _REQUEST_LINE = re.compile(r"([!#$%&'*+.^_`|~0-9A-Za-z-]+) ([!-~]+) HTTP/1\.([01])")
 _STATUS_LINE = re.compile(r"HTTP/1\.([01]) ([1-5][0-9][0-9])(?: .*)?")
-# Matches all header lines of a head at once, which is faster than one match per line.
+# One match covers all header lines of a head, which is faster than one match per line.
 _HEADER_LINES = re.compile(rb"(?:\r\n[!#$%&'*+.^_`|~0-9A-Za-z-]+:[^\x00-\x08\x0a-\x1f\x7f]*)*")
 _CONTENT_LENGTH = re.compile(r"[0-9]{1,10}")
 # If one of these headers is repeated, all of its lines count: the first must not hide the others.
--- a/lugtally/http1/parser.py
+++ b/lugtally/http1/parser.py
@@ -44,7 +44,7 @@
             responses: Whether the messages are responses.
             max_body_bytes: Largest body of a message that is returned with its body.
             streams: Whether a 200 response whose body is chunked, has no length or is longer than ``MAX_BODY_BYTES``
-                is returned as soon as its head is complete.  :meth:`detach_body` then returns its body.
+                is returned when its head is complete.  :meth:`detach_body` then returns its body.
         """
         self._responses = responses
         self._max_body_bytes = max_body_bytes
@@ -70,7 +70,7 @@
         """Add received bytes, and return the next message if it is complete.
 
         The bytes may complete several messages: call again with ``b""`` until the result is ``None``.  A streamed
-        response is returned as soon as its head is complete.  Interim responses are skipped.
+        response is returned when its head is complete.  Interim responses are skipped.
 
         Raises:
             ProtocolError: The bytes are not an HTTP message or exceed a limit.
@@ -148,8 +148,8 @@
             self._chunks = None
             return cached.message.copy_response_head()
         message = self._parse_head(end)
-        # Heads of longer, chunked and unbounded bodies are not cached: some parsers stream such a body and others
-        # buffer it, so the parsed message is not the same for both.
+        # Heads of longer, chunked and unbounded bodies are not cached: some parsers stream these bodies and others
+        # buffer them, so the parsed message is not the same for both.
         if 0 <= self._remaining <= MAX_BODY_BYTES:
             _response_heads.add(head, message, self._remaining)
         return message
@@ -181,8 +181,8 @@
         if length == UNTIL_CLOSE:
             message.keep_alive = False
         if message.status < 200 or message.status in (204, 304):
-            # Such a response has no body.  If its headers declare one, the endpoint may send it nevertheless, and it
-            # would be parsed as the next response.
+            # A response with this status has no body.  If its headers declare one, the endpoint may send it
+            # nevertheless, and it would be parsed as the next response.
             message.keep_alive = message.status < 200 or (message.keep_alive and length == 0)
             return 0
         message.streamed = may_stream and not 0 <= length <= MAX_BODY_BYTES
