--- a/lugtally/overload/admission.py
+++ b/lugtally/overload/admission.py
@@ -32,7 +32,7 @@
 MAX_SHED_FRACTION_INCREASE = 0.1
 """Largest increase of the shed fraction in one period."""
 MAX_IDLE_PERIODS = 200
-"""Largest number of periods without requests that are processed at once; the shed fraction is 0 after these."""
+"""Largest number of periods without requests that one call processes; the shed fraction is 0 after these."""
 DECAY_FACTOR = 0.98
 """Factor on the shed fraction in a period whose standing delay, like the one before, is below half of the target."""
 MIN_SHED_FRACTION = 0.001
--- a/lugtally/overload/shedding_order.py
+++ b/lugtally/overload/shedding_order.py
@@ -1,8 +1,8 @@
 """The order in which request classes are shed, and how much of each: idempotent first, non-idempotent last.
 
-Each class occupies a part of the range from 0 to 1 that is as long as its share of the traffic, in shedding order.  The
-shed fraction is a point on this range: classes below the point are shed completely, classes above it are admitted, and
-the class that contains it is shed in part.
+Each class occupies an interval between 0 and 1 whose length is its share of the traffic, in shedding order.  The
+shed fraction is a point between 0 and 1: classes below the point are shed completely, classes above it are admitted,
+and the class that contains it is shed in part.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class TrafficRange(NamedTuple):
-    """The part of the range from 0 to 1 that a class occupies."""
+    """The interval between 0 and 1 that a class occupies."""
 
     low: float
     high: float
