--- a/lugtally/testbed/emulator/discovery_connection.py
+++ b/lugtally/testbed/emulator/discovery_connection.py
@@ -66,7 +66,7 @@
         self._target = b""
 
     def on_url(self, url: bytes) -> None:
-        """Append a part of the request target."""
+        """Append a fragment of the request target."""
         self._target += url
 
     def on_message_complete(self) -> None:
--- a/lugtally/testbed/emulator/endpoint_registry.py
+++ b/lugtally/testbed/emulator/endpoint_registry.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 READY, DRAINING, REMOVED = "ready", "draining", "gone"  # values of ``state`` on the wire
-MAX_CHANGES = 512  # kept in the history; a caller with an older version gets the full list
+MAX_CHANGES = 512  # in the history; a caller with an older version gets the full list
 
 
 @dataclass(frozen=True, slots=True)
--- a/lugtally/testbed/emulator/fault_injector.py
+++ b/lugtally/testbed/emulator/fault_injector.py
@@ -17,7 +17,7 @@
 class FaultInjector:
     """Begins and ends the scheduled faults of the servers and of discovery.
 
-    Faults of the load are part of the drawn arrivals, and the runner applies the faults of sidecars.
+    Faults of the load are included in the drawn arrivals, and the runner applies the faults of sidecars.
     """
 
     def __init__(self, fleet: EmulatedFleet) -> None:
--- a/lugtally/testbed/emulator/listeners.py
+++ b/lugtally/testbed/emulator/listeners.py
@@ -55,7 +55,7 @@
                 self._fillers.append(filler)
 
     def unblock(self) -> None:
-        """Accept connections again.  Connections that were being opened meanwhile complete or are reset."""
+        """Accept connections again.  Connections being opened while the backlog was full complete or are reset."""
         self._close_fillers()
         for sidecar, listener in self._listeners.items():
             self._listen(listener, sidecar)
--- a/lugtally/testbed/emulator/request_processor.py
+++ b/lugtally/testbed/emulator/request_processor.py
@@ -25,7 +25,7 @@
         self._attempts_seen: dict[str, int] = {}  # by request id
 
     def process(self, request: EmulatedRequest, model: ServerModel, now_s: float) -> bool:
-        """Submit a complete request to the model, or respond at once.  Return whether the model changed."""
+        """Submit a complete request to the model, or respond immediately.  Return whether the model changed."""
         if request.is_health_check:
             return self._answer_health_check(request, model, now_s)
         request.attempt.last_byte_at = now_s
--- a/lugtally/testbed/emulator/server_connection.py
+++ b/lugtally/testbed/emulator/server_connection.py
@@ -95,7 +95,7 @@
         self._target, self._headers = b"", {}
 
     def on_url(self, url: bytes) -> None:
-        """Append a part of the request target."""
+        """Append a fragment of the request target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
--- a/lugtally/testbed/emulator/server_model.py
+++ b/lugtally/testbed/emulator/server_model.py
@@ -21,7 +21,7 @@
 
 MAX_STEP_S = 0.05  # longest time for which a changing speed is treated as constant
 MIN_STEP_S = 1e-7  # a step rounded to 0 would never advance the time of the model
-NEGLIGIBLE_WORK = 1e-9  # core-seconds; a request with no more than this left is done
+NEGLIGIBLE_WORK = 1e-9  # core-seconds; a request with this much work left, or less, is done
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
     """
 
     cores: int = 2
-    slots: int = 2  # requests in service at once
+    slots: int = 2  # maximum number of requests in service
     max_queue: int = 76
     speed: float = 1.0
     congestion_threshold: float = 4.0  # requests per core above which the speed falls
@@ -119,7 +119,7 @@
             return 1.0
         progress = age / traits.warm_up_s
         if traits.warms_up_by_work:
-            # Progress is at least linear in time, so that an idle server warms up as well.
+            # Linear progress in time is the minimum, so that an idle server warms up as well.
             progress = max(progress, self.work_done / (traits.warm_up_s * traits.cores * traits.speed))
         return min(1.0, traits.initial_capacity + (1 - traits.initial_capacity) * progress)
 
@@ -154,7 +154,7 @@
         assert now_s >= self.now - NEGLIGIBLE_WORK, "the time must not go backwards"
         self._check_cold_overload(now_s, job)
         if self.silent or self.collapsed:
-            # Such a server sends no responses, and a rejection would be one.
+            # In this state the server sends no responses, and a rejection would be one.
             job.arrived_at = now_s
             self.queue.append(job)
             return Admission.ADMITTED
--- a/lugtally/testbed/loadgen/client.py
+++ b/lugtally/testbed/loadgen/client.py
@@ -48,7 +48,7 @@
         OutgoingAttempt(self._run, record, self._serialize(record), self).start()
 
     def _deadline_at(self) -> float:
-        """Return when the client stops waiting for the whole request, with all its attempts."""
+        """Return when the client stops waiting; the deadline applies to all attempts of the request together."""
         return self._run.start + self._arrival.at + self._request_class.deadline_ms / 1000
 
     def _serialize(self, record: ClientAttempt) -> bytes:
--- a/lugtally/testbed/loadgen/connection.py
+++ b/lugtally/testbed/loadgen/connection.py
@@ -32,7 +32,7 @@
         """Handle the response."""
 
     def on_disconnect(self, received_bytes: bool) -> None:
-        """Handle the loss of the connection; ``received_bytes`` tells whether a part of the response arrived."""
+        """Handle the loss of the connection; ``received_bytes`` is true if any bytes of the response arrived."""
 
     def on_duplicate(self) -> None:
         """Handle bytes that follow the response.  Called at most once."""
@@ -47,7 +47,7 @@
     CONNECTING = auto()
     UNUSED = auto()  # open, no request sent yet
     AWAITING_RESPONSE = auto()  # request sent, no byte of its response received
-    READING_RESPONSE = auto()  # a part of the response received
+    READING_RESPONSE = auto()  # some bytes of the response received, not all
     RESPONSE_COMPLETE = auto()
     ABANDONED = auto()  # closed by the client before the response was complete
     CLOSED = auto()
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True)
 class _Exchange:
-    """A request that was sent on the connection."""
+    """The handler of a request sent over the connection, and whether a duplicate response was reported to it."""
 
     handler: ResponseHandler
     duplicate_reported: bool = False
@@ -152,7 +152,7 @@
                 self._retry_after_s = NO_RETRY_AFTER
 
     def on_body(self, body: bytes) -> None:
-        """Append a part of the body."""
+        """Append a fragment of the body."""
         self._body += body
 
     def on_message_complete(self) -> None:
--- a/lugtally/testbed/loadgen/connection_pool.py
+++ b/lugtally/testbed/loadgen/connection_pool.py
@@ -34,9 +34,9 @@
         self.acquire_new(on_connection)
 
     def acquire_new(self, on_connection: ConnectionCallback) -> None:
-        """Pass a new connection to ``on_connection`` as soon as the maximum allows one."""
+        """Pass a new connection to ``on_connection`` when the maximum allows one."""
         if self._open_count >= self._max_connections:
-            self._waiting.append(on_connection)  # this wait is part of the measured latency
+            self._waiting.append(on_connection)  # the measured latency includes this wait
             return
         self._open_count += 1
         asyncio.get_running_loop().create_task(self._connect(on_connection))
--- a/lugtally/testbed/loadgen/generator.py
+++ b/lugtally/testbed/loadgen/generator.py
@@ -2,7 +2,7 @@
 
 Arrivals are drawn before the run and do not wait for responses.  Latency is measured from the time at which a request
 was due to be sent, so that it includes a stall in full (this avoids coordinated omission; G. Tene, "How not to measure
-latency", 2013).  Retries count as part of the client's first attempt.  The lag of each send is recorded: a run whose
+latency", 2013).  Retries are not counted as separate requests.  The lag of each send is recorded: a run whose
 load generator was late is void.
 
 The argument of the process is the path of a specification.  It prints ``ready``, and on ``go SECONDS`` from standard
@@ -24,7 +24,7 @@
 from lugtally.testbed.scenario.specification import ProcessSpecification, read_specification
 
 DUPLICATE_WAIT_S = 0.3  # after the last attempt, for duplicate responses
-MIN_SLEEP_S = 0.0005  # a request that is due within this time is sent at once
+MIN_SLEEP_S = 0.0005  # a request that is due within this time is sent immediately
 MAX_LAG_WITHOUT_YIELD_S = 0.01  # above this lag, the loop yields to the event loop between arrivals
 FLUSH_INTERVAL_S = 1.0
 PENDING_POLL_S = 0.05
--- a/lugtally/testbed/scenario/scenario.py
+++ b/lugtally/testbed/scenario/scenario.py
@@ -3,7 +3,7 @@
 The keys of the files are stored data: a field whose name differs from its key is listed in the ``rename`` table of its
 struct.
 
-Units are part of the names: ``_s`` seconds, ``_ms`` milliseconds, ``_per_s`` per second; a share is between 0 and 1.  A
+Names include the unit: ``_s`` seconds, ``_ms`` milliseconds, ``_per_s`` per second; a share is between 0 and 1.  A
 value of type :data:`Range` is a number, or a pair ``[lower, upper]`` between which a value is drawn with the seed.
 """
 
@@ -116,7 +116,7 @@
     zones: tuple[str, ...] = ("east", "west")
     zone_skew: Share = 0.5  # share of the servers in the first zone
     cores: Count = 2
-    slots_per_core: Count = 1  # requests in service at once
+    slots_per_core: Count = 1  # maximum number of requests in service per core
     queue_per_core: Count = 38
     speed: Range = Bounds(0.85, 1.1)  # core-seconds of work per second and core, drawn for each run
     speed_cv: NotNegative = 0.1  # coefficient of variation of the speed among the servers
@@ -240,7 +240,7 @@
 
 
 class Expect(Struct, frozen=True, forbid_unknown_fields=True):
-    """Minimum scores of a run that passes.  They are at least 0.05 below the measured ones."""
+    """Minimum scores of a run that passes.  They are 0.05 or more below the measured scores."""
 
     service: Share = 0.0
     worst_class: Share = 0.0
