--- a/lugtally/upstream/idle_connections.py
+++ b/lugtally/upstream/idle_connections.py
@@ -24,7 +24,7 @@
         self._by_endpoint: dict[int, list[UpstreamConnection]] = {}  # the most recently used one is last
 
     def add(self, endpoint_id: int, connection: UpstreamConnection) -> None:
-        """Add a connection, which is closed as soon as bytes are received on it or the endpoint closes it."""
+        """Add a connection, which is closed when bytes are received on it or the endpoint closes it."""
         connections = self._by_endpoint.setdefault(endpoint_id, [])
         insort(connections, connection, key=_idle_since)
         connection.watch(self._loop, lambda _: self._remove_and_close(endpoint_id, connection))
--- a/lugtally/upstream/limits.py
+++ b/lugtally/upstream/limits.py
@@ -46,8 +46,8 @@
 def split_descriptors(max_descriptors: int) -> DescriptorSplit:
     """Split the descriptors of the process between downstream and upstream connections, in the ratio of 4 to 3.
 
-    An eighth of the descriptors, but at least 16, is reserved, because the listener, the calls to discovery and the
-    admin address must work even if both sides use all of their connections.
+    An eighth of the descriptors, with a minimum of 16, is reserved, because the listener, the calls to discovery and
+    the admin address must work even if both sides use all of their connections.
     """
     available = max_descriptors - max(MIN_RESERVED_DESCRIPTORS, max_descriptors // 8)
     downstream = available * 4 // 7
--- a/lugtally/upstream/pool.py
+++ b/lugtally/upstream/pool.py
@@ -81,7 +81,7 @@
         """Make one attempt.  Call this in a separate task; interrupting that task cancels the attempt.
 
         A response with status 200 and a long, chunked or unbounded body is streamed to the sink that ``claim_stream``
-        returns.  Such a response is returned without a body and with ``streamed`` set.  If there is no sink, the
+        returns.  A streamed response is returned without a body and with ``streamed`` set.  If there is no sink, the
         attempt is cancelled.
         """
         try:
