--- a/lugtally/dispatch/dispatcher.py
+++ b/lugtally/dispatch/dispatcher.py
@@ -183,7 +183,7 @@
         elif not handled:
             self._recovery.continue_without_balancer(request)
         else:
-            self._recovery.reject_or_fail_if_stuck(request)
+            self._recovery.reject_or_fail_if_stalled(request)
         return is_final_answer
 
     def client_disconnected(self, request: PendingRequest) -> None:
@@ -255,13 +255,13 @@
             request.awaited_timer = None
         if self._handle_event(balancing.TimerFired(due_timer.timer), request):
             if request is not None:
-                self._recovery.reject_or_fail_if_stuck(request)
+                self._recovery.reject_or_fail_if_stalled(request)
             return
         # The balancer failed.  The timer must not be lost: the balancer sets a periodic timer, such as the poll timer,
         # again only when it fires.
         self._timers.add(now_ns + fault_recovery.FAULT_RETRY_NS, due_timer.timer)
         for pending in list(self._pending.values()):
-            self._recovery.reject_or_fail_if_stuck(pending)
+            self._recovery.reject_or_fail_if_stalled(pending)
 
     def _submit(self, request: PendingRequest) -> None:
         request.submitted = True
@@ -274,7 +274,7 @@
             return
         event = balancing.Request(request.id, request.class_index, request.tenant_index, time_left_ns, request.is_retry)
         if self._handle_event(event, request):
-            self._recovery.reject_or_fail_if_stuck(request)
+            self._recovery.reject_or_fail_if_stalled(request)
         else:
             self._recovery.continue_without_balancer(request)
 
--- a/lugtally/dispatch/fault_recovery.py
+++ b/lugtally/dispatch/fault_recovery.py
@@ -45,11 +45,11 @@
         """
         self.drop_from_balancer(request)
         request.awaited_timer = None
-        self.reject_or_fail_if_stuck(request)
+        self.reject_or_fail_if_stalled(request)
 
-    def reject_or_fail_if_stuck(self, request: PendingRequest) -> None:
+    def reject_or_fail_if_stalled(self, request: PendingRequest) -> None:
         """Finish a request that waits for nothing, if a fault may have lost a decision on it."""
-        if self._balancer.has_failed and request.is_stuck:
+        if self._balancer.has_failed and request.is_stalled:
             self.reject_or_fail(request)
 
     def reject_or_fail(self, request: PendingRequest) -> None:
--- a/lugtally/dispatch/pending_request.py
+++ b/lugtally/dispatch/pending_request.py
@@ -106,7 +106,7 @@
         return any(attempt.may_have_run for attempt in self.attempts)
 
     @property
-    def is_stuck(self) -> bool:
+    def is_stalled(self) -> bool:
         """Whether the request is unfinished, but waits for no attempt, timer or stream that could finish it."""
         return not (self.finished or self.is_streaming or self.in_flight or self.awaited_timer is not None)
 
