--- a/lugtally/daemon/status_socket.py
+++ b/lugtally/daemon/status_socket.py
@@ -22,22 +22,22 @@
 ACCEPT_ERROR_PAUSE_NS = 50 * NS_PER_MS
 """Pause after an error of ``accept``.  Without it, the listener would remain readable and keep the event loop busy."""
 LISTEN_BACKLOG = 4
-TakeSnapshot = Callable[[], dict[str, Any]]
+GetSnapshot = Callable[[], dict[str, Any]]
 """Returns the state of the sidecar as a JSON object."""
 
 
 class StatusSocket:
     """The listening socket.  Each client receives one snapshot, then the connection is closed."""
 
-    def __init__(self, loop: EventLoop, path: str, take_snapshot: TakeSnapshot) -> None:
-        """Listen at ``path``, and call ``take_snapshot`` for each client.
+    def __init__(self, loop: EventLoop, path: str, get_snapshot: GetSnapshot) -> None:
+        """Listen at ``path``, and call ``get_snapshot`` for each client.
 
         Raises:
             StatusSocketError: The path cannot be used, or a file that is not a socket exists there.
         """
         self._loop = loop
         self._path = path
-        self._take_snapshot = take_snapshot
+        self._get_snapshot = get_snapshot
         try:
             _remove_stale_socket(path)
             self._listener = _listen(path)
@@ -80,7 +80,7 @@
 
     def _write_snapshot(self, client: socket.socket) -> None:
         """Write a snapshot.  A client that does not read within ``CLIENT_WRITE_TIMEOUT_NS`` receives a part of it."""
-        data = ujson.dumps(self._take_snapshot(), escape_forward_slashes=False).encode() + b"\n"
+        data = ujson.dumps(self._get_snapshot(), escape_forward_slashes=False).encode() + b"\n"
         send_all(self._loop, client, data, self._loop.now() + CLIENT_WRITE_TIMEOUT_NS)
 
 
