--- a/lugtally/simulator/adapter.py
+++ b/lugtally/simulator/adapter.py
@@ -58,7 +58,7 @@
             raise ValueError("the message name is not a string")
         return False
 
-    def take_reply(self) -> bytes:
+    def pop_reply(self) -> bytes:
         """Return the reply to the batch that has ended, and start an empty one for the next batch."""
         lines, self._reply_lines = [*self._reply_lines, BATCH_END], []
         return "\n".join(lines).encode()
@@ -95,6 +95,6 @@
             print(f"line {line_number}: {type(error).__name__}: {error}", file=error_output)
             return EXIT_MALFORMED_INPUT
         if ended:
-            out.write(adapter.take_reply())
+            out.write(adapter.pop_reply())
             out.flush()
     return 0
