--- a/lugtally/testbed/scenario/specification.py
+++ b/lugtally/testbed/scenario/specification.py
@@ -10,8 +10,8 @@
 from lugtally.testbed.scenario.scenario import Scenario
 
 ID_LENGTH = 16
-ARRIVAL_INDEX_PART = slice(0, 8)  # of a request id: index of the arrival, in hexadecimal
-RUN_SUFFIX_PART = slice(10, 16)  # of a request id: suffix that identifies the run
+ARRIVAL_INDEX_SLICE = slice(0, 8)  # of a request id: index of the arrival, in hexadecimal
+RUN_SUFFIX_SLICE = slice(10, 16)  # of a request id: suffix that identifies the run
 
 
 class ProcessSpecification(Struct, rename={"loopback_block": "block", "event_log_path": "book"}):
@@ -41,9 +41,9 @@
 
 def arrival_index_of(request_id: str, suffix: str) -> int | None:
     """Return the index of the arrival to which an id belongs, None if the id has another suffix."""
-    if len(request_id) != ID_LENGTH or request_id[RUN_SUFFIX_PART] != suffix:
+    if len(request_id) != ID_LENGTH or request_id[RUN_SUFFIX_SLICE] != suffix:
         return None
     try:
-        return int(request_id[ARRIVAL_INDEX_PART], 16)
+        return int(request_id[ARRIVAL_INDEX_SLICE], 16)
     except ValueError:
         return None
