--- a/lugtally/testbed/emulator/server_model.py
+++ b/lugtally/testbed/emulator/server_model.py
@@ -4,7 +4,7 @@
 service share the cores.  The speed of a core is the speed of the server, reduced by congestion, the choke, an
 incomplete warm-up, the connection table and other programs on the machine.  The model treats the speed as constant
 between two calls.  The caller therefore advances it at the time :meth:`ServerModel.next_due`, which is at most
-:data:`MAX_STEP_S` ahead while the speed changes over time.
+:data:`MAX_TIME_STEP_S` ahead while the speed changes over time.
 
 Source: processor sharing and M/M/c in Kleinrock, Queueing Systems I (1975), 3.5 and 4.4.
 """
@@ -19,8 +19,8 @@
 from lugtally.testbed.emulator.cold_overload import ColdOverloadDetector
 from lugtally.testbed.emulator.congestion_choke import CongestionChoke
 
-MAX_STEP_S = 0.05  # longest time for which a changing speed is treated as constant
-MIN_STEP_S = 1e-7  # a step rounded to 0 would never advance the time of the model
+MAX_TIME_STEP_S = 0.05  # longest time for which a changing speed is treated as constant
+MIN_TIME_STEP_S = 1e-7  # a step rounded to 0 would never advance the time of the model
 NEGLIGIBLE_WORK = 1e-9  # core-seconds; a request with this much work left, or less, is done
 
 
@@ -239,11 +239,11 @@
         due = inf
         if speed > 0:
             if self.in_service:
-                due = now_s + max(min(job.remaining for job in self.in_service) / speed, MIN_STEP_S)
+                due = now_s + max(min(job.remaining for job in self.in_service) / speed, MIN_TIME_STEP_S)
             if self.overhead_work > 0:
-                due = min(due, now_s + max(self.overhead_work / speed, MIN_STEP_S))
+                due = min(due, now_s + max(self.overhead_work / speed, MIN_TIME_STEP_S))
         if self.warm_fraction < 1 or self.choke.may_change:
-            due = min(due, now_s + MAX_STEP_S)
+            due = min(due, now_s + MAX_TIME_STEP_S)
         return due
 
     def _fill_slots(self, now_s: float) -> None:
