--- a/lugtally/upstream/__init__.py
+++ b/lugtally/upstream/__init__.py
@@ -12,11 +12,11 @@
     safe_idle_timeout_ns,
     split_descriptors,
 )
-from lugtally.upstream.pool import SETTLE_NS, UpstreamPool
+from lugtally.upstream.pool import MIN_IDLE_BEFORE_REUSE_NS, UpstreamPool
 from lugtally.upstream.streaming import ClaimStream, ResponseSink
 
 __all__ = [
-    "SETTLE_NS",
+    "MIN_IDLE_BEFORE_REUSE_NS",
     "AttemptAborted",
     "ClaimStream",
     "ConnectionLimits",
--- a/lugtally/upstream/pool.py
+++ b/lugtally/upstream/pool.py
@@ -20,7 +20,7 @@
 from lugtally.upstream.load_report import parse_load_report
 from lugtally.upstream.streaming import ClaimStream, stream_response
 
-SETTLE_NS = 8 * NS_PER_MS
+MIN_IDLE_BEFORE_REUSE_NS = 8 * NS_PER_MS
 """How long a connection must be idle, without receiving a byte, before it is reused.
 
 An endpoint may send a duplicate response some milliseconds after the first (up to 3.8 ms later in measurements).  On a
@@ -45,8 +45,8 @@
         self._load_report_fields = load_report_fields
         self._addresses: dict[int, Address] = {}
         self._idle = IdleConnections(loop, self._close)
-        # By endpoint: the settling connection, which an attempt reuses once it has been idle for ``SETTLE_NS``.
-        self._settling: dict[int, UpstreamConnection] = {}
+        # By endpoint: the connection that an attempt reuses once it has been idle for ``MIN_IDLE_BEFORE_REUSE_NS``.
+        self._awaiting_reuse: dict[int, UpstreamConnection] = {}
         self.open_connections = 0
 
     def set_address(self, endpoint_id: int, address: Address) -> None:
@@ -63,8 +63,8 @@
     def close_idle_connections(self, endpoint_id: int) -> None:
         """Close the idle connections to an endpoint, including one that an attempt waits to reuse."""
         self._idle.close_all(endpoint_id)
-        if (settling := self._settling.get(endpoint_id)) is not None:
-            settling.is_retired = True
+        if (awaited := self._awaiting_reuse.get(endpoint_id)) is not None:
+            awaited.is_retired = True
 
     def close_expired(self) -> None:
         """Close the connections whose idle timeout has expired, before their endpoints do."""
@@ -173,18 +173,18 @@
     def _reuse(self, endpoint_id: int, deadline_ns: int) -> UpstreamConnection | None:
         """Return the most recently used idle connection that may be reused, or ``None``.
 
-        This may wait until a connection has settled.
+        This may wait until a connection has been idle for long enough.
         """
         while True:
-            idle_before_ns = self._loop.now() - SETTLE_NS
+            idle_before_ns = self._loop.now() - MIN_IDLE_BEFORE_REUSE_NS
             # At most one attempt waits for each endpoint.  If a second one would have to wait, the request rate needs
             # a new connection.
-            may_wait = endpoint_id not in self._settling
+            may_wait = endpoint_id not in self._awaiting_reuse
             connection = self._idle.pop(endpoint_id, idle_before_ns, or_longest_idle=may_wait)
             if connection is None:
                 return None
             if connection.idle_since_ns > idle_before_ns:
-                self._wait_until_settled(endpoint_id, connection, deadline_ns)
+                self._wait_until_reusable(endpoint_id, connection, deadline_ns)
             if self._may_reuse(connection):
                 return connection
             self._close(connection)
@@ -198,18 +198,18 @@
             connection.idle_since_ns >= self._loop.now() - self._limits.idle_timeout_ns
         )
 
-    def _wait_until_settled(self, endpoint_id: int, connection: UpstreamConnection, deadline_ns: int) -> None:
-        """Wait until the connection has been idle for ``SETTLE_NS`` or a byte is received on it.
+    def _wait_until_reusable(self, endpoint_id: int, connection: UpstreamConnection, deadline_ns: int) -> None:
+        """Wait until the connection has been idle for ``MIN_IDLE_BEFORE_REUSE_NS`` or a byte is received on it.
 
         Waiting costs less than the work that a new connection would cause at the endpoint.
 
         Raises:
             AttemptAborted: The attempt was cancelled.
         """
-        self._settling[endpoint_id] = connection
-        settled_ns = connection.idle_since_ns + SETTLE_NS
-        reason = self._loop.wait(connection.fd, READABLE, min(deadline_ns, settled_ns))
-        del self._settling[endpoint_id]
+        self._awaiting_reuse[endpoint_id] = connection
+        reusable_from_ns = connection.idle_since_ns + MIN_IDLE_BEFORE_REUSE_NS
+        reason = self._loop.wait(connection.fd, READABLE, min(deadline_ns, reusable_from_ns))
+        del self._awaiting_reuse[endpoint_id]
         if reason is WakeReason.INTERRUPTED:
             if self._may_reuse(connection) and is_open_without_input(connection.sock):
                 self._release(endpoint_id, connection)
--- a/tests/dispatch/test_attempts.py
+++ b/tests/dispatch/test_attempts.py
@@ -136,9 +136,9 @@
     sidecar.run(script)
 
 
-def test_second_response_while_settling_is_discarded(sidecar: Sidecar) -> None:
+def test_second_response_before_reuse_is_discarded(sidecar: Sidecar) -> None:
     """In measurements, a second response arrived 0.9 to 3.8 ms after the first."""
-    assert pool.SETTLE_NS >= 5 * NS_PER_MS
+    assert pool.MIN_IDLE_BEFORE_REUSE_NS >= 5 * NS_PER_MS
 
     def script() -> None:
         client = sidecar.client(sidecar.listen_with_one_endpoint())
@@ -147,7 +147,7 @@
         connection.respond(b"first")
         assert client.read().endswith(b"first")
         client.send(request("read", "r1"))
-        sidecar.wait_until(lambda: ENDPOINT_A in sidecar.upstream._settling)
+        sidecar.wait_until(lambda: ENDPOINT_A in sidecar.upstream._awaiting_reuse)
         connection.respond(b"second")
         new_connection = sidecar.server.accept()
         assert new_connection.read_head().startswith("GET /read")
@@ -156,12 +156,12 @@
         assert client.read().endswith(b"third")
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(pool, "SETTLE_NS", 2_000 * NS_PER_MS)
+        patch.setattr(pool, "MIN_IDLE_BEFORE_REUSE_NS", 2_000 * NS_PER_MS)
         sidecar.run(script)
 
 
-def test_second_attempt_opens_connection_while_one_settles(sidecar: Sidecar) -> None:
-    """At most one attempt at an endpoint waits for a settling connection."""
+def test_second_attempt_opens_connection_while_first_waits(sidecar: Sidecar) -> None:
+    """At most one attempt at an endpoint waits to reuse a connection."""
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
@@ -175,15 +175,15 @@
         assert b"200 OK" in first.read()
         assert b"200 OK" in second.read()
         first.send(request("read", "r1"))
-        sidecar.wait_until(lambda: ENDPOINT_A in sidecar.upstream._settling)
+        sidecar.wait_until(lambda: ENDPOINT_A in sidecar.upstream._awaiting_reuse)
         second.send(request("read", "r2"))
         other_connection = sidecar.server.accept_request()
         other_connection.respond()
         assert b"200 OK" in second.read()
-        assert ENDPOINT_A in sidecar.upstream._settling
+        assert ENDPOINT_A in sidecar.upstream._awaiting_reuse
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(pool, "SETTLE_NS", 2_000 * NS_PER_MS)
+        patch.setattr(pool, "MIN_IDLE_BEFORE_REUSE_NS", 2_000 * NS_PER_MS)
         sidecar.run(script)
 
 
--- a/tests/dispatch/test_ended_requests.py
+++ b/tests/dispatch/test_ended_requests.py
@@ -142,16 +142,16 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
-def test_request_is_not_sent_if_client_disconnects_while_settling(
+def test_request_is_not_sent_if_client_leaves_before_reuse(
     how: str, monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar
 ) -> None:
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
         pooled = sidecar.serve(sidecar.client(address))
-        monkeypatch.setattr(pool, "SETTLE_NS", 1_000 * NS_PER_MS)
+        monkeypatch.setattr(pool, "MIN_IDLE_BEFORE_REUSE_NS", 1_000 * NS_PER_MS)
         client = sidecar.client(address)
         client.send(request("read"))
-        sidecar.wait_until(lambda: ENDPOINT_A in sidecar.upstream._settling)
+        sidecar.wait_until(lambda: ENDPOINT_A in sidecar.upstream._awaiting_reuse)
         disconnect(client.sock, how)
         sidecar.wait_until(lambda: not sidecar.dispatcher.in_progress)
         assert not sidecar.loop.is_ready(pooled.sock.fileno(), READABLE)
--- a/tests/upstream/pool_harness.py
+++ b/tests/upstream/pool_harness.py
@@ -59,9 +59,9 @@
     patch.setattr(sidecar.loop, "wait", wait)
 
 
-def change_while_settling(sidecar: Sidecar, patch: pytest.MonkeyPatch, change: Change) -> None:
-    """Call ``change`` when an attempt starts to wait until its connection has settled."""
-    change_at_wait(sidecar, patch, lambda _: ENDPOINT in sidecar.upstream._settling, change)
+def change_while_awaiting_reuse(sidecar: Sidecar, patch: pytest.MonkeyPatch, change: Change) -> None:
+    """Call ``change`` when an attempt starts to wait until its connection may be reused."""
+    change_at_wait(sidecar, patch, lambda _: ENDPOINT in sidecar.upstream._awaiting_reuse, change)
 
 
 def patch_clock(sidecar: Sidecar, patch: pytest.MonkeyPatch) -> Callable[[int], None]:
@@ -77,12 +77,12 @@
 ) -> PeerConnection:
     """Start an attempt and call ``change`` while it waits; return the endpoint's end of its first connection.
 
-    ``waits_for`` is "settling" (the attempt waits until an idle connection has settled) or "connecting" (it waits until
+    ``waits_for`` is "reuse" (the attempt waits until an idle connection may be reused) or "connecting" (it waits until
     a new connection is established).
     """
-    if waits_for == "settling":
+    if waits_for == "reuse":
         peer = open_idle_connections(sidecar, 1)[0]
-        change_while_settling(sidecar, patch, change)
+        change_while_awaiting_reuse(sidecar, patch, change)
         start_attempt(sidecar, results)
         return peer
     change_at_wait(sidecar, patch, lambda poll_events: poll_events != READABLE, change)
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -11,7 +11,7 @@
 from lugtally.eventloop import EventLoop
 from lugtally.http1 import ForwardedRequest, Message
 from lugtally.units import NS_PER_MS
-from lugtally.upstream import SETTLE_NS, ConnectionLimits, UpstreamPool, safe_idle_timeout_ns
+from lugtally.upstream import MIN_IDLE_BEFORE_REUSE_NS, ConnectionLimits, UpstreamPool, safe_idle_timeout_ns
 from tests.sockets import listener
 
 
@@ -108,7 +108,7 @@
             loop.wait(connection.fileno(), 1)
             connection.recv(4096)
             connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n" + body)
-            loop.sleep(int(SETTLE_NS / 5))
+            loop.sleep(int(MIN_IDLE_BEFORE_REUSE_NS / 5))
             connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n" + body)
 
     def attempt_twice() -> None:
--- a/tests/upstream/test_pool_races.py
+++ b/tests/upstream/test_pool_races.py
@@ -21,13 +21,13 @@
     ATTEMPT_TIMEOUT_NS,
     ENDPOINT,
     change_during_attempt,
-    change_while_settling,
+    change_while_awaiting_reuse,
     open_idle_connections,
     patch_clock,
     start_attempt,
 )
 
-LONG_SETTLE_NS = 5 * NS_PER_S
+LONG_MIN_IDLE_NS = 5 * NS_PER_S
 
 
 def pool_descriptor(peer: PeerConnection) -> int:
@@ -58,27 +58,27 @@
 def test_reused_descriptor_keeps_its_new_owner(
     close: Callable[[Sidecar], None], sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The pool closes an idle connection while another one settles; the closed one's descriptor is reused at once.
+    """The pool closes an idle connection while an attempt waits to reuse another one.
 
-    The new owner of the descriptor must still be woken by its events.
+    The descriptor of the closed connection is reused immediately.  Its new owner must still be woken by its events.
     """
-    monkeypatch.setattr(pool, "SETTLE_NS", LONG_SETTLE_NS)
+    monkeypatch.setattr(pool, "MIN_IDLE_BEFORE_REUSE_NS", LONG_MIN_IDLE_NS)
     wake_reasons: list[WakeReason] = []
     results: list[FinishedAttempt] = []
 
     def script() -> None:
-        settling, other = open_idle_connections(sidecar, 2)
+        awaited, other = open_idle_connections(sidecar, 2)
         descriptor = pool_descriptor(other)
         start_attempt(sidecar, results)
-        sidecar.wait_until(lambda: ENDPOINT in sidecar.upstream._settling)
+        sidecar.wait_until(lambda: ENDPOINT in sidecar.upstream._awaiting_reuse)
         new_owner, sender = socket.socketpair()
         close(sidecar)
         os.dup2(new_owner.fileno(), descriptor)  # as if the next socket had got this descriptor
         deadline_ns = sidecar.loop.now() + MAX_WAIT_NS
         sidecar.loop.spawn(lambda: wake_reasons.append(sidecar.loop.wait(descriptor, READABLE, deadline_ns)))
         sidecar.loop.sleep(0)
-        settling.send(b"late")  # makes the attempt use another connection
-        assert settling.read_to_end() == b""
+        awaited.send(b"late")  # makes the attempt use another connection
+        assert awaited.read_to_end() == b""
         sender.send(b"for the new owner")
         sidecar.wait_until(lambda: bool(wake_reasons))
         assert wake_reasons == [WakeReason.READY]
@@ -90,20 +90,20 @@
 
 
 @pytest.mark.parametrize("close", POOL_CHANGES.values(), ids=POOL_CHANGES)
-def test_connection_closed_while_settling_is_counted_once(
+def test_connection_closed_before_reuse_is_counted_once(
     close: Callable[[Sidecar], None], sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(pool, "SETTLE_NS", LONG_SETTLE_NS)
+    monkeypatch.setattr(pool, "MIN_IDLE_BEFORE_REUSE_NS", LONG_MIN_IDLE_NS)
     results: list[FinishedAttempt] = []
 
     def script() -> None:
         peers = open_idle_connections(sidecar, 3)
-        settling = peers[0]
+        awaited = peers[0]
         start_attempt(sidecar, results)
-        sidecar.wait_until(lambda: ENDPOINT in sidecar.upstream._settling)
+        sidecar.wait_until(lambda: ENDPOINT in sidecar.upstream._awaiting_reuse)
         close(sidecar)
-        settling.send(b"late")
-        assert settling.read_to_end() == b""
+        awaited.send(b"late")
+        assert awaited.read_to_end() == b""
         if close is not POOL_CHANGES["endpoint removed"]:
             server = sidecar.second_discovery if close is move_endpoint else sidecar.server
             new = server.accept()
@@ -115,7 +115,7 @@
     assert sidecar.upstream.open_connections == (0 if close is POOL_CHANGES["endpoint removed"] else 1)
 
 
-@pytest.mark.parametrize("waits_for", ["settling", "connecting"])
+@pytest.mark.parametrize("waits_for", ["reuse", "connecting"])
 def test_endpoint_moved_during_wait_gets_request_at_new_address(
     waits_for: str, sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -135,7 +135,7 @@
     assert sidecar.upstream.open_connections == 1
 
 
-@pytest.mark.parametrize("waits_for", ["settling", "connecting"])
+@pytest.mark.parametrize("waits_for", ["reuse", "connecting"])
 def test_endpoint_removed_during_wait_gets_no_request(
     waits_for: str, sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -151,13 +151,13 @@
     assert sidecar.upstream.open_connections == 0
 
 
-def test_closing_idle_connections_closes_a_settling_one(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_closing_idle_connections_closes_one_awaiting_reuse(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> None:
     """The balancer closes idle connections so that the next attempt uses a new connection."""
     results: list[FinishedAttempt] = []
 
     def script() -> None:
         old = change_during_attempt(
-            sidecar, monkeypatch, "settling", lambda: sidecar.upstream.close_idle_connections(ENDPOINT), results
+            sidecar, monkeypatch, "reuse", lambda: sidecar.upstream.close_idle_connections(ENDPOINT), results
         )
         assert old.read_to_end() == b""
         new = sidecar.server.accept_request()
@@ -208,14 +208,14 @@
     assert sidecar.upstream.open_connections == 1
 
 
-def test_connection_expired_while_settling_is_not_used(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connection_expired_while_awaiting_reuse_is_not_used(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> None:
     """The process is suspended while it waits for the connection, which the endpoint may close in the meantime."""
     sidecar.limits.idle_timeout_ns = 2 * NS_PER_S
     advance_clock = patch_clock(sidecar, monkeypatch)
     results: list[FinishedAttempt] = []
 
     def script() -> None:
-        old = change_during_attempt(sidecar, monkeypatch, "settling", lambda: advance_clock(3 * NS_PER_S), results)
+        old = change_during_attempt(sidecar, monkeypatch, "reuse", lambda: advance_clock(3 * NS_PER_S), results)
         assert old.read_to_end() == b""
         new = sidecar.server.accept_request()
         new.respond()
@@ -224,10 +224,8 @@
     sidecar.run(script)
 
 
-def test_bytes_during_interrupted_settling_close_the_connection(
-    sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    monkeypatch.setattr(pool, "SETTLE_NS", LONG_SETTLE_NS)
+def test_bytes_during_interrupted_wait_close_the_connection(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(pool, "MIN_IDLE_BEFORE_REUSE_NS", LONG_MIN_IDLE_NS)
     results: list[FinishedAttempt] = []
     open_connections: list[int] = []
     release = sidecar.upstream._release
@@ -243,7 +241,7 @@
             release(*arguments)
             open_connections.append(sidecar.upstream.open_connections)
 
-        change_while_settling(sidecar, monkeypatch, send_late_and_interrupt)
+        change_while_awaiting_reuse(sidecar, monkeypatch, send_late_and_interrupt)
         monkeypatch.setattr(sidecar.upstream, "_release", release_and_count)
         task = start_attempt(sidecar, results)
         sidecar.wait_until(lambda: bool(results))
@@ -288,9 +286,9 @@
     assert sidecar.upstream.open_connections == 0
 
 
-def test_settling_connection_is_not_evicted_at_pool_limit(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connection_awaiting_reuse_is_not_evicted_at_limit(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> None:
     """The longest idle connection is closed instead; if there is none, the attempt gets no descriptor."""
-    monkeypatch.setattr(pool, "SETTLE_NS", LONG_SETTLE_NS)
+    monkeypatch.setattr(pool, "MIN_IDLE_BEFORE_REUSE_NS", LONG_MIN_IDLE_NS)
     sidecar.limits.max_connections = 2
     other_endpoint = ENDPOINT + 1
     sidecar.upstream.set_address(other_endpoint, sidecar.second_discovery.address)
@@ -303,16 +301,16 @@
         outcomes_at_other.append(sidecar.upstream.execute_attempt(other_endpoint, request, deadline_ns).outcome.name)
 
     def script() -> None:
-        settling, idle = open_idle_connections(sidecar, 2)
+        awaited, idle = open_idle_connections(sidecar, 2)
         start_attempt(sidecar, results)
-        sidecar.wait_until(lambda: ENDPOINT in sidecar.upstream._settling)
+        sidecar.wait_until(lambda: ENDPOINT in sidecar.upstream._awaiting_reuse)
         sidecar.loop.spawn(attempt_at_other)
         peer = sidecar.second_discovery.accept_request()
         assert idle.read_to_end() == b""
         sidecar.loop.spawn(attempt_at_other)
         sidecar.wait_until(lambda: outcomes_at_other == ["NO_DESCRIPTOR"])
         assert sidecar.upstream.open_connections == 2
-        assert not sidecar.loop.is_ready(settling.sock.fileno(), READABLE)
+        assert not sidecar.loop.is_ready(awaited.sock.fileno(), READABLE)
         peer.respond()
         sidecar.wait_until(lambda: outcomes_at_other == ["NO_DESCRIPTOR", "SERVED"])
 
--- a/tests/upstream/test_pool_random.py
+++ b/tests/upstream/test_pool_random.py
@@ -76,7 +76,7 @@
             connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             return False
         connection.sendall({"twice": response * 2, "truncated": response[:-1]}.get(behaviour, response))
-        if behaviour == "late byte":  # arrives while the connection settles, and is no valid response
+        if behaviour == "late byte":  # arrives before the connection is reused, and is no valid response
             self.sidecar.loop.sleep(self.rng.randrange(4) * NS_PER_MS)
             return connection.send(b"x") == 1
         return behaviour not in ("truncated", "end")
@@ -140,7 +140,7 @@
         for echo_server in echo_servers:
             echo_server.stopped = True
         assert 0 <= sidecar.upstream.open_connections <= MAX_CONNECTIONS
-        assert not sidecar.upstream._settling
+        assert not sidecar.upstream._awaiting_reuse
         for endpoint_id in ENDPOINT_IDS:
             sidecar.upstream.remove(endpoint_id)
         assert sidecar.upstream.open_connections == 0, "a closed connection is still counted"
