--- a/tests/balancing/congested_fleet.py
+++ b/tests/balancing/congested_fleet.py
@@ -68,7 +68,7 @@
 
 
 def capacity(servers: int, server_traits: tuple[ServerTraits, ...] = SERVER_TRAITS) -> float:
-    """Return the requests a second that the servers can process with the mix of classes in ``CLASS_SHARES``."""
+    """Return the requests per second that the servers can process with the mix of classes in ``CLASS_SHARES``."""
     traits_by_server = [server_traits[number % len(server_traits)] for number in range(1, servers + 1)]
     speed = sum(traits.speed * traits.cores for traits in traits_by_server)
     return speed / sum(work * share for work, share in zip(WORK_S, CLASS_SHARES, strict=True))
@@ -135,7 +135,7 @@
 class SlowdownResult(NamedTuple):
     """How many servers choked in one simulation, and what share of the requests was served."""
 
-    max_choked: int  # most servers choked at once
+    max_choked: int  # the highest number of servers that choked at the same time
     choked_server_seconds: int
     served_share: float
 
--- a/tests/balancing/fleet_records.py
+++ b/tests/balancing/fleet_records.py
@@ -27,7 +27,7 @@
     balancing: balancing.Settings
     sidecars: int
     servers: int
-    request_rate: float  # requests a second, all sidecars together
+    request_rate: float  # requests per second, all sidecars together
     work_s: tuple[float, ...]  # mean CPU seconds of one core, by class
     class_shares: tuple[float, ...] = (1.0,)
     tenant_shares: tuple[float, ...] = (1.0,)
--- a/tests/balancing/harness.py
+++ b/tests/balancing/harness.py
@@ -137,8 +137,8 @@
             self._check_send(action)
         elif isinstance(action, balancing.RejectRequest | balancing.FailRequest):
             request = self.requests[action.request_id]
-            assert not request.finished, "a second final answer"
-            assert not request.streaming, "a second final answer"
+            assert not request.finished, "a final answer to a finished request"
+            assert not request.streaming, "a final answer although a response is being streamed"
             assert self.now_ns <= request.deadline_ns + 20 * NS_PER_MS, "a late final answer"
             request.finished, request.final_answers = True, request.final_answers + 1
             if isinstance(action, balancing.RejectRequest):
@@ -244,7 +244,7 @@
 
 
 def leave_unanswered_on_idle_connections(harness: BalancerHarness) -> None:
-    """Let two consecutive requests get no response on connections that were idle for a second."""
+    """Let two consecutive requests get no response on connections that were idle for 1 s."""
     serve_requests(harness, 60)
     harness.pass_time(NS_PER_S)
     for number in range(2):
--- a/tests/balancing/test_fleet.py
+++ b/tests/balancing/test_fleet.py
@@ -36,7 +36,8 @@
     """Cold servers get between 50% and 85% of what the slow-start ramp allows, and none collapses."""
     fleet = make_fleet(sidecars, servers)
     fleet.run(10 * NS_PER_S)
-    warm_rate = mean(len(server.send_times_ns) for server in fleet.servers.values()) / 10  # requests a second at one
+    # The mean requests per second at each server.
+    warm_rate = mean(len(server.send_times_ns) for server in fleet.servers.values()) / 10
     replaced_count = servers * 3 // 10
     new = range(1001, 1001 + replaced_count)
     fleet.replace(list(range(1, replaced_count + 1)), list(new))
@@ -94,7 +95,7 @@
 def test_small_burst_at_a_quiet_sidecar_is_admitted() -> None:
     """A sidecar with two requests in flight on average admits a burst of seven."""
     harness = start_harness(make_settings(IDEMPOTENT, fleet_size=40, max_attempts=1), make_endpoints(60))
-    for number in range(80):  # twenty a second, each answered after 100 ms: two in flight
+    for number in range(80):  # twenty per second, each answered after 100 ms: two in flight
         harness.send_request(f"quiet{number}")
         harness.pass_time(50 * NS_PER_MS)
         if number:
--- a/tests/balancing/test_outlier_detection.py
+++ b/tests/balancing/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Tests of outlier detection: which failures eject a server, for how long, and how many at once."""
+"""Tests of outlier detection: which failures eject a server, for how long, and how many at the same time."""
 
 from __future__ import annotations
 
@@ -73,7 +73,7 @@
         for attempt in harness.requests[f"good{number}"].attempts:
             harness.balancer.endpoints.by_id[attempt.endpoint_id].last_response_ns = harness.now_ns
         for name in [f"late{number}"]:
-            for attempt in harness.requests[name].attempts:  # its server responds to another request meanwhile
+            for attempt in harness.requests[name].attempts:  # its server responds to another request in the meantime
                 harness.balancer.endpoints.by_id[attempt.endpoint_id].last_response_ns = harness.now_ns
         harness.pass_time(60 * NS_PER_MS)
     assert not any(endpoint.ejected_until_ns > harness.now_ns for endpoint in harness.balancer.subset.members)
--- a/tests/balancing/test_picker.py
+++ b/tests/balancing/test_picker.py
@@ -75,7 +75,7 @@
 
 
 def test_pick_uses_other_zones_when_own_zone_is_full() -> None:
-    """The own zone is no longer preferred once its servers have many requests in flight."""
+    """The balancer's zone is no longer preferred when the servers in it have many requests in flight."""
     harness = start_harness(make_settings(IDEMPOTENT, cross_zone_cost=0.1, fleet_size=1), make_endpoints(12))
     for number in range(20):
         harness.send_request(f"a{number}")
--- a/tests/balancing/test_rules.py
+++ b/tests/balancing/test_rules.py
@@ -211,7 +211,7 @@
 
 
 def test_may_send_to_requires_ready_server_and_open_request() -> None:
-    """The rule must not rely on the picker, which never passes it such a server or request."""
+    """The rule must not rely on the picker, which never passes it a draining or removed server, or an ended request."""
     harness = start_harness(make_settings(), make_endpoints(4))
     harness.send_request("a")
     balancer = harness.balancer
