--- a/tests/discovery/test_discovery_failures.py
+++ b/tests/discovery/test_discovery_failures.py
@@ -1,8 +1,8 @@
 """Failures of discovery: lost watches, failed calls, and a move to another discovery during a backoff.
 
-A change must arrive within 6 s after discovery has it and is reachable.  The scripted balancer never requests a second
-call, so that a call that follows at once is a retry of the watcher.  The backoff of the real balancer is tested without
-sockets.
+A change must arrive within 6 s after discovery has it and is reachable.  The scripted balancer never requests another
+call, so that a call that follows immediately is a retry of the watcher.  The backoff of the real balancer is tested
+without sockets.
 """
 
 from __future__ import annotations
