--- a/tests/dispatch/streaming.py
+++ b/tests/dispatch/streaming.py
@@ -67,7 +67,7 @@
 
 
 def read_remaining(client: PeerConnection, received: bytes) -> ReceivedResponse:
-    """Read until the connection ends; return the whole response, which begins with ``received``."""
+    """Read until the connection ends; return the complete response, which begins with ``received``."""
     if BUFFERED_LENGTH_HEADER in received:
         client.sock.shutdown(socket.SHUT_WR)  # a buffered response leaves the connection open
     rest = read_response(client)
@@ -105,7 +105,7 @@
 
 
 def hedge_each_request(event: balancing.Event) -> list[balancing.Action]:
-    """Start two attempts of each request at once; fail the request if the second one ends and neither was served."""
+    """Start two attempts of each request together; fail the request if the second one ends and neither was served."""
     if isinstance(event, balancing.Request):
         return [balancing.SendAttempt(event.id, ENDPOINT_A, event.time_left_ns)] * 2
     if isinstance(event, balancing.AttemptFinished) and event.attempt == 1 and not event.request_finished:
@@ -150,7 +150,7 @@
         self.sidecar.wait_until(lambda: len(self.sidecar.balancer.attempt_results()) >= count)
 
     def response(self) -> ReceivedResponse:
-        """Read the rest of the response from the client's connection; return the whole response."""
+        """Read the rest of the response from the client's connection; return the complete response."""
         received = self.received or read_response(self.client, 1).data
         return read_remaining(self.client, received)
 
--- a/tests/dispatch/test_balancer_faults.py
+++ b/tests/dispatch/test_balancer_faults.py
@@ -59,7 +59,7 @@
         assert self.loop.now() - started_ns < TIME_LEFT_NS, "the request was not answered before its deadline"
 
     def dropped_requests(self) -> list[str]:
-        """Return the ids of the requests that the balancer was told to drop."""
+        """Return the ids of the requests that a ``ClientDisconnected`` event made the balancer drop."""
         return [event.request_id for event in self.balancer.events if isinstance(event, balancing.ClientDisconnected)]
 
 
--- a/tests/dispatch/test_dispatcher.py
+++ b/tests/dispatch/test_dispatcher.py
@@ -115,7 +115,7 @@
 
 
 def test_attempt_deadline_is_limited_by_its_request(loop: EventLoop, dispatcher: dispatch.Dispatcher) -> None:
-    """Otherwise the timeout that is sent to the endpoint would exceed the time that the client has left."""
+    """Otherwise the timeout that is sent to the endpoint would exceed the client's remaining time."""
 
     def work() -> None:
         pending = dispatch.PendingRequest(loop, 0, loop.now() + 5000 * NS_PER_MS, False, lambda _: None)
--- a/tests/dispatch/test_ended_requests.py
+++ b/tests/dispatch/test_ended_requests.py
@@ -16,7 +16,7 @@
 from tests.fakes import ENDPOINT_A, MAX_WAIT_NS, PeerConnection, Sidecar, disconnect, request
 
 EXCESSIVE_TIMEOUT_NS = 9 * NS_PER_S
-"""The timeout that the balancer gives each attempt in these tests, which is much longer than its request has left."""
+"""The timeout that the balancer gives each attempt in these tests: much longer than its request's remaining time."""
 NOT_STARTED = [balancing.AttemptResult.NEVER_SENT]
 
 
--- a/tests/dispatch/test_hedged_streams.py
+++ b/tests/dispatch/test_hedged_streams.py
@@ -228,7 +228,7 @@
 
 
 def test_partly_written_stream_head_resets_the_client(sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The other attempt's response must not follow, because part of the first head may have been sent."""
+    """The other attempt's response must not follow, because some bytes of the first head may have been sent."""
     write = DownstreamConnection.write
 
     def write_partly_and_fail(self: DownstreamConnection, data: bytes | memoryview) -> bool:
