--- a/tests/downstream/test_arrival.py
+++ b/tests/downstream/test_arrival.py
@@ -47,7 +47,7 @@
             sidecar.serve(client)
         sidecar.loop.sleep(2 * NS_PER_MS)
         client.send(short_request("late"))
-        time.sleep(STALL_S)  # blocks the whole process
+        time.sleep(STALL_S)  # blocks the process, including its event loop
         assert client.read().startswith(b"HTTP/1.1 503")
         assert sidecar.server.is_idle()
 
@@ -86,7 +86,7 @@
 
 
 def test_deadline_counts_from_arrival_in_backlog() -> None:
-    """The limit is one client connection; the first client uses it for longer than the second request has left."""
+    """The limit is one client connection; the first client uses it until after the second request's deadline."""
     sidecar = Sidecar(max_clients=1)
 
     def script() -> None:
@@ -179,7 +179,7 @@
 def test_non_empty_backlog_sets_no_arrival_time() -> None:
     """The limit is one client connection: others wait in the backlog when a poll that seems to have blocked reports it.
 
-    The time of such a poll must not be taken for the arrival of their requests.
+    The time of that poll must not be taken for the arrival of their requests.
     """
     sidecar = Sidecar(max_clients=1)
 
--- a/tests/downstream/test_closing.py
+++ b/tests/downstream/test_closing.py
@@ -1,4 +1,4 @@
-"""Races when a client connection is closed: a request arrives meanwhile, or the client has not read its response."""
+"""Races at the close of a client connection: a request arrives, or the client has not read its response."""
 
 from __future__ import annotations
 
--- a/tests/downstream/test_pipelines.py
+++ b/tests/downstream/test_pipelines.py
@@ -266,7 +266,7 @@
 
 @pytest.mark.parametrize("reason", ["draining", "unknown class"])
 def test_request_after_last_response_is_not_read(reason: str, sidecar: Sidecar) -> None:
-    """Unread bytes tell the client that its request was not processed."""
+    """Unread bytes show the client that its request was not processed."""
     sidecar.keep_running_after_shutdown()
 
     def script() -> None:
--- a/tests/downstream/test_shutdown.py
+++ b/tests/downstream/test_shutdown.py
@@ -278,7 +278,7 @@
     "sends a request slowly": b"GET /read HTTP/1.1\r\nX-Fill: ",
     "sends after a malformed request": b"what\r\n\r\n",
 }
-"""The first bytes of clients that prevent the shutdown from ending at once."""
+"""The first bytes of clients that prevent the shutdown from ending immediately."""
 
 
 def send_if_possible(connection: PeerConnection, data: bytes) -> None:
