--- a/tests/eventloop/test_loop.py
+++ b/tests/eventloop/test_loop.py
@@ -45,7 +45,7 @@
 
 
 def test_timers_of_finished_waits_are_removed(loop: EventLoop) -> None:
-    """Regression: at thousands of requests a second with deadlines of 8 s, these timers used 15 MB."""
+    """Regression: at thousands of requests per second with deadlines of 8 s, these timers used 15 MB."""
     event = Event(loop)
     reasons: list[WakeReason] = []
 
