--- a/tests/http1/test_parser.py
+++ b/tests/http1/test_parser.py
@@ -45,7 +45,7 @@
 @example([b"X A: v"])
 @example([b""])
 def test_header_lines_match_the_line_by_line_oracle(lines: list[bytes]) -> None:
-    """The parser matches all lines at once; it must accept the same lines as the oracle."""
+    """The parser matches all lines with one expression; it must accept the same lines as the oracle."""
     data = b"\r\n".join([REQUEST_LINE, *lines]) + b"\r\n\r\n"
     if data.index(b"\r\n\r\n") < len(data) - 4 or b"\r\n" in b"|".join(lines) or b"\n\n" in data:
         return  # the generated lines contain a line end: the head would end early, or have other lines
