--- a/tests/overload/test_admission.py
+++ b/tests/overload/test_admission.py
@@ -76,7 +76,7 @@
     still_delayed = send_requests(admission, delayed.end_ns, 1500 * NS_PER_MS, 60 * NS_PER_MS)
     assert sum(still_delayed.admitted[READ][-200:]) == 0
     assert admission.shed_fraction <= OverloadLimits().max_shed_fraction
-    # All requests are admitted again within a second after the delay has ended.
+    # All requests are admitted again within 1 s after the delay has ended.
     recovering = send_requests(admission, still_delayed.end_ns, 1000 * NS_PER_MS, 0)
     recovered = send_requests(admission, recovering.end_ns, 100 * NS_PER_MS, 0)
     assert all(all(class_admitted) for class_admitted in recovered.admitted)
