--- a/tests/upstream/test_pool_races.py
+++ b/tests/upstream/test_pool_races.py
@@ -58,7 +58,7 @@
 def test_reused_descriptor_keeps_its_new_owner(
     close: Callable[[Sidecar], None], sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The pool closes an idle connection while another one settles; the closed one's descriptor is reused at once.
+    """The pool closes an idle connection while another one settles; the closed one's descriptor is reused immediately.
 
     The new owner of the descriptor must still be woken by its events.
     """
--- a/tests/upstream/test_request_writing.py
+++ b/tests/upstream/test_request_writing.py
@@ -79,7 +79,7 @@
 def test_write_stops_at_deadline(
     message: Message, sidecar: Sidecar, started_writes: list[bool], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The process is suspended until after the deadline while it waits to write, and the endpoint reads meanwhile."""
+    """The process is suspended until after the deadline while it waits to write; the endpoint reads in this time."""
     advance_clock = patch_clock(sidecar, monkeypatch)
     results: list[FinishedAttempt] = []
     peers: list[PeerConnection] = []
