--- a/tests/upstream/test_unexpected_responses.py
+++ b/tests/upstream/test_unexpected_responses.py
@@ -76,9 +76,9 @@
     assert sidecar.upstream.open_connections == 0
 
 
-@pytest.mark.parametrize("ending", ["stays open", "closes", "half-closes"])
+@pytest.mark.parametrize("close_mode", ["stays open", "closes", "half-closes"])
 def test_response_before_end_of_request_is_malformed(
-    ending: str, sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
+    close_mode: str, sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The attempt counts as possibly processed, and it does not wait for its deadline."""
     results: list[FinishedAttempt] = []
@@ -87,9 +87,9 @@
     def respond() -> None:
         peers.append(PeerConnection(sidecar.loop, sidecar.server.sock.accept()[0]))
         peers[0].send(STALE_RESPONSE)
-        if ending == "closes":
+        if close_mode == "closes":
             peers[0].sock.close()  # there are unread bytes, so that the kernel sends a reset
-        elif ending == "half-closes":
+        elif close_mode == "half-closes":
             peers[0].sock.shutdown(socket.SHUT_WR)
 
     def script() -> None:
