--- a/tests/balancing/test_rules_random.py
+++ b/tests/balancing/test_rules_random.py
@@ -214,9 +214,7 @@
     next_arrivals_s: list[float] = [random.expovariate(each_rate) for each_rate in rates]
     listed_ns = harnesses[0].now_ns + 6 * NS_PER_S
     started_ns = listed_ns - age_s * NS_PER_S
-    cold_endpoints = [
-        replace(endpoint, started_ns=started_ns) if endpoint.id == 1 else endpoint for endpoint in make_endpoints(12)
-    ]
+    cold_endpoints = [replace(each, started_ns=started_ns) if each.id == 1 else each for each in make_endpoints(12)]
     for harness in harnesses:
         harness.feed(
             balancing.EndpointUpdate(
@@ -235,10 +233,7 @@
             harness.now_ns += 5 * NS_PER_MS
     since_ns = started_ns if restarted else listed_ns
     send_times = sorted(
-        sent_ns
-        for harness in harnesses
-        for sent_ns, endpoint_id in harness.sends
-        if endpoint_id == 1 and sent_ns >= since_ns
+        sent_ns for each in harnesses for sent_ns, endpoint_id in each.sends if endpoint_id == 1 and sent_ns >= since_ns
     )
     for window_start_ns in send_times:
         sends = sum(window_start_ns <= sent_ns < window_start_ns + 2 * NS_PER_S for sent_ns in send_times)
