--- a/tests/admin/test_drain_store.py
+++ b/tests/admin/test_drain_store.py
@@ -32,7 +32,7 @@
     assert store.path.with_suffix(".bad").read_bytes() == data
 
 
-def test_read_returns_names_only_after_another_process_changed_the_file(store: DrainStore, tmp_path: Path) -> None:
+def test_read_returns_names_only_after_an_external_change(store: DrainStore, tmp_path: Path) -> None:
     other_store = DrainStore(str(tmp_path), "n1")
     assert store.read() is None
     assert store.write({"s-1"})
