--- a/tests/admin/test_operator_drains.py
+++ b/tests/admin/test_operator_drains.py
@@ -78,7 +78,7 @@
     assert dispatcher.disabled_count() == 0
 
 
-def test_operator_drain_applies_once_the_endpoint_is_listed(policy: RecordingPolicy, dispatcher: Dispatcher) -> None:
+def test_operator_drain_applies_when_the_endpoint_is_listed(policy: RecordingPolicy, dispatcher: Dispatcher) -> None:
     dispatcher.start_drain(3)  # as when the drain file is read before the first endpoint list
     assert not policy.updates
     assert not dispatcher.was_listed(3)
