--- a/tests/balancing/test_retries.py
+++ b/tests/balancing/test_retries.py
@@ -72,7 +72,7 @@
     assert harness.requests["a"].finished
 
 
-def test_retry_budget_is_a_tenth_of_requests_and_at_least_one() -> None:
+def test_retry_budget_is_ten_percent_with_a_minimum_of_one() -> None:
     harness = start_harness(make_settings(), make_endpoints(12))
     retried = 0
     for number in range(60):
