--- a/tests/balancing/test_retries.py
+++ b/tests/balancing/test_retries.py
@@ -61,7 +61,7 @@
     assert max(late) <= 200 * NS_PER_MS
 
 
-def test_request_gets_three_retries_at_most() -> None:
+def test_retries_of_a_request_are_limited_to_three() -> None:
     harness = start_harness(make_settings(max_attempts=9), make_endpoints(12))
     serve_requests(harness, 100, gap_ns=5 * NS_PER_MS)
     harness.send_request("a", time_left_ns=10 * NS_PER_S)
