--- a/tests/balancing/test_outlier_detection.py
+++ b/tests/balancing/test_outlier_detection.py
@@ -35,7 +35,7 @@
     assert any(endpoint_id == 3 for sent_ns, endpoint_id in harness.sends if sent_ns > harness.now_ns - 20 * NS_PER_S)
 
 
-def test_repeated_ejection_lasts_five_seconds_at_most() -> None:
+def test_repeated_ejection_is_limited_to_five_seconds() -> None:
     """An ejection lasts 5 s at most, however often the server was ejected before."""
     harness = start_harness(make_settings(max_attempts=1), make_endpoints(10))
     endpoint = harness.balancer.subset.members[0]
