--- a/tests/balancing/test_endpoint_list.py
+++ b/tests/balancing/test_endpoint_list.py
@@ -7,7 +7,7 @@
 from tests.balancing.harness import make_endpoints, make_settings, start_harness
 
 
-def test_request_without_usable_endpoint_is_rejected_at_once() -> None:
+def test_no_usable_endpoint_rejects_request_immediately() -> None:
     for servers in ([], make_endpoints(3, state=balancing.EndpointState.DRAINING)):
         harness = start_harness(make_settings(), servers)
         assert [type(action) for action in harness.send_request("a")] == [balancing.RejectRequest]
