--- a/tests/balancing/test_policy_modules.py
+++ b/tests/balancing/test_policy_modules.py
@@ -11,7 +11,7 @@
 MODULES = sorted(BALANCING.glob("*.py"))
 
 
-def test_policy_lists_each_deciding_module_once() -> None:
+def test_policy_lists_exactly_the_deciding_modules() -> None:
     deciding = [path for path in MODULES if path.stem not in VALUE_MODULES]
     assert policy_names() == [str(path.relative_to(ROOT)) for path in deciding]
 
