--- a/tests/overload/test_admission.py
+++ b/tests/overload/test_admission.py
@@ -90,7 +90,7 @@
     assert admission.check(0, READ, 0, 0, 0.0) is None, "the typical duration is unknown"
 
 
-def test_memory_or_descriptors_near_limit_shed_every_request(admission: AdmissionController) -> None:
+def test_high_memory_or_descriptor_use_sheds_every_request(admission: AdmissionController) -> None:
     admission.record_usage(ResourceUsage(0.1, 0.91, 0.1))
     assert admission.check(0, RECEIPT, TIME_LEFT_NS, 0, 0.0) is ShedReason.MEMORY
     assert admission.is_shedding
