--- a/tests/discovery/test_discovery_failures.py
+++ b/tests/discovery/test_discovery_failures.py
@@ -65,7 +65,7 @@
         pytest.param(2, respond_partly_and_close, id="truncated response"),
     ],
 )
-def test_lost_watch_is_retried_at_once(version: int, fail: Failure, sidecar: Sidecar) -> None:
+def test_lost_watch_is_retried_immediately(version: int, fail: Failure, sidecar: Sidecar) -> None:
     """The balancer receives no failure, and the retry requests the changes since the same version."""
 
     def script() -> None:
