--- a/tests/discovery/test_discovery_failures.py
+++ b/tests/discovery/test_discovery_failures.py
@@ -139,7 +139,7 @@
 
 @pytest.mark.usefixtures("short_timeouts")
 @pytest.mark.parametrize("make_unreachable", [refuse_connections, fill_backlog])
-def test_unreachable_discovery_is_reported_once(
+def test_unreachable_discovery_causes_one_failed_update(
     make_unreachable: Callable[[Sidecar], list[PeerConnection]], sidecar: Sidecar
 ) -> None:
     def script() -> None:
