--- a/tests/discovery/test_discovery_failures.py
+++ b/tests/discovery/test_discovery_failures.py
@@ -172,7 +172,7 @@
 
 
 @pytest.mark.usefixtures("short_timeouts")
-def test_move_during_backoff_polls_the_new_discovery_at_once(sidecar: Sidecar) -> None:
+def test_move_during_backoff_polls_new_discovery_immediately(sidecar: Sidecar) -> None:
     """A timer of the old backoff must not shorten a later backoff of the new discovery."""
 
     def script() -> None:
