--- a/tests/discovery/test_endpoint_lists.py
+++ b/tests/discovery/test_endpoint_lists.py
@@ -134,7 +134,7 @@
     assert sidecar.balancer.endpoint_updates()[-1] == ("delta", {ENDPOINT_B: "draining"})
 
 
-def test_endpoints_of_unknown_cell_or_zone_share_no_deduplication_scope() -> None:
+def test_unknown_cells_or_zones_share_no_deduplication_scope() -> None:
     """A retry with an idempotency key must not go to an endpoint that may not know the first attempt."""
     raw_records = [{"id": name, "addr": "127.0.0.1:1", "state": "ready"} for name in ("s-a", "s-b")]
     cells = [record.cell for record in parse_endpoint_list({"version": 1, "servers": raw_records}, "known").records]
