--- a/tests/discovery/test_watcher.py
+++ b/tests/discovery/test_watcher.py
@@ -86,7 +86,7 @@
     assert len(real_balancer.endpoints.by_id) == 1
 
 
-def test_endpoint_of_unknown_state_is_listed_but_removed_for_the_balancer(
+def test_endpoint_of_unknown_state_is_listed_as_removed(
     endpoint_watcher: EndpointWatcher,
     dispatcher: dispatch.Dispatcher,
     upstream: UpstreamPool,
