--- a/tests/dispatch/test_balancer_faults.py
+++ b/tests/dispatch/test_balancer_faults.py
@@ -81,7 +81,7 @@
     return decide
 
 
-def test_request_is_rejected_at_once_after_submission_fault(harness: FaultHarness) -> None:
+def test_submission_fault_rejects_the_request_immediately(harness: FaultHarness) -> None:
     harness.balancer.decide = fail_on(balancing.Request)
 
     def work() -> None:
