--- a/tests/dispatch/test_truncated_streams.py
+++ b/tests/dispatch/test_truncated_streams.py
@@ -19,7 +19,7 @@
 from tests.fakes import ENDPOINT_A, Sidecar, disconnect, request
 
 
-def retry_once(event: balancing.Event) -> list[balancing.Action]:
+def send_with_one_retry(event: balancing.Event) -> list[balancing.Action]:
     """Send each request; retry it once if its attempt was not served, and fail it if the retry was not served."""
     if isinstance(event, balancing.Request):
         return [balancing.SendAttempt(event.id, ENDPOINT_A, event.time_left_ns)]
@@ -41,7 +41,7 @@
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
-        sidecar.balancer.decide = retry_once
+        sidecar.balancer.decide = send_with_one_retry
         client = sidecar.client(address)
         client.send(request("read"))
         connection = sidecar.server.accept_request()
