--- a/tests/dispatch/test_attempts.py
+++ b/tests/dispatch/test_attempts.py
@@ -77,7 +77,7 @@
 
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
 @pytest.mark.parametrize("pooled", [True, False], ids=["pooled connection", "new connection"])
-def test_client_disconnected_before_request_is_read_gets_no_attempt(how: str, pooled: bool, sidecar: Sidecar) -> None:
+def test_disconnect_before_request_is_read_starts_no_attempt(how: str, pooled: bool, sidecar: Sidecar) -> None:
     """The request and the end of the client's connection are reported by the same poll of the event loop."""
 
     def script() -> None:
