--- a/tests/dispatch/test_ended_requests.py
+++ b/tests/dispatch/test_ended_requests.py
@@ -46,9 +46,7 @@
     monkeypatch.setattr(UpstreamConnection, "connect", connect_late)
 
 
-def test_connection_established_after_deadline_carries_no_request(
-    monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar
-) -> None:
+def test_request_is_not_sent_if_connect_ends_after_deadline(monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar) -> None:
     """The deadline of the request applies, not the later one that the balancer gave the attempt."""
     delay_connects(monkeypatch, lambda _: expire_requests(sidecar))
 
