--- a/tests/dispatch/test_ended_requests.py
+++ b/tests/dispatch/test_ended_requests.py
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
-def test_request_is_not_sent_if_client_disconnects_while_connecting(
+def test_no_request_is_sent_after_disconnect_while_connecting(
     how: str, monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar
 ) -> None:
     may_connect = Event(sidecar.loop)
