--- a/tests/dispatch/test_ended_requests.py
+++ b/tests/dispatch/test_ended_requests.py
@@ -140,7 +140,7 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
-def test_request_is_not_sent_if_client_disconnects_while_settling(
+def test_no_request_is_sent_after_disconnect_while_settling(
     how: str, monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar
 ) -> None:
     def script() -> None:
