--- a/tests/downstream/test_arrival.py
+++ b/tests/downstream/test_arrival.py
@@ -120,7 +120,7 @@
     assert requests_submitted(sidecar)[0].time_left_ns <= (5_000 - 490) * NS_PER_MS
 
 
-def test_request_read_at_once_keeps_its_full_time_left(sidecar: Sidecar) -> None:
+def test_request_read_immediately_keeps_its_full_time_left(sidecar: Sidecar) -> None:
     """The lower bound of its arrival is exact if nothing delays it, however long the event loop was idle before."""
 
     def script() -> None:
