--- a/tests/downstream/test_half_close.py
+++ b/tests/downstream/test_half_close.py
@@ -160,7 +160,7 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
-def test_client_disconnecting_after_response_drops_second_request(
+def test_disconnect_after_response_drops_the_second_request(
     how: str, monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar
 ) -> None:
     """Both requests were read together, and the client disconnects when the first response has been written."""
