--- a/tests/downstream/test_half_close.py
+++ b/tests/downstream/test_half_close.py
@@ -194,7 +194,7 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
-def test_client_disconnecting_before_response_drops_second_request(how: str, sidecar: Sidecar) -> None:
+def test_disconnect_before_response_drops_the_second_request(how: str, sidecar: Sidecar) -> None:
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
         connections = open_idle_connections(sidecar, address, 2)
