--- a/tests/downstream/test_half_close.py
+++ b/tests/downstream/test_half_close.py
@@ -17,7 +17,7 @@
 from lugtally.units import NS_PER_MS, NS_PER_S
 from tests.fakes import ENDPOINT_A, MAX_WAIT_NS, PeerConnection, Sidecar, disconnect, request
 
-SETTLED_NS = 20 * NS_PER_MS
+REUSE_DELAY_NS = 20 * NS_PER_MS
 """How long after its response an idle upstream connection can be reused without a wait."""
 OBSERVATION_NS = 100 * NS_PER_MS
 """How long to wait for a request that must not be forwarded."""
@@ -56,7 +56,7 @@
         assert client.read().startswith(b"HTTP/1.1 200")
         client.sock.close()
     sidecar.wait_until(lambda: sidecar.downstream.open_connections == 0)
-    sidecar.loop.sleep(SETTLED_NS)
+    sidecar.loop.sleep(REUSE_DELAY_NS)
     return connections
 
 
