--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -124,7 +124,7 @@
     assert bodies == [b"1", b"2"]
 
 
-def test_connection_near_its_idle_timeout_is_not_reused(loop: EventLoop, server: socket.socket) -> None:
+def test_connection_is_not_reused_after_its_idle_timeout(loop: EventLoop, server: socket.socket) -> None:
     """Regression: expired connections were closed only once per second, so that an endpoint could close them first.
 
     A request that was sent at that moment was reset.
