--- a/tests/balancing/test_outlier_detection.py
+++ b/tests/balancing/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Tests of outlier detection: which failures eject a server, for how long, and how many at once."""
+"""Tests of outlier detection: which failures eject a server, for how long, and how many at the same time."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     assert any(endpoint_id == 3 for sent_ns, endpoint_id in harness.sends if sent_ns > harness.now_ns - 20 * NS_PER_S)
 
 
-def test_repeated_ejection_lasts_five_seconds_at_most() -> None:
+def test_repeated_ejection_is_limited_to_five_seconds() -> None:
     """An ejection lasts 5 s at most, however often the server was ejected before."""
     harness = start_harness(make_settings(max_attempts=1), make_endpoints(10))
     endpoint = harness.balancer.subset.members[0]
@@ -73,7 +73,7 @@
         for attempt in harness.requests[f"good{number}"].attempts:
             harness.balancer.endpoints.by_id[attempt.endpoint_id].last_response_ns = harness.now_ns
         for name in [f"late{number}"]:
-            for attempt in harness.requests[name].attempts:  # its server responds to another request meanwhile
+            for attempt in harness.requests[name].attempts:  # its server responds to another request in the meantime
                 harness.balancer.endpoints.by_id[attempt.endpoint_id].last_response_ns = harness.now_ns
         harness.pass_time(60 * NS_PER_MS)
     assert not any(endpoint.ejected_until_ns > harness.now_ns for endpoint in harness.balancer.subset.members)
--- a/tests/discovery/test_discovery_failures.py
+++ b/tests/discovery/test_discovery_failures.py
@@ -1,8 +1,8 @@
 """Failures of discovery: lost watches, failed calls, and a move to another discovery during a backoff.
 
-A change must arrive within 6 s after discovery has it and is reachable.  The scripted balancer never requests a second
-call, so that a call that follows at once is a retry of the watcher.  The backoff of the real balancer is tested without
-sockets.
+A change must arrive within 6 s after discovery has it and is reachable.  The scripted balancer never requests another
+call, so that a call that follows immediately is a retry of the watcher.  The backoff of the real balancer is tested
+without sockets.
 """
 
 from __future__ import annotations
@@ -65,7 +65,7 @@
         pytest.param(2, respond_partly_and_close, id="truncated response"),
     ],
 )
-def test_lost_watch_is_retried_at_once(version: int, fail: Failure, sidecar: Sidecar) -> None:
+def test_lost_watch_is_retried_immediately(version: int, fail: Failure, sidecar: Sidecar) -> None:
     """The balancer receives no failure, and the retry requests the changes since the same version."""
 
     def script() -> None:
@@ -139,7 +139,7 @@
 
 @pytest.mark.usefixtures("short_timeouts")
 @pytest.mark.parametrize("make_unreachable", [refuse_connections, fill_backlog])
-def test_unreachable_discovery_is_reported_once(
+def test_unreachable_discovery_causes_one_failed_update(
     make_unreachable: Callable[[Sidecar], list[PeerConnection]], sidecar: Sidecar
 ) -> None:
     def script() -> None:
@@ -172,7 +172,7 @@
 
 
 @pytest.mark.usefixtures("short_timeouts")
-def test_move_during_backoff_polls_the_new_discovery_at_once(sidecar: Sidecar) -> None:
+def test_move_during_backoff_polls_new_discovery_immediately(sidecar: Sidecar) -> None:
     """A timer of the old backoff must not shorten a later backoff of the new discovery."""
 
     def script() -> None:
--- a/tests/dispatch/test_ended_requests.py
+++ b/tests/dispatch/test_ended_requests.py
@@ -16,7 +16,7 @@
 from tests.fakes import ENDPOINT_A, MAX_WAIT_NS, PeerConnection, Sidecar, disconnect, request
 
 EXCESSIVE_TIMEOUT_NS = 9 * NS_PER_S
-"""The timeout that the balancer gives each attempt in these tests, which is much longer than its request has left."""
+"""The timeout that the balancer gives each attempt in these tests: much longer than its request's remaining time."""
 NOT_STARTED = [balancing.AttemptResult.NEVER_SENT]
 
 
@@ -46,9 +46,7 @@
     monkeypatch.setattr(UpstreamConnection, "connect", connect_late)
 
 
-def test_connection_established_after_deadline_carries_no_request(
-    monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar
-) -> None:
+def test_request_is_not_sent_if_connect_ends_after_deadline(monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar) -> None:
     """The deadline of the request applies, not the later one that the balancer gave the attempt."""
     delay_connects(monkeypatch, lambda _: expire_requests(sidecar))
 
@@ -122,7 +120,7 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
-def test_request_is_not_sent_if_client_disconnects_while_connecting(
+def test_no_request_is_sent_after_disconnect_while_connecting(
     how: str, monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar
 ) -> None:
     may_connect = Event(sidecar.loop)
--- a/tests/downstream/test_half_close.py
+++ b/tests/downstream/test_half_close.py
@@ -17,7 +17,7 @@
 from lugtally.units import NS_PER_MS, NS_PER_S
 from tests.fakes import ENDPOINT_A, MAX_WAIT_NS, PeerConnection, Sidecar, disconnect, request
 
-SETTLED_NS = 20 * NS_PER_MS
+REUSE_DELAY_NS = 20 * NS_PER_MS
 """How long after its response an idle upstream connection can be reused without a wait."""
 OBSERVATION_NS = 100 * NS_PER_MS
 """How long to wait for a request that must not be forwarded."""
@@ -56,7 +56,7 @@
         assert client.read().startswith(b"HTTP/1.1 200")
         client.sock.close()
     sidecar.wait_until(lambda: sidecar.downstream.open_connections == 0)
-    sidecar.loop.sleep(SETTLED_NS)
+    sidecar.loop.sleep(REUSE_DELAY_NS)
     return connections
 
 
@@ -160,7 +160,7 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
-def test_client_disconnecting_after_response_drops_second_request(
+def test_disconnect_after_response_drops_the_second_request(
     how: str, monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar
 ) -> None:
     """Both requests were read together, and the client disconnects when the first response has been written."""
@@ -194,7 +194,7 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
-def test_client_disconnecting_before_response_drops_second_request(how: str, sidecar: Sidecar) -> None:
+def test_disconnect_before_response_drops_the_second_request(how: str, sidecar: Sidecar) -> None:
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
         connections = open_idle_connections(sidecar, address, 2)
--- a/tests/overload/test_admission.py
+++ b/tests/overload/test_admission.py
@@ -76,7 +76,7 @@
     still_delayed = send_requests(admission, delayed.end_ns, 1500 * NS_PER_MS, 60 * NS_PER_MS)
     assert sum(still_delayed.admitted[READ][-200:]) == 0
     assert admission.shed_fraction <= OverloadLimits().max_shed_fraction
-    # All requests are admitted again within a second after the delay has ended.
+    # All requests are admitted again within 1 s after the delay has ended.
     recovering = send_requests(admission, still_delayed.end_ns, 1000 * NS_PER_MS, 0)
     recovered = send_requests(admission, recovering.end_ns, 100 * NS_PER_MS, 0)
     assert all(all(class_admitted) for class_admitted in recovered.admitted)
@@ -90,7 +90,7 @@
     assert admission.check(0, READ, 0, 0, 0.0) is None, "the typical duration is unknown"
 
 
-def test_memory_or_descriptors_near_limit_shed_every_request(admission: AdmissionController) -> None:
+def test_high_memory_or_descriptor_use_sheds_every_request(admission: AdmissionController) -> None:
     admission.record_usage(ResourceUsage(0.1, 0.91, 0.1))
     assert admission.check(0, RECEIPT, TIME_LEFT_NS, 0, 0.0) is ShedReason.MEMORY
     assert admission.is_shedding
