--- a/tests/fault_injection/test_checker.py
+++ b/tests/fault_injection/test_checker.py
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize("end", [ConnectionEnd.CLOSED_BY_SIDECAR, ConnectionEnd.RESET_BY_SIDECAR])
-def test_request_on_a_new_connection_that_is_closed_is_a_violation(run: RecordedRun, end: ConnectionEnd) -> None:
+def test_request_on_closed_new_connection_is_a_violation(run: RecordedRun, end: ConnectionEnd) -> None:
     run.remove_answer()
     run.records.attempts.clear()
     run.end_connection(1010, end)
