--- a/tests/fault_injection/test_checker.py
+++ b/tests/fault_injection/test_checker.py
@@ -117,7 +117,7 @@
     assert not run.violated_rules()
 
 
-def test_request_crossing_the_close_of_a_reused_connection_is_not_checked(run: RecordedRun) -> None:
+def test_request_crossing_a_connection_close_is_not_checked(run: RecordedRun) -> None:
     """A request written more than ``CROSSING_NS`` before the close is counted separately."""
     second_request = run.add_request("r2", position=1, write_number=1)
     second_request.last_byte_ns = ns(1300)
