--- a/tests/fault_injection/test_checker.py
+++ b/tests/fault_injection/test_checker.py
@@ -128,7 +128,7 @@
     assert run.verdict().unchecked[UncheckedReason.PENDING_AT_CLOSE] == 1
 
 
-def test_unanswered_request_in_one_write_with_an_answered_one_is_a_violation(run: RecordedRun) -> None:
+def test_unanswered_request_in_an_answered_write_is_a_violation(run: RecordedRun) -> None:
     """The answer to the other request proves that the sidecar read the bytes of the write."""
     run.add_request("r2", position=1, write_number=0)
     run.end_connection(1201)
