--- a/tests/fault_injection/test_checker.py
+++ b/tests/fault_injection/test_checker.py
@@ -257,7 +257,7 @@
     assert run.violated_rules() == [Rule.FORWARDED_AFTER_END]
 
 
-def test_attempt_after_the_deadline_of_a_stopped_sidecar_is_a_violation(run: RecordedRun) -> None:
+def test_late_attempt_of_a_stopped_sidecar_is_a_violation(run: RecordedRun) -> None:
     """A stop of the sidecar extends the time for the answer, but not the time for attempts."""
     run.records.stops.append(SidecarStop(ns(1900), ns(4000), 0))
     run.add_attempt(4001, time_left_ms=0)
