--- a/tests/fault_injection/checker.py
+++ b/tests/fault_injection/checker.py
@@ -257,9 +257,9 @@
         return _any_overlaps(self._records.scheduling_lags, request.last_byte_ns, self._due_ns(request))
 
     def _check_answer_time(self, request: SentRequest, answer: Answer) -> None:
-        lateness_ns = answer.ended_ns - self._due_ns(request)
-        if lateness_ns > 0 and not request.reads_slowly and request.disconnected_ns is None:
-            detail = f"{lateness_ns / NS_PER_MS:.0f} ms after deadline and slack; status {answer.status}"
+        overdue_ns = answer.ended_ns - self._due_ns(request)
+        if overdue_ns > 0 and not request.reads_slowly and request.disconnected_ns is None:
+            detail = f"{overdue_ns / NS_PER_MS:.0f} ms after deadline and slack; status {answer.status}"
             self._add_violation(Rule.LATE_ANSWER, request.request_id, detail)
 
     def _check_attempts(self, request: SentRequest, complete_answer: Answer | None, attempts: list[Attempt]) -> None:
