--- a/tests/fault_injection/report.py
+++ b/tests/fault_injection/report.py
@@ -84,11 +84,11 @@
     if request is None:
         return
     for at_ns, text in sorted(_events(request, result.records)):
-        if _is_near_request(request, at_ns) or text.startswith(FAULT_PREFIX):
+        if _is_around_request(request, at_ns) or text.startswith(FAULT_PREFIX):
             yield f"    {(at_ns - result.started_ns) / NS_PER_MS:9.1f} {text}"
 
 
-def _is_near_request(request: SentRequest, at_ns: int) -> bool:
+def _is_around_request(request: SentRequest, at_ns: int) -> bool:
     """Return whether a time lies between shortly before the request and shortly after its deadline."""
     if request.last_byte_ns is None:
         return True
