--- a/tests/dispatch/test_balancer_faults.py
+++ b/tests/dispatch/test_balancer_faults.py
@@ -104,13 +104,13 @@
     track_attempt = balancer.overdue.track
     watched: list[int] = []
 
-    def fail_once(*arguments: Any) -> list[balancing.Action]:
+    def fail_selected_call(*arguments: Any) -> list[balancing.Action]:
         watched.append(1)
         if len(watched) == (1 if fails_on == "the first attempt" else 2):
             raise RuntimeError
         return track_attempt(*arguments)
 
-    monkeypatch.setattr(balancer.overdue, "track", fail_once)
+    monkeypatch.setattr(balancer.overdue, "track", fail_selected_call)
     monkeypatch.setattr(balancer.retry_budget, "try_spend", lambda: True)
 
     def new_request() -> dispatch.PendingRequest:
