--- a/tests/downstream/test_arrival.py
+++ b/tests/downstream/test_arrival.py
@@ -185,10 +185,10 @@
 
     def script() -> None:
         address = sidecar.listen_with_one_endpoint()
-        poll_once = sidecar.loop._poll_descriptors
+        poll_descriptors = sidecar.loop._poll_descriptors
 
         def poll_slowly(due_ns: int | None) -> None:
-            poll_once(due_ns)
+            poll_descriptors(due_ns)
             sidecar.loop._poll_blocked = True  # as if the process had been preempted
 
         clients = [sidecar.client(address) for _ in range(3)]
