--- a/tests/downstream/test_closing.py
+++ b/tests/downstream/test_closing.py
@@ -179,7 +179,7 @@
 
 
 @pytest.mark.parametrize("partial_response", [b"", b"HTTP/1.1 20"], ids=["close", "bytes and close"])
-def test_connection_closed_before_write_fails_request_once(
+def test_close_before_write_fails_request_without_retry(
     partial_response: bytes, monkeypatch: pytest.MonkeyPatch, sidecar: Sidecar
 ) -> None:
     """The request may have been processed: it gets a 502 and is not retried."""
