--- a/tests/upstream/test_pool_races.py
+++ b/tests/upstream/test_pool_races.py
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize("close", POOL_CHANGES.values(), ids=POOL_CHANGES)
-def test_connection_closed_before_reuse_is_counted_once(
+def test_close_before_reuse_is_not_counted_twice(
     close: Callable[[Sidecar], None], sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(pool, "MIN_IDLE_BEFORE_REUSE_NS", LONG_MIN_IDLE_NS)
