--- a/tests/upstream/test_pool_races.py
+++ b/tests/upstream/test_pool_races.py
@@ -252,7 +252,7 @@
     assert sidecar.upstream.open_connections == 0
 
 
-def test_idle_connection_ended_by_both_sides_is_closed_once(sidecar: Sidecar) -> None:
+def test_connection_ended_by_both_sides_is_not_closed_twice(sidecar: Sidecar) -> None:
     """The peer and the pool close the connection in the same poll of the event loop, in either order."""
 
     def script() -> None:
