--- a/tests/discovery/test_watcher.py
+++ b/tests/discovery/test_watcher.py
@@ -37,7 +37,7 @@
     return EndpointWatcher(loop, dispatcher, upstream, DISCOVERY, ("a",))
 
 
-def test_wall_clock_step_does_not_change_start_times(
+def test_wall_clock_change_does_not_change_start_times(
     loop: EventLoop,
     dispatcher: dispatch.Dispatcher,
     endpoint_watcher: EndpointWatcher,
