--- a/benchmarks/event_loop_model.py
+++ b/benchmarks/event_loop_model.py
@@ -1,8 +1,9 @@
 """Model of the sidecar's event loop under load, in simulated time, with an admission controller.
 
-A poll returns all events that are ready.  Events are handled one after another; those that become ready meanwhile wait
-for the next poll.  A request takes ``REJECT_CPU_US`` of CPU time if it is rejected; otherwise ``FORWARD_CPU_US``, and
-``RESPOND_CPU_US`` when its response arrives.  Clients retry a rejected request up to three times before its deadline.
+A poll returns all events that are ready.  Events are handled one after another; those that become ready in the meantime
+wait for the next poll.  A request takes ``REJECT_CPU_US`` of CPU time if it is rejected; otherwise ``FORWARD_CPU_US``,
+and ``RESPOND_CPU_US`` when its response arrives.  Clients retry a rejected request up to three times before its
+deadline.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 from lugtally.testbed.scenario.random_streams import stream
 
 FORWARD_CPU_US, RESPOND_CPU_US, REJECT_CPU_US = 110.0, 90.0, 20.0
-SUSTAINABLE_RATE_PER_S = 1e6 / (FORWARD_CPU_US + RESPOND_CPU_US)  # of requests, on a whole core
+SUSTAINABLE_RATE_PER_S = 1e6 / (FORWARD_CPU_US + RESPOND_CPU_US)  # of requests, with one core fully used
 MAX_RETRIES = 3
 RETRY_DELAY_S = 0.1
 IMMEDIATE_RETRY_DELAY_S = 0.0005
--- a/benchmarks/saturate.py
+++ b/benchmarks/saturate.py
@@ -4,7 +4,7 @@
 
 Clients form a closed loop: each connection sends its next request only after the response to the last one, even if that
 was a rejection, and an optional pause.  Servers and clients run in processes of their own, on other cores.  CPU usage
-is the process time of the sidecar; memory usage is the maximum of ten samples a second.
+is the process time of the sidecar; memory usage is the maximum of ten samples per second.
 """
 
 from __future__ import annotations
