--- a/lugtally/testbed/experiments/baselines.py
+++ b/lugtally/testbed/experiments/baselines.py
@@ -1,6 +1,6 @@
 """Baseline policies for comparisons, run by the same dispatcher and network code as the shipped balancer.
 
-They are part of the testbed and cannot be selected for the daemon; only the runner starts this module.  Each policy
+They belong to the testbed and cannot be selected for the daemon; only the runner starts this module.  Each policy
 obeys the rules on retries and drains.  None considers load reports, unresponsive endpoints or cold starts.
 """
 
--- a/lugtally/testbed/experiments/core_contention.py
+++ b/lugtally/testbed/experiments/core_contention.py
@@ -19,7 +19,7 @@
         self._busy_loops: dict[int, list[subprocess.Popen[bytes]]] = {}  # by sidecar
 
     def start(self, sidecar: int, core: int, share: float) -> None:
-        """Start as many busy loops as take this share of the core if the kernel schedules all processes fairly."""
+        """Start busy loops that together take this share of the core if the kernel schedules all processes fairly."""
         count = max(1, round(share / (1 - share)))
         busy_loops = [self._children.spawn([sys.executable, "-c", BUSY_LOOP], "spin.log") for _ in range(count)]
         self._busy_loops[sidecar] = busy_loops
--- a/lugtally/testbed/verification/crashes.py
+++ b/lugtally/testbed/verification/crashes.py
@@ -9,7 +9,7 @@
 
 
 def check_crashes(log: EventLog, start: float) -> list[Violation]:
-    """Report each exit of a sidecar without such a signal, and each with another status than 0 after SIGTERM."""
+    """Report each exit of a sidecar without SIGTERM or SIGKILL, and each with a status other than 0 after SIGTERM."""
     violations: list[Violation] = []
     last_signals: dict[int, ProcessEventKind] = {}  # by sidecar
     for event in sorted(log.process_events, key=lambda event: event.at):
--- a/lugtally/testbed/verification/prices.py
+++ b/lugtally/testbed/verification/prices.py
@@ -19,7 +19,7 @@
 
 
 def measure_prices(log: EventLog, schedule: Schedule, requests: int, late_failures: float) -> dict[str, float]:
-    """Return the share of each price.
+    """Return each cost of the run as a share, without its weight.
 
     Args:
         log: The records of the run.
--- a/lugtally/testbed/verification/records.py
+++ b/lugtally/testbed/verification/records.py
@@ -178,7 +178,7 @@
         "retry_after_s": "advice",
     },
 ):
-    """One attempt of a client, as seen from outside the sidecar."""
+    """One attempt of a client, recorded outside the sidecar."""
 
     request_id: str
     first_id: str  # the id of the client's first attempt
--- a/lugtally/testbed/verification/verifier.py
+++ b/lugtally/testbed/verification/verifier.py
@@ -41,7 +41,7 @@
     service: float  # the three shares, weighted as the operators' requirements define
     net: float  # service minus the prices
     classes: list[ClassService]
-    prices: dict[str, float]  # the measured shares, without their weights
+    prices: dict[str, float]  # each cost of the run as a share, without its weight
     client_attempts: int
     server_attempts: int
     retries: int  # server attempts beyond the first of a client attempt
