--- a/tests/balancing/test_rules_random.py
+++ b/tests/balancing/test_rules_random.py
@@ -214,17 +214,17 @@
     next_arrivals_s: list[float] = [random.expovariate(each_rate) for each_rate in rates]
     listed_ns = harnesses[0].now_ns + 6 * NS_PER_S
     started_ns = listed_ns - age_s * NS_PER_S
-    cold_endpoints = [replace(each, started_ns=started_ns) if each.id == 1 else each for each in make_endpoints(12)]
+    endpoints = [replace(server, started_ns=started_ns) if server.id == 1 else server for server in make_endpoints(12)]
     for harness in harnesses:
         harness.feed(
             balancing.EndpointUpdate(
-                balancing.EndpointUpdateKind.CACHED, cold_endpoints if restarted else make_endpoints(12)
+                balancing.EndpointUpdateKind.CACHED, endpoints if restarted else make_endpoints(12)
             )
         )
     for tick in range(2000):
         for index, harness in enumerate(harnesses):
             if tick == 1200 and not restarted:
-                harness.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.DELTA, [cold_endpoints[0]]))
+                harness.feed(balancing.EndpointUpdate(balancing.EndpointUpdateKind.DELTA, [endpoints[0]]))
             while next_arrivals_s[index] * NS_PER_S < tick * 5 * NS_PER_MS:
                 next_arrivals_s[index] += random.expovariate(rates[index])
                 name = f"c{len(harness.requests)}"
@@ -233,7 +233,7 @@
             harness.now_ns += 5 * NS_PER_MS
     since_ns = started_ns if restarted else listed_ns
     send_times = sorted(
-        sent_ns for each in harnesses for sent_ns, endpoint_id in each.sends if endpoint_id == 1 and sent_ns >= since_ns
+        at_ns for harness in harnesses for at_ns, endpoint_id in harness.sends if endpoint_id == 1 and at_ns >= since_ns
     )
     for window_start_ns in send_times:
         sends = sum(window_start_ns <= sent_ns < window_start_ns + 2 * NS_PER_S for sent_ns in send_times)
