--- a/tests/fault_injection/endpoint_connection.py
+++ b/tests/fault_injection/endpoint_connection.py
@@ -160,7 +160,7 @@
                 return await self._send_complete(attempt, plan)
 
     async def _send_complete(self, attempt: Attempt, plan: ResponsePlan) -> bool:
-        """Send a complete response, twice if the plan says so; return whether the connection stays open."""
+        """Send a complete response, twice for ``DUPLICATED``; return whether the connection stays open."""
         response = self._serialize(attempt, plan)
         attempt.response_kind = ResponseKind.COMPLETE
         if plan.behaviour is EndpointBehaviour.DUPLICATED:
--- a/tests/fault_injection/response_plan.py
+++ b/tests/fault_injection/response_plan.py
@@ -67,7 +67,7 @@
     body_bytes = random.randint(*(LONG_BODY_BYTES if long_body else SHORT_BODY_BYTES))
     fault_position = random.choice(list(FaultPosition))
     if behaviour is EndpointBehaviour.DUPLICATED:
-        framing = Framing.LENGTH  # with any other framing the second copy would be part of the body
+        framing = Framing.LENGTH  # any other framing would add the second copy to the body
     if behaviour is EndpointBehaviour.LATE:
         latency_s = time_left_s + random.uniform(-0.1, 0.5)
     return ResponsePlan(behaviour, max(0.0, latency_s), body_bytes, framing, fault_position)
--- a/tests/integration/player.py
+++ b/tests/integration/player.py
@@ -17,7 +17,7 @@
     crowd 40 CLIENT     open the connections CLIENT0 to CLIENT39
 
 A step on a connection begins with the name of the connection, which its first step opens or accepts.  The first letter
-of the name tells the kind: ``d`` is the next connection that an endpoint accepts, ``p`` and ``q`` are the next ones
+of the name sets the kind: ``d`` is the next connection that an endpoint accepts, ``p`` and ``q`` are the next ones
 that the first and the second discovery service accept (the second is at @Q), ``o`` is a connection to the admin
 address, and any other letter is a client connection:
 
--- a/tests/testbed/test_load_generator.py
+++ b/tests/testbed/test_load_generator.py
@@ -23,7 +23,7 @@
 STALL_AT_S, STALL_S = 1.5, 1.0
 SCENARIO = """
 name = "stall"
-about = "A server that does not respond for a second."
+about = "A server that does not respond for 1 s."
 length_s = 5
 [fleet]
 servers = 1
@@ -46,7 +46,7 @@
 
 
 async def _serve_with_stall(block: int, seed: int, base: float, child: subprocess.Popen[bytes]) -> None:
-    """Serve in place of a sidecar: respond immediately, except during a stall of a second."""
+    """Serve in place of a sidecar: respond immediately, except during a stall of 1 s."""
     start = 0.0
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
