--- a/benchmarks/gates.py
+++ b/benchmarks/gates.py
@@ -17,7 +17,7 @@
 
 LOADS = (0.9, 1.5, 2.0, 4.0, 10.0)  # multiples of the sustainable rate
 TABLE_HEADER = (
-    "| controller | clients | load | served weight (range) | scheduling delay p99 ms | deviation of shed share "
+    "| controller | clients | load | served weight (range) | queueing delay p99 ms | deviation of shed share "
     "| recovery s | false alarms |\n| --- | --- | --- | --- | --- | --- | --- | --- |"
 )
 
