--- a/tests/fault_injection/test_checker.py
+++ b/tests/fault_injection/test_checker.py
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize("end", [ConnectionEnd.CLOSED_BY_SIDECAR, ConnectionEnd.RESET_BY_SIDECAR])
-def test_request_on_a_new_connection_that_is_closed_is_a_violation(run: RecordedRun, end: ConnectionEnd) -> None:
+def test_request_on_closed_new_connection_is_a_violation(run: RecordedRun, end: ConnectionEnd) -> None:
     run.remove_answer()
     run.records.attempts.clear()
     run.end_connection(1010, end)
@@ -117,7 +117,7 @@
     assert not run.violated_rules()
 
 
-def test_request_crossing_the_close_of_a_reused_connection_is_not_checked(run: RecordedRun) -> None:
+def test_request_crossing_a_connection_close_is_not_checked(run: RecordedRun) -> None:
     """A request written more than ``CROSSING_NS`` before the close is counted separately."""
     second_request = run.add_request("r2", position=1, write_number=1)
     second_request.last_byte_ns = ns(1300)
@@ -128,7 +128,7 @@
     assert run.verdict().unchecked[UncheckedReason.PENDING_AT_CLOSE] == 1
 
 
-def test_unanswered_request_in_one_write_with_an_answered_one_is_a_violation(run: RecordedRun) -> None:
+def test_unanswered_request_in_an_answered_write_is_a_violation(run: RecordedRun) -> None:
     """The answer to the other request proves that the sidecar read the bytes of the write."""
     run.add_request("r2", position=1, write_number=0)
     run.end_connection(1201)
@@ -257,7 +257,7 @@
     assert run.violated_rules() == [Rule.FORWARDED_AFTER_END]
 
 
-def test_attempt_after_the_deadline_of_a_stopped_sidecar_is_a_violation(run: RecordedRun) -> None:
+def test_late_attempt_of_a_stopped_sidecar_is_a_violation(run: RecordedRun) -> None:
     """A stop of the sidecar extends the time for the answer, but not the time for attempts."""
     run.records.stops.append(SidecarStop(ns(1900), ns(4000), 0))
     run.add_attempt(4001, time_left_ms=0)
--- a/tests/upstream/test_pool_races.py
+++ b/tests/upstream/test_pool_races.py
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize("close", POOL_CHANGES.values(), ids=POOL_CHANGES)
-def test_connection_closed_before_reuse_is_counted_once(
+def test_close_before_reuse_is_not_counted_twice(
     close: Callable[[Sidecar], None], sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(pool, "MIN_IDLE_BEFORE_REUSE_NS", LONG_MIN_IDLE_NS)
@@ -252,7 +252,7 @@
     assert sidecar.upstream.open_connections == 0
 
 
-def test_idle_connection_ended_by_both_sides_is_closed_once(sidecar: Sidecar) -> None:
+def test_connection_ended_by_both_sides_is_not_closed_twice(sidecar: Sidecar) -> None:
     """The peer and the pool close the connection in the same poll of the event loop, in either order."""
 
     def script() -> None:
