--- a/tests/balancing/test_picker.py
+++ b/tests/balancing/test_picker.py
@@ -24,7 +24,7 @@
     assert first - set(draining) < second
 
 
-def test_subset_grows_with_own_requests_in_flight() -> None:
+def test_subset_grows_as_unfinished_requests_accumulate() -> None:
     """With much traffic the subset has more members than its minimum of ten."""
     harness = start_harness(make_settings(fleet_size=20), make_endpoints(40))
     for number in range(14):
@@ -33,7 +33,7 @@
     assert len(harness.balancer.subset.members) > 10
 
 
-def test_pick_prefers_fewer_own_requests_in_flight() -> None:
+def test_pick_spreads_unfinished_requests_over_endpoints() -> None:
     harness = start_harness(make_settings(fleet_size=1), make_endpoints(10))
     for number in range(10):
         harness.send_request(f"a{number}")
